--- a/crates/wharfhub-testbed/src/world/clients.rs
+++ b/crates/wharfhub-testbed/src/world/clients.rs
@@ -29,7 +29,7 @@
         let part = |part: &crate::site::Part| PartRequest {
             shard: part.shard,
             weight: part.weight,
-            hint_s: hints.then_some(part.work_s),
+            cost_hint_s: hints.then_some(part.work_s),
         };
         let id = format!("q{number}-{tried}");
         let query_request = QueryRequest {
@@ -38,9 +38,9 @@
             class_name: class.name.into(),
             tenant: query.tenant as u32,
             key: query.key,
-            repeat: tried > 0 && self.scenario.site.retries.2,
+            is_client_retry: tried > 0 && self.scenario.site.retries.2,
             timeout_s,
-            idempotency: (!class.safe()).then(|| format!("k{number}")),
+            idempotency_key: (!class.safe()).then(|| format!("k{number}")),
             parts: query.parts.iter().map(part).collect(),
             ..QueryRequest::default()
         };
@@ -94,7 +94,7 @@
         let ended_s = self.now - START_S - query.at;
         self.tally.query(self.scenario, query, None, ended_s);
         self.drive(open.mixer, |coordinator, now, out| {
-            coordinator.client_left(now, open.request, out)
+            coordinator.client_disconnected(now, open.request, out)
         });
     }
 
--- a/crates/wharfhub-testbed/src/world/mod.rs
+++ b/crates/wharfhub-testbed/src/world/mod.rs
@@ -379,12 +379,12 @@
                 }
                 Command::Reply {
                     caller,
-                    last,
+                    answer,
                     took_s,
                     ..
                 } => {
                     self.note((took_s * 1e6) as u64 ^ caller);
-                    self.reply((caller >> 8) as usize, (caller & 255) as u32, last);
+                    self.reply((caller >> 8) as usize, (caller & 255) as u32, answer);
                 }
                 Command::WakeAt { at, wake } => self.at(at, Event::Wake(mixer, incarnation, wake)),
                 Command::Cancel { attempt } => {
@@ -555,7 +555,7 @@
     Carrier {
         now,
         shortest_objective_s: objectives.fold(f64::MAX, f64::min),
-        late_s: coordinator.near_worst_latency_s(),
+        late_s: coordinator.slowest_class_p95_s(),
         max_streams: deployment.streams_per_connection,
     }
 }
--- a/src/net/admin/metrics_text.rs
+++ b/src/net/admin/metrics_text.rs
@@ -65,8 +65,8 @@
             let group = escaped(class);
             let states = [
                 ("answered", counts.answered),
-                ("deferred", counts.deferred),
-                ("errored", counts.errored),
+                ("deferred", counts.rejected),
+                ("errored", counts.failed),
             ];
             for (state, count) in states {
                 let _ = writeln!(
@@ -80,7 +80,7 @@
             .avoided_replicas()
             .min(self.listed_endpoints);
         let plain = [
-            ("sends_total", metrics.sends),
+            ("sends_total", metrics.sent_attempts),
             ("current", self.coordinator.open_requests() as u64),
             ("cluster_size", self.listed_endpoints as u64),
             ("cluster_unhealthy", avoided as u64),
@@ -97,7 +97,7 @@
         let mut line = |name: &str, label: &str, value: &str, count: u64| {
             let _ = writeln!(out, "svc_{name}_total{{{label}=\"{value}\"}} {count}");
         };
-        for (reason, count) in &metrics.refused {
+        for (reason, count) in &metrics.rejected {
             line("refused", "why", reason.label(), *count);
         }
         for (reason, count) in &metrics.failed {
@@ -106,7 +106,7 @@
         for (outcome, count) in &metrics.attempts {
             line("attempts", "outcome", outcome.label(), *count);
         }
-        for (before, count) in &metrics.repeats {
+        for (before, count) in &metrics.retries {
             let before = before.map_or("in_flight", |outcome| outcome.label());
             line("repeats", "after", before, *count);
         }
@@ -161,7 +161,7 @@
         let details = [
             ("partial", counts.partial),
             ("in_aim", counts.within_objective),
-            ("left", counts.left),
+            ("left", counts.client_disconnected),
         ];
         for (name, count) in details {
             let _ = writeln!(out, "svc_{name}_total{{group=\"{group}\"}} {count}");
--- a/src/net/client/connections.rs
+++ b/src/net/client/connections.rs
@@ -17,7 +17,7 @@
 use crate::net::ConnectionKey;
 use crate::requests::coordinator::{Protocol, QueryRequest};
 use crate::requests::invariants::Invariant;
-use crate::requests::metrics::count;
+use crate::requests::metrics::increment;
 use crate::store::MAX_VALUE_BYTES;
 use mio::net::TcpStream;
 use slotmap::SlotMap;
@@ -319,7 +319,7 @@
 
     /// Removes a client's connection: the one place where that happens, by our doing or by the client's.
     pub(super) fn close(&mut self, runtime: &mut Runtime, key: ConnectionKey, reason: CloseReason) {
-        count(&mut self.closed, reason);
+        increment(&mut self.closed, reason);
         let Some(client) = client_mut(&mut runtime.connections, key) else {
             return;
         };
--- a/src/net/client/opensearch/leaf.rs
+++ b/src/net/client/opensearch/leaf.rs
@@ -32,7 +32,7 @@
     let query_request = &part.query_request;
     let shard = query_request.parts[part.index].shard;
     let timeout_ms = (part.timeout_s * 1000.0).floor().max(1.0) as u64;
-    let LeafCall { line, body } = match &query_request.idempotency {
+    let LeafCall { line, body } = match &query_request.idempotency_key {
         Some(key) => {
             let routing = routing_to(shard, shard_count);
             create_call(query_request, key, &routing, timeout_ms)
@@ -41,7 +41,7 @@
         None => search_call(query_request, shard, timeout_ms),
     };
     let opaque = query_request
-        .opaque
+        .opaque_id
         .as_ref()
         .map(|text| format!("X-Opaque-Id: {text}\r\n"))
         .unwrap_or_default();
@@ -60,7 +60,7 @@
     routing: &str,
     timeout_ms: u64,
 ) -> LeafCall {
-    let text = &query_request.text;
+    let text = &query_request.payload;
     let index = percent_encode(&query_request.class_name);
     let id = percent_encode(key);
     LeafCall {
@@ -74,7 +74,7 @@
 
 /// A count of what a search would find, which takes of it the query alone. It ends with the first document that matches.
 fn count_call(query_request: &QueryRequest, shard: u32) -> LeafCall {
-    let text = &query_request.text;
+    let text = &query_request.payload;
     let index = percent_encode(&query_request.class_name);
     let query = parse_object(text).and_then(|mut body| body.remove("query"));
     let query = query.unwrap_or_else(|| query_string(text));
@@ -85,7 +85,7 @@
 }
 
 fn search_call(query_request: &QueryRequest, shard: u32, timeout_ms: u64) -> LeafCall {
-    let text = &query_request.text;
+    let text = &query_request.payload;
     let index = percent_encode(&query_request.class_name);
     LeafCall {
         line: format!(
--- a/src/net/client/opensearch/request.rs
+++ b/src/net/client/opensearch/request.rs
@@ -183,14 +183,14 @@
         protocol: Protocol::Search,
         class,
         class_name: target.index.to_string(),
-        opaque: opaque.map(String::from),
+        opaque_id: opaque.map(String::from),
         tenant,
         key: options.routing().map_or(0, route_key),
-        repeat: false,
+        is_client_retry: false,
         timeout_s: timeout_s.min(settings.deadline_s),
         timeout_uncertainty_s: 0.0,
-        idempotency: created_id.filter(|_| needs_key).map(String::from),
-        text,
+        idempotency_key: created_id.filter(|_| needs_key).map(String::from),
+        payload: text,
         complete_only: !options.allows_partial,
         pre_check_above: options.pre_check_above,
         parts: equal_parts(&shards),
@@ -251,7 +251,7 @@
     let part = |shard: &u32| PartRequest {
         shard: *shard,
         weight,
-        hint_s: None,
+        cost_hint_s: None,
     };
     shards.iter().map(part).collect()
 }
--- a/src/net/client/platform.rs
+++ b/src/net/client/platform.rs
@@ -184,7 +184,7 @@
     let tenant = tenant_index(deployment, message.header("x-tenant-id"))
         .ok_or(PlatformError::UnknownTenant)?;
     let timeout_s = parse_timeout_s(message, settings)?;
-    let idempotency = parse_idempotency_key(message, settings)?;
+    let idempotency_key = parse_idempotency_key(message, settings)?;
     let body = std::str::from_utf8(&message.body).map_err(PlatformError::BodyNotUtf8)?;
     let body: QueryJson = json::from_str(body).map_err(PlatformError::BodyNotAQuery)?;
     let parts = parse_parts(&body.parts, deployment.shards)?;
@@ -193,14 +193,14 @@
         protocol: Protocol::Platform,
         class,
         class_name: class_name.to_string(),
-        opaque: None,
+        opaque_id: None,
         tenant,
         key: message.header("x-route-key").map_or(0, route_key),
-        repeat: message.header("x-retried") == Some("1"),
+        is_client_retry: message.header("x-retried") == Some("1"),
         timeout_s,
         timeout_uncertainty_s: 0.0,
-        idempotency,
-        text: body.statement,
+        idempotency_key,
+        payload: body.statement,
         complete_only: false,
         pre_check_above: None,
         parts,
@@ -276,7 +276,7 @@
         requests.push(PartRequest {
             shard: part.shard,
             weight: part.weight,
-            hint_s: hint_us.map(|hint| hint * 1e-6),
+            cost_hint_s: hint_us.map(|hint| hint * 1e-6),
         });
     }
     if requests.is_empty() {
@@ -321,7 +321,11 @@
             reason,
             retry_after_s,
         } => {
-            let status = if reason == Reason::Held { 503 } else { 429 };
+            let status = if reason == Reason::TooManyOpen {
+                503
+            } else {
+                429
+            };
             let has_advice = retry_after_s > 0.0;
             let advice = has_advice.then(|| ("Retry-After", http::seconds(retry_after_s)));
             let text = "refused: asking again does no harm";
--- a/src/net/client/reading.rs
+++ b/src/net/client/reading.rs
@@ -191,7 +191,7 @@
         let error = match platform::parse_request(&message, &runtime.deployment) {
             Ok(PlatformRequest::Page) => return Some(ClientEvent::Page(message)),
             Ok(PlatformRequest::Query(query_request)) => {
-                if !runtime.coordinator.is_open(&query_request.id) {
+                if !runtime.coordinator.is_request_open(&query_request.id) {
                     return Some(ClientEvent::Query {
                         query_request,
                         search_context: None,
@@ -240,7 +240,7 @@
             self.last_search_number += 1;
             let started_ms = clock.wall_now_ms(clock.started_at());
             let id = format!("s{started_ms:x}-{:x}", self.last_search_number);
-            if !runtime.coordinator.is_open(&id) {
+            if !runtime.coordinator.is_request_open(&id) {
                 return id;
             }
         }
@@ -291,14 +291,14 @@
         }
         if let ClientState::InFlight(request) = client.state {
             let held_s = runtime.now - client.state_since;
-            if let Some(id) = runtime.coordinator.id_of(request).map(String::from) {
+            if let Some(id) = runtime.coordinator.request_id(request).map(String::from) {
                 runtime.log_request(|| {
                     format!("request {id}: its client disconnected after {held_s:.3} s")
                 });
             }
             runtime
                 .coordinator
-                .client_left(runtime.now, request, &mut runtime.commands);
+                .client_disconnected(runtime.now, request, &mut runtime.commands);
         }
         self.close(runtime, key, CloseReason::ClientClosed);
     }
--- a/src/net/client/routing.rs
+++ b/src/net/client/routing.rs
@@ -158,7 +158,7 @@
         let longest_s = read_at - self.runtime.now + query_request.timeout_s;
         query_request.timeout_s = (query_request.timeout_s - max_age_s).max(0.0);
         query_request.timeout_uncertainty_s = longest_s - query_request.timeout_s;
-        self.list_needed();
+        self.renew_lease_for_request();
         self.clients
             .submit(&mut self.runtime, key, query_request, search_context);
     }
--- a/src/net/discovery/answers.rs
+++ b/src/net/discovery/answers.rs
@@ -1,7 +1,5 @@
-//! What becomes of a call to discovery: its answer, its failure, or its end by the mixer.
-//!
-//! This file owns how an answer is compared with the list in use, and that each call ends in one [`CallOutcome`] passed to the
-//! lease. It must never decide which servers an answer concerns, and never open a connection.
+//! Handles the end of each call to discovery: an answer, a failure, or abandonment by the mixer. Each call ends in one
+//! [`CallOutcome`], which is passed to the lease.
 
 use crate::endpoints::lease::{CallOutcome, NextCall};
 use crate::endpoints::list_format;
@@ -17,53 +15,54 @@
 use crate::net::ConnectionKey;
 use miniserde::json::Value;
 
-/// After an answer without a version the next call is made after this time (seconds).
+/// Delay before the next call after an answer without a revision (seconds).
 const NO_VERSION_PAUSE_S: f64 = 0.5;
-/// A watch that was answered within this time without a change did not wait; the next call is made after this time (seconds).
+/// A watch that was answered within this time without a change did not wait; the next call is made after this time
+/// (seconds).
 const DID_NOT_WAIT_S: f64 = 0.1;
-/// If lists are pushed, what the agent has counts as notified whether or not a watch is open: a failed call to it is retried
-/// after this time (seconds).
+/// Delay before a failed call to the agent is retried, if lists are pushed (seconds). The delay is short because the
+/// agent's data counts as notified whether or not a watch is open.
 const AGENT_RETRY_S: f64 = 0.15;
 
-/// What was read from a connection.
-pub(super) enum Arrival {
+/// Result of reading from a connection.
+pub(super) enum ReadOutcome {
     /// The connection is not established yet.
     NotConnected,
-    /// No complete answer has been received.
+    /// No complete answer was received yet.
     Incomplete,
-    /// The connection can't be used any more.
+    /// Error after which the connection can't be used.
     Failed(DiscoveryError),
-    /// A complete answer.
+    /// Complete answer.
     Answer(Message),
 }
 
-/// What an answer contains, compared with the list in use.
+/// The content of an answer, compared with the list in use.
 pub(super) enum AnswerContent {
-    /// The list in use, or the answer that was taken over last.
+    /// List in use, or a repetition of the answer that was applied last.
     Unchanged,
-    /// A list older than the one in use.
+    /// List that is older than the one in use.
     Outdated,
-    /// A list to be taken over.
+    /// List that is to be applied.
     List(NewList),
 }
 
-/// A list to be taken over.
+/// A list that is to be applied.
 pub(super) struct NewList {
     pub(super) json: Value,
-    /// Whether it has another version than the list in use.
+    /// Whether the list has another revision than the list in use.
     pub(super) has_new_version: bool,
-    /// Hash of the answer that it came in.
+    /// Hash of the answer that contained the list.
     hash: u64,
 }
 
-/// What a complete answer shows of the list in use.
+/// The relation of a complete answer to the list in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListAnswer {
-    /// A version that was not in use was taken over.
+    /// The answer contained a new revision, which was applied.
     Changed,
-    /// The list in use is true.
-    Same,
-    /// Nothing: the answer is older than the list in use.
+    /// The answer confirmed the list in use.
+    Unchanged,
+    /// The answer is older than the list in use and shows nothing.
     Outdated,
 }
 
@@ -74,7 +73,7 @@
     pub(super) role: Role,
     pub(super) open: OpenCall,
     pub(super) list: ListAnswer,
-    /// Whether another call had taken its place.
+    /// Whether the call was overdue, so that another call may have replaced it as the watch.
     was_overdue: bool,
 }
 
@@ -84,49 +83,49 @@
     }
 }
 
-/// How the calls ended before the one that the watch was answered by.
+/// The result of the calls before the one that was answered for the watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallsBefore {
-    /// They were answered, or there were none.
+    /// The previous call was answered, or there was none.
     Answered,
-    /// At least the last one failed.
+    /// At least the last call failed.
     Failed,
 }
 
-/// What is known of a failed call as such.
+/// The state of a failed call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Failure {
-    /// It has ended.
+    /// The call has ended.
     Ended,
-    /// It was not answered in time and stays open.
+    /// The call was not answered in time and stays open.
     Overdue,
-    /// It has ended, and had counted as failed since it was overdue.
+    /// The call has ended after it was overdue, and had already counted as failed.
     EndedOverdue,
 }
 
-/// A call, or the connection of the watch, that failed.
+/// A call or watch connection that failed.
 pub(super) struct FailedCall {
     role: Role,
     reason: DiscoveryError,
-    /// When the call was made; none if no call was in flight.
+    /// Time of the call; `None` if no call was in flight.
     made_at: Option<f64>,
     end: CallEnd,
     failure: Failure,
 }
 
 impl DiscoveryClient {
-    /// Reads a connection that has an event.
-    pub(super) fn receive(&mut self, runtime: &mut Runtime, key: ConnectionKey) -> Arrival {
+    /// Reads from a connection that has an event.
+    pub(super) fn receive(&mut self, runtime: &mut Runtime, key: ConnectionKey) -> ReadOutcome {
         let now = runtime.now;
         let previous_turn_at = runtime.previous_turn_at;
         let Some(connection) = connection_mut(runtime, key) else {
-            return Arrival::NotConnected;
+            return ReadOutcome::NotConnected;
         };
         let was_connected = connection.is_connected;
         match connection.finish_connecting() {
             Ok(true) => {}
-            Ok(false) => return Arrival::NotConnected,
-            Err(error) => return Arrival::Failed(error.into()),
+            Ok(false) => return ReadOutcome::NotConnected,
+            Err(error) => return ReadOutcome::Failed(error.into()),
         }
         let due_before = if was_connected {
             connection.due
@@ -139,14 +138,14 @@
             runtime.timers.add(due, Deadline::Connection(key));
         }
         match received {
-            Received::Nothing => Arrival::Incomplete,
-            Received::Failed(error) => Arrival::Failed(error),
-            Received::Answer(message) => Arrival::Answer(message),
+            Received::Nothing => ReadOutcome::Incomplete,
+            Received::Failed(error) => ReadOutcome::Failed(error),
+            Received::Answer(message) => ReadOutcome::Answer(message),
         }
     }
 
-    /// Compares an answer with the list in use. One that equals the answer taken over last is not decoded again, because some
-    /// discoveries answer all calls with the complete list.
+    /// Compares an answer with the list in use. An answer equal to the one applied last is not decoded again, because some
+    /// discoveries answer every call with the complete list.
     pub(super) fn compare_answer(
         &self,
         runtime: &mut Runtime,
@@ -164,7 +163,8 @@
         let json = list::decode(message)?;
         let current = self.revision;
         let received = list_format::revision(&json);
-        // The two connections are read in no order: the answer to a call made before the last list came may be older than that.
+        // The two connections are read in no particular order, so the answer to a call made before the last list was
+        // received may be older than that list.
         if open.revision != current && received < current {
             runtime.log(&format!(
                 "discovery: an answer of revision {received:?} is older than {current:?} and not taken"
@@ -178,18 +178,18 @@
         }))
     }
 
-    /// A list was taken over from an answer.
+    /// Records that a list was applied from an answer.
     pub(super) fn list_taken_over(&mut self, list: &NewList) -> ListAnswer {
         self.link.last_answer_hash = Some(list.hash);
         if list.has_new_version {
             ListAnswer::Changed
         } else {
-            ListAnswer::Same
+            ListAnswer::Unchanged
         }
     }
 
-    /// A complete answer that can't be used tells of no change, so that no answer is missing.
-    pub(super) fn note_unusable_answer(
+    /// Records a complete answer that can't be used. Such an answer contains no change, so no answer is missing.
+    pub(super) fn record_unusable_answer(
         &mut self,
         runtime: &mut Runtime,
         key: ConnectionKey,
@@ -200,7 +200,7 @@
         }
     }
 
-    /// A call was answered completely: its connection is idle, or closed if discovery closes it, and the lease is renewed.
+    /// Records a complete answer: marks the connection as idle, closes it unless it is kept alive, and renews the lease.
     pub(super) fn call_answered(
         &mut self,
         runtime: &mut Runtime,
@@ -233,8 +233,8 @@
         })
     }
 
-    /// Closes overdue calls made before that time, when a call was made that is answered now: discovery handles calls in turn, so
-    /// that their answers are lost. One that is arriving is waited for.
+    /// Closes overdue calls that were made before `made_before`, the time of a call that was answered now. Discovery
+    /// handles calls in order, so the answers to these calls are lost. A call whose answer is arriving stays open.
     fn close_overdue_before(&mut self, runtime: &mut Runtime, made_before: f64) {
         let is_lost = |key: &ConnectionKey| {
             connection(runtime, *key).is_some_and(|connection| {
@@ -249,14 +249,14 @@
         }
     }
 
-    /// Whether the watch was opened by another call before this one, which was overdue, was answered.
+    /// Returns whether the answered call was overdue and another call has opened the watch in the meantime.
     pub(super) fn is_superseded(&self, runtime: &Runtime, answered: &AnsweredCall) -> bool {
         answered.was_overdue && self.link.is_watch_open(runtime)
     }
 
-    /// The connection of an overdue call that was answered becomes the watch. The call that was made in its place stays open: its
-    /// answer may be newer, and may be on its way.
-    pub(super) fn adopt_overdue(&mut self, runtime: &mut Runtime, answered: &AnsweredCall) {
+    /// Makes the connection of an answered overdue call the watch. The call that replaced it stays open if its answer may
+    /// be on its way, because that answer may be newer.
+    pub(super) fn promote_overdue(&mut self, runtime: &mut Runtime, answered: &AnsweredCall) {
         if !answered.was_overdue {
             return;
         }
@@ -266,9 +266,9 @@
         self.link.watch = connection(runtime, answered.key).map(|_| answered.key);
     }
 
-    /// A call that was not answered in time stays open if none of its answer was received, and counts as failed until it is
-    /// answered. None if its connection has to be closed.
-    pub(super) fn leave_open(
+    /// Marks a call as overdue that was not answered in time. The call stays open if no byte of its answer was received,
+    /// and counts as failed until it is answered. Returns `None` if the connection has to be closed.
+    pub(super) fn mark_overdue(
         &mut self,
         runtime: &mut Runtime,
         key: ConnectionKey,
@@ -294,7 +294,7 @@
         })
     }
 
-    /// Keeps a connection open whose call discovery may be answering; closes any other.
+    /// Keeps a connection open if discovery may be answering its call; closes any other connection.
     fn keep_or_close(&mut self, runtime: &mut Runtime, key: ConnectionKey) {
         let end = connection(runtime, key)
             .map(|connection| connection.call_end(&DiscoveryError::TimedOut));
@@ -318,23 +318,23 @@
         }
     }
 
-    /// The list is not too long any more.
+    /// Ends the suspension of calls that a too long list had caused.
     pub(super) fn resume_calls(&mut self) {
         self.link.oversize.succeeded();
     }
 
-    /// The watch, or a call that opens it, was answered.
+    /// Records that the watch, or a call that opens it, was answered.
     pub(super) fn watch_confirmed(&mut self, runtime: &mut Runtime) -> CallsBefore {
         let failed_opens = std::mem::take(&mut self.link.failed_opens);
-        if !self.link.has_worked || failed_opens > 0 {
+        if !self.link.has_been_answered || failed_opens > 0 {
             let revision = self.revision;
             runtime.log(&format!(
                 "discovery: list confirmed, revision {revision:?}, {failed_opens} calls had failed"
             ));
         }
-        self.link.has_worked = true;
+        self.link.has_been_answered = true;
         self.link.refuses_open_calls = false;
-        self.link.unanswered_opens = 0;
+        self.link.timed_out_opens = 0;
         if failed_opens > 0 {
             CallsBefore::Failed
         } else {
@@ -342,22 +342,22 @@
         }
     }
 
-    /// Schedules the next check after the answer to a call for changes. A complete list does not show that calls for changes
-    /// are answered at once.
+    /// Schedules the next check after the answer to a call for changes. An answer with the complete list does not show that
+    /// calls for changes are answered at once.
     pub(super) fn schedule_check_after(&mut self, runtime: &mut Runtime, answered: &AnsweredCall) {
         if matches!(answered.open.call, Call::Changes { .. }) {
             self.link.check.answered(runtime);
         }
     }
 
-    /// The watch's next call after an answer. A discovery that does not wait, or sends no version, is not called again at once;
-    /// the watch goes on all the same, because the next call is due within 200 ms.
+    /// Returns the step for the watch's next call after an answer. A discovery that does not wait, or sends no revision, is
+    /// called again only after a short delay.
     pub(super) fn after_watch_answer(
         &mut self,
         runtime: &mut Runtime,
         answered: &AnsweredCall,
     ) -> Step {
-        if std::mem::take(&mut self.is_moving) {
+        if std::mem::take(&mut self.is_switching) {
             runtime.log("reload: done, the new discovery has sent its list");
         }
         let waits = answered.open.call.is_watch();
@@ -372,18 +372,19 @@
             runtime.timers.add(at, Deadline::CallDiscovery);
             Step::Wait
         } else if !self.lease.is_in_force(runtime.now) {
-            // The answer was received long ago and read only now: it may be outdated.
+            // The process read this answer long after it was received, so the list may be outdated.
             self.call_for_changes(runtime, answered.key)
         } else if !waits && self.link.check.postpone_watch(runtime) {
             Step::Wait
         } else if self.link.watch == Some(answered.key) {
             self.continue_watch(runtime, answered.key)
         } else {
-            Step::Reconsider
+            Step::Decide
         }
     }
 
-    /// A check was answered. If it brought a change, or the watch is late, its connection becomes the watch.
+    /// Handles the answer to a check. If the answer contains a change, or the watch is late, the connection of the check
+    /// becomes the watch.
     pub(super) fn check_answered(
         &mut self,
         runtime: &mut Runtime,
@@ -411,11 +412,11 @@
             self.link.connection_removed(answered.key);
             self.link.watch = Some(answered.key);
         }
-        Step::Reconsider
+        Step::Decide
     }
 
-    /// Closes a connection that can't be used any more. Gives the call that failed by it: none if the connection of the checks
-    /// was idle.
+    /// Closes a connection that can't be used any more. Returns the call that failed with it, or `None` if the connection
+    /// of the checks was idle.
     pub(super) fn close_failed(
         &mut self,
         runtime: &mut Runtime,
@@ -457,7 +458,7 @@
         })
     }
 
-    /// No connection could be opened for a call.
+    /// Records that no connection could be opened for a call.
     pub(super) fn open_failed(
         &mut self,
         runtime: &mut Runtime,
@@ -480,14 +481,14 @@
         let mut line = format!("discovery: call failed ({reason})");
         if matches!(reason, DiscoveryError::ListTooLarge { .. }) {
             let pause_s = self.link.oversize.failed(runtime.now);
-            line += &format!("; not asked again for {pause_s} s");
+            line += &format!("; next call in {pause_s} s");
         } else if let Some(made_at) = failed.made_at {
             line += &format!(" after {:.3} s", runtime.now - made_at);
         }
         if failed.end.may_have_answer() {
             line += &format!("; {}", failed.end.label());
         } else if failed.failure == Failure::Overdue {
-            line += "; it stays open, and its answer counts";
+            line += "; the call stays open and its answer will be accepted";
         }
         runtime.log(&line);
         if let Some(until) = self.link.oversize.blocked_until(runtime.now) {
@@ -495,19 +496,19 @@
         }
     }
 
-    /// What follows a failed call: the retry of the watch, or the next check.
+    /// Returns the step after a failed call: the retry of the watch, or the next check.
     pub(super) fn after_failure(&mut self, runtime: &mut Runtime, failed: &FailedCall) -> Step {
         let is_refused = matches!(failed.reason, DiscoveryError::Status(400..=499));
         self.link.refuses_changes |= is_refused;
         match (failed.failure, failed.role) {
             (Failure::EndedOverdue, _) => {
                 self.link.refuses_open_calls |= matches!(failed.reason, DiscoveryError::Status(_));
-                self.abandon_old_watch(runtime);
+                self.close_outdated_watch(runtime);
                 Step::Wait
             }
             (_, Role::Watch) => {
-                let is_unanswered = matches!(failed.reason, DiscoveryError::TimedOut);
-                self.watch_failed(runtime, is_unanswered);
+                let has_timed_out = matches!(failed.reason, DiscoveryError::TimedOut);
+                self.watch_failed(runtime, has_timed_out);
                 self.retry_while_overdue(runtime, failed.failure);
                 Step::Wait
             }
@@ -515,7 +516,8 @@
         }
     }
 
-    /// While an overdue call is open, discovery may have written its answer: a small fleet calls again soon.
+    /// Schedules an early retry in a small fleet while an overdue call is open, because discovery may have written the
+    /// answer to that call.
     fn retry_while_overdue(&mut self, runtime: &mut Runtime, failure: Failure) {
         let mixers = self.mixers_calling_again(runtime);
         if let Some(delay_s) = mixers.and_then(|mixers| self.link.retry_while_overdue_s(mixers)) {
@@ -525,16 +527,16 @@
         }
     }
 
-    fn watch_failed(&mut self, runtime: &mut Runtime, is_unanswered: bool) {
-        self.link.unanswered_opens = if is_unanswered {
-            self.link.unanswered_opens + 1
+    fn watch_failed(&mut self, runtime: &mut Runtime, has_timed_out: bool) {
+        self.link.timed_out_opens = if has_timed_out {
+            self.link.timed_out_opens + 1
         } else {
             0
         };
         self.link.failed_opens = self.link.failed_opens.saturating_add(1);
         runtime
             .coordinator
-            .list_failed(runtime.now, &mut runtime.commands);
+            .list_call_failed(runtime.now, &mut runtime.commands);
         if !runtime.deployment.policy.must_poll {
             self.link.retry_after(runtime, AGENT_RETRY_S);
         }
@@ -542,23 +544,23 @@
 
     fn check_failed(&mut self, runtime: &mut Runtime) -> Step {
         self.link.check.failed(runtime);
-        self.abandon_old_watch(runtime);
+        self.close_outdated_watch(runtime);
         if self.link.check.end_unreliable_postponement() {
-            Step::Reconsider
+            Step::Decide
         } else {
             Step::Wait
         }
     }
 
-    /// A change counts as notified since then that nobody received, because the process was stopped.
+    /// Records that a change may have been missed since this time, because the process was paused.
     pub(super) fn change_missed(&mut self, runtime: &mut Runtime, since: f64) {
         self.lease.change_missed(since, runtime.now);
-        self.abandon_old_watch(runtime);
+        self.close_outdated_watch(runtime);
     }
 
-    /// Closes an open watch if an answer is missing: a watch opened before brings only what comes after, so that another call
-    /// takes its place.
-    fn abandon_old_watch(&mut self, runtime: &mut Runtime) {
+    /// Closes an open watch if an answer is missing: the watch only delivers changes after its start, so another call has
+    /// to replace it.
+    fn close_outdated_watch(&mut self, runtime: &mut Runtime) {
         if !self.lease.is_answer_missing(runtime.now) {
             return;
         }
@@ -568,7 +570,7 @@
         }
     }
 
-    /// Closes a connection whose call is not waited for any more. If its answer has begun to arrive, the rest is lost.
+    /// Closes a connection whose call is abandoned. If its answer has begun to arrive, the rest is lost.
     pub(super) fn abandon_call(&mut self, runtime: &mut Runtime, key: ConnectionKey) {
         let Some(connection) = connection(runtime, key) else {
             return;
@@ -583,8 +585,8 @@
         }
     }
 
-    /// Passes the end of a call to the lease, and schedules an early retry if its answer may be missing; `was_prompt` is whether
-    /// the call ended as soon as it was made.
+    /// Passes the end of a call to the lease, and schedules an early retry if its answer may be missing; `was_prompt` tells
+    /// whether the call ended right after it was made.
     fn call_ended(&mut self, runtime: &mut Runtime, outcome: CallOutcome, was_prompt: bool) {
         let next_call = self.lease.call_ended(outcome, runtime.now);
         if next_call == NextCall::Early {
--- a/src/net/discovery/calls.rs
+++ b/src/net/discovery/calls.rs
@@ -1,7 +1,6 @@
-//! Which call to discovery is made next, and when: the watch, the calls that open it, its checks and retries.
-//!
-//! This file owns the decision on the next call and the call itself. A [`Step`] says what the loop has to do for it. It must
-//! never take over a list, and never call again at once a discovery that did not wait.
+//! Decides which call to discovery is made next and when: the watch, the calls that open it, its checks and retries. A
+//! [`Step`] tells the event loop what to do. A discovery that answers a watch without waiting must not be called again at
+//! once, because the calls would follow each other in a tight loop.
 
 use crate::net::connection_table::Connection;
 use crate::net::discovery::client::{fleet_of, DiscoveryClient};
@@ -14,33 +13,33 @@
 use crate::net::ConnectionKey;
 use mio::net::TcpStream;
 
-/// A connection to discovery has to be established within this time (seconds).
+/// Timeout for establishing a connection to discovery (seconds).
 const CONNECT_TIMEOUT_S: f64 = 1.0;
 
-/// What the loop does next for the watch.
+/// The next action of the event loop for the watch.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Step {
-    /// Nothing until the next event or deadline.
+    /// Waits for the next event or deadline.
     Wait,
-    /// Decides anew on the watch's next call.
-    Reconsider,
+    /// Decides again on the watch's next call.
+    Decide,
     /// Opens a connection to discovery.
     Open(Opening),
     /// Makes a call on an open connection.
     Make(PlannedCall),
 }
 
-/// What a new connection to discovery is for.
+/// The purpose of a new connection to discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Opening {
-    /// The watch; `was_postponed` if checks were made until now, so that no other call is needed first.
+    /// Watch. `was_postponed` is set if checks were made until now, so that no other call is needed before the watch.
     Watch { was_postponed: bool },
-    /// The check of a watch, for changes since that version.
+    /// Check of a watch, which asks for the changes since a revision.
     Check { since: u64 },
 }
 
 impl Opening {
-    /// The role of the connection.
+    /// Returns the role of the connection.
     pub(super) fn role(self) -> Role {
         match self {
             Opening::Watch { .. } => Role::Watch,
@@ -58,7 +57,7 @@
 }
 
 impl DiscoveryClient {
-    /// Decides on the watch's next call: opens the watch, or continues it unless a call of it is in flight.
+    /// Decides on the watch's next call: opens the watch, or continues it unless one of its calls is in flight.
     pub(super) fn next_step(&mut self, runtime: &mut Runtime) -> Step {
         if let Some(until) = self.link.oversize.blocked_until(runtime.now) {
             runtime.timers.add(until, Deadline::CallDiscovery);
@@ -81,7 +80,7 @@
 
     /// Logs the list that is in use until the first call is answered.
     fn log_first_call(&self, runtime: &mut Runtime) {
-        if !self.link.has_worked && self.link.failed_opens == 0 {
+        if !self.link.has_been_answered && self.link.failed_opens == 0 {
             let revision = self.revision;
             runtime.log(&format!(
                 "discovery: first call; the list in use is of revision {revision:?}, not confirmed"
@@ -89,7 +88,7 @@
         }
     }
 
-    /// A connection was opened, which may not be established yet. Gives its first call.
+    /// Registers a connection that was opened and may not be established yet. Returns the step that makes its first call.
     pub(super) fn connection_opened(
         &mut self,
         runtime: &mut Runtime,
@@ -126,8 +125,9 @@
         })
     }
 
-    /// The mixers that call the same discovery, if this one calls again soon beside an open call. None while an answer is missing:
-    /// nothing is sent by the list then, and another call could cost a crowded discovery's turn of the open one.
+    /// Returns the number of mixers that call the same discovery, if this mixer makes a second call soon while one is open.
+    /// Returns `None` while an answer is missing: the list is not used then, and a second call could cost the open call its
+    /// place in the queue of an overloaded discovery.
     pub(super) fn mixers_calling_again(&self, runtime: &Runtime) -> Option<u32> {
         let sharers = fleet_of(&runtime.deployment.policy).sharers();
         (!self.lease.is_answer_missing(runtime.now)).then_some(sharers)
@@ -141,7 +141,7 @@
         })
     }
 
-    /// The next call on a connection whose last call was answered.
+    /// Returns the step for the next call on a connection whose last call was answered.
     pub(super) fn continue_watch(&mut self, runtime: &mut Runtime, key: ConnectionKey) -> Step {
         let Some(since) = self.revision else {
             return self.plan_opening(runtime, key, Call::WholeList);
@@ -160,17 +160,18 @@
         })
     }
 
-    /// A call that discovery answers at once, on the connection of the watch, or on a new one if that was closed.
+    /// Returns the step for a call that discovery answers at once, on the connection of the watch, or on a new connection
+    /// if that one was closed.
     pub(super) fn call_for_changes(&self, runtime: &Runtime, key: ConnectionKey) -> Step {
         match self.revision {
             Some(since) if self.link.watch == Some(key) => {
                 self.plan_opening(runtime, key, Call::Changes { since })
             }
-            _ => Step::Reconsider,
+            _ => Step::Decide,
         }
     }
 
-    /// Makes a call. An error says that it could not be written; the connection is still open then.
+    /// Makes a call. An error means that the call could not be written; the connection is still open then.
     pub(super) fn make_call(
         &mut self,
         runtime: &mut Runtime,
@@ -199,14 +200,14 @@
         }
     }
 
-    /// A call was made that waits for changes: the lease and the heartbeat depend on its wait.
+    /// Records a call that waits for changes: the lease and the heartbeat depend on its wait.
     pub(super) fn watch_made(&mut self, runtime: &mut Runtime, wait_s: f64) {
         self.lease.watch_opened(runtime.now + wait_s);
         self.link.check.watch_made(runtime);
     }
 
-    /// The deadline of a check: the watch's answer is late, or a check is due that is made in place of a postponed watch. Only
-    /// an open watch is checked, because one that is being opened shows by itself whether discovery answers.
+    /// Handles the deadline of a check: the watch's answer is late, or a check replaces a postponed watch. Only an open
+    /// watch is checked, because a call that opens a watch shows by itself whether discovery answers.
     pub(super) fn check_due(&mut self, runtime: &mut Runtime) -> Step {
         if !self.link.check.take_due(runtime.now) {
             return Step::Wait;
@@ -231,10 +232,10 @@
         }
     }
 
-    /// The deadline of a retry.
+    /// Handles the deadline of a retry.
     pub(super) fn retry_due(&mut self, runtime: &Runtime) -> Step {
         if self.link.take_due_retry(runtime.now) {
-            Step::Reconsider
+            Step::Decide
         } else {
             Step::Wait
         }
@@ -247,7 +248,7 @@
         }
     }
 
-    /// Schedules an early retry; `was_prompt` is whether the call before it ended as soon as it was made.
+    /// Schedules an early retry; `was_prompt` tells whether the previous call ended right after it was made.
     pub(super) fn retry_early(&mut self, runtime: &mut Runtime, was_prompt: bool) {
         let sharers = fleet_of(&runtime.deployment.policy).sharers();
         let jitter = runtime.rng.rand_float();
--- a/src/net/discovery/client.rs
+++ b/src/net/discovery/client.rs
@@ -1,6 +1,4 @@
-//! The state of the client of discovery, and what other subsystems may know of it.
-//!
-//! This file owns the version of the list in use and the lease on it. It must never judge a replica.
+//! The state of the client of discovery, and its interface for other subsystems.
 
 use crate::decisions::api::{ReplicaEntry, Settings};
 use crate::endpoints::directory::List;
@@ -15,24 +13,24 @@
 use miniserde::json::Value;
 use std::net::SocketAddr;
 
-/// The client of discovery: the version of the endpoint list in use, the lease on it, and the connections by which it is kept
-/// up to date.
+/// The client of discovery: the revision of the endpoint list in use, the lease on the list, and the connections that keep
+/// the list up to date.
 pub(in crate::net) struct DiscoveryClient {
-    /// Where discovery is, if there is one.
+    /// Address of discovery, if one is configured.
     pub(super) address: Option<SocketAddr>,
     pub(super) link: DiscoveryLink,
-    /// The version of the list in use, if it has one.
+    /// Revision of the list in use, if the list has one.
     pub(super) revision: Option<u64>,
-    /// The lease on the list in use.
+    /// Lease on the list in use.
     pub(super) lease: ListLease,
     pub(super) lease_publisher: LeasePublisher,
-    /// Whether another discovery was configured that has not answered yet: the old list is in use until it has.
-    pub(super) is_moving: bool,
+    /// Whether another discovery was configured that has not answered yet; the old list stays in use until then.
+    pub(super) is_switching: bool,
     list_observer: Option<ListObserver>,
 }
 
 impl DiscoveryClient {
-    /// A client that has made no call; `memory_bytes` is the memory in the settings, `jitter` is from 0 to 1.
+    /// Creates a client that has made no call; `memory_bytes` is the memory limit in the settings, `jitter` is from 0 to 1.
     pub(in crate::net) fn new(
         address: Option<SocketAddr>,
         policy: &Settings,
@@ -47,62 +45,62 @@
             revision: None,
             lease: ListLease::new(address.is_some(), policy.drain_grace_s, now),
             lease_publisher: LeasePublisher::default(),
-            is_moving: false,
+            is_switching: false,
             list_observer: None,
         }
     }
 
-    /// Where discovery is, if there is one.
+    /// Address of discovery, if one is configured.
     pub(in crate::net) fn address(&self) -> Option<SocketAddr> {
         self.address
     }
 
-    /// The version of the list in use, if it has one.
+    /// Revision of the list in use, if the list has one.
     pub(in crate::net) fn revision(&self) -> Option<u64> {
         self.revision
     }
 
-    /// Sets the version of the list in use.
+    /// Sets the revision of the list in use.
     pub(super) fn set_revision(&mut self, revision: Option<u64>) {
         self.revision = revision;
     }
 
-    /// Until when the list in use may be acted on.
+    /// Returns the time until which the list in use may be used.
     pub(in crate::net) fn list_until(&self, now: f64) -> f64 {
         self.lease.until(now)
     }
 
-    /// Whether the list in use may be acted on now.
+    /// Returns whether the list may be used now.
     pub(super) fn is_list_in_force(&self, now: f64) -> bool {
         self.lease.is_in_force(now)
     }
 
-    /// Number of answers of discovery that were or may have been lost.
+    /// Returns the number of answers of discovery that were or may have been lost.
     pub(in crate::net) fn lost_answers(&self) -> u64 {
         self.lease.lost_answers()
     }
 
-    /// The lease as the successor process inherits it.
+    /// Returns the lease as the successor process inherits it.
     pub(in crate::net) fn hand_over_lease(&self, now: f64) -> HandedLease {
         self.lease.hand_over(now)
     }
 
-    /// Takes over the predecessor's lease.
+    /// Adopts the predecessor's lease.
     pub(in crate::net) fn inherit_lease(&mut self, now: f64, handed: HandedLease) {
         self.lease.inherit(now, handed);
     }
 
-    /// Sets the drain grace of new settings (seconds).
+    /// Applies the drain grace of new settings (seconds).
     pub(super) fn set_drain_grace(&mut self, drain_grace_s: f64) {
         self.lease.set_drain_grace(drain_grace_s);
     }
 
-    /// Notifies the observer of each list that comes into force from now on.
+    /// Sets the observer that is notified of each list that is applied from now on.
     pub(in crate::net) fn observe_lists(&mut self, observer: ListObserver) {
         self.list_observer = Some(observer);
     }
 
-    /// Notifies the observer that the directory has come into force.
+    /// Notifies the observer that the directory was updated by a list.
     pub(super) fn notify_observer(&mut self, runtime: &Runtime) {
         if let Some(observer) = &mut self.list_observer {
             observer(ListInForce {
@@ -112,12 +110,12 @@
         }
     }
 
-    /// The connections to discovery.
+    /// Returns the open connections to discovery, the watch first.
     pub(super) fn connections(&self) -> Vec<ConnectionKey> {
         self.link.connections().collect()
     }
 
-    /// Takes over a list as the directory reads it; none if it is not a list.
+    /// Applies a list to the directory; returns `None` if the JSON is not a list.
     pub(super) fn read_list(&mut self, runtime: &mut Runtime, json: &Value) -> Option<List> {
         let list = runtime.directory.read(json)?;
         self.revision = list.revision.or(self.revision);
@@ -131,8 +129,9 @@
         Some(list)
     }
 
-    /// Passes lines of a list to the decision module, and dates the replicas that it made unready.
-    pub(super) fn pass_on_entries(
+    /// Forwards entries of a list to the decision module, and records since when replicas that these entries made unready
+    /// count as notified.
+    pub(super) fn forward_entries(
         &self,
         runtime: &mut Runtime,
         is_full: bool,
@@ -147,7 +146,7 @@
         runtime.directory.date_unready(notified_since);
     }
 
-    /// Publishes until when the list may be acted on to the decision module, and to the log if that has changed.
+    /// Publishes the time until which the list may be used to the decision module, and logs changes of the lease.
     pub(super) fn publish_lease(&mut self, runtime: &mut Runtime) {
         let arriving_since = self.link.answer_arriving_since(runtime);
         self.lease.set_answer_arriving(arriving_since);
@@ -155,24 +154,24 @@
             .publish(runtime, &self.lease, self.revision);
     }
 
-    /// Whether the check of the lease that was scheduled last is due; an earlier one was postponed.
+    /// Returns whether the check of the lease that was scheduled last is due; an earlier check was replaced.
     pub(super) fn is_lease_check_due(&self, now: f64) -> bool {
         self.lease_publisher.is_check_due(now)
     }
 
-    /// A request was received that needs the list.
+    /// Records that a request was received that needs the list.
     pub(super) fn request_received(&mut self, now: f64) {
         self.lease.request_received(now);
     }
 
-    /// Whether a call has to be made now to renew the lease.
+    /// Returns whether a call has to be made now to renew the lease.
     pub(super) fn needs_renewal(&self, runtime: &Runtime) -> bool {
         self.lease.needs_call(runtime.now) && !self.link.is_call_in_flight(runtime)
     }
 
-    /// Changes to another discovery. Its versions are its own, so that its complete list comes first; the old list is in use
-    /// until then.
-    pub(super) fn move_to(&mut self, runtime: &mut Runtime, address: SocketAddr) {
+    /// Switches to another discovery. Its revisions are independent, so a complete list is requested first; the old list
+    /// stays in use until the new one is received.
+    pub(super) fn switch_to(&mut self, runtime: &mut Runtime, address: SocketAddr) {
         self.address = Some(address);
         self.revision = None;
         self.lease.discovery_moved(runtime.now);
@@ -186,11 +185,11 @@
             runtime.now,
             jitter,
         );
-        self.is_moving = true;
+        self.is_switching = true;
     }
 }
 
-/// The mixers that call the same discovery, by these settings.
+/// Returns the fleet of mixers that call the same discovery, according to the settings.
 pub(super) fn fleet_of(policy: &Settings) -> Fleet {
     Fleet {
         mixers: policy.aggregators,
--- a/src/net/discovery/connection.rs
+++ b/src/net/discovery/connection.rs
@@ -1,7 +1,4 @@
-//! A connection to discovery: one call after the other, and how each of them ends.
-//!
-//! This file owns the bytes of a call and of its answer, and what is known of the answer when a call ends. It must never decide
-//! when a call is made, and never take over a list.
+//! A connection to discovery: writes one call at a time, reads its answer, and classifies how the call ended.
 
 use crate::endpoints::missing_answers::{CallEnd, PROMPT_S};
 use crate::net::http::{HttpError, Message, Reader};
@@ -9,42 +6,42 @@
 use mio::net::TcpStream;
 use std::io::{self, Read};
 
-/// An answer that has begun, and of which nothing more is received for this time, is lost (seconds). With the delay before the
-/// next call and its answer this has to fit into the part of the drain grace that is used, 0.3 s of 0.5 s.
+/// Time without further bytes after which an incomplete answer counts as lost (seconds). Together with the delay before the
+/// next call and its answer, this has to fit into the part of the drain grace that is used, 0.3 s of 0.5 s.
 const MAX_STALL_S: f64 = 0.15;
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 const STATUS_OK: u16 = 200;
 
-/// What a connection to discovery is for.
+/// The purpose of a connection to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It carries the watch.
+    /// Watch on the endpoint list.
     Watch,
-    /// It carries the checks of the watch.
+    /// Checks of the watch.
     Heartbeat,
 }
 
 /// A call to discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Call {
-    /// The complete list, answered at once.
+    /// Request for the complete list, answered at once.
     WholeList,
-    /// The changes since a version, answered at once.
+    /// Request for the changes since a revision, answered at once.
     Changes {
-        /// The version.
+        /// Revision since which changes are requested.
         since: u64,
     },
-    /// The changes since a version, answered at the first change or after a wait.
+    /// Request for the changes since a revision, answered at the first change or after a wait.
     Watch {
-        /// The version.
+        /// Revision since which changes are requested.
         since: u64,
-        /// How long discovery is to wait (seconds).
+        /// Time for which discovery is to wait for a change (seconds).
         wait_s: f64,
     },
 }
 
 impl Call {
-    /// The bytes of the request.
+    /// Returns the bytes of the HTTP request.
     pub fn request_bytes(self, host: &str) -> Vec<u8> {
         let query = match self {
             Call::WholeList => String::new(),
@@ -59,7 +56,7 @@
         .into_bytes()
     }
 
-    /// Whether discovery waits for a change before it answers.
+    /// Returns whether discovery waits for a change before it answers.
     pub(super) fn is_watch(self) -> bool {
         matches!(self, Call::Watch { .. })
     }
@@ -69,15 +66,15 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OpenCall {
     pub(super) call: Call,
-    /// The version of the list that was in use when the call was made.
+    /// Revision of the list that was in use when the call was made.
     pub(super) revision: Option<u64>,
-    /// Time of the loop's clock (seconds).
+    /// Time of the event loop's clock at the call (seconds).
     pub(super) made_at: f64,
     pub(super) timeout_s: f64,
 }
 
 impl OpenCall {
-    /// Whether the call is one that discovery answers at once, and was made just now.
+    /// Returns whether discovery answers the call at once and the call was made just now.
     pub(super) fn is_prompt(&self, now: f64) -> bool {
         !self.call.is_watch() && now < self.made_at + PROMPT_S
     }
@@ -85,35 +82,35 @@
 
 /// A connection to discovery.
 pub struct DiscoveryConnection {
-    /// Its socket.
+    /// Socket of the connection.
     pub stream: TcpStream,
-    /// When its call times out, or the connection has to be established (seconds).
+    /// Time at which the call times out or the connection has to be established (seconds); `f64::MAX` if neither applies.
     pub due: f64,
     pub(super) role: Role,
     /// Bytes of the call that are not written yet.
     unsent: Vec<u8>,
-    /// Bytes that were read and do not make up an answer yet.
+    /// Bytes that were received and not parsed yet.
     unread: Vec<u8>,
     reader: Reader,
     pub(super) is_connected: bool,
     pub(super) open_call: Option<OpenCall>,
-    /// Since when the call's answer has been arriving.
+    /// Time since which the call's answer has been arriving.
     answer_began_at: Option<f64>,
-    /// Whether an answer was received completely that can't be used.
+    /// Whether a complete answer was received that can't be used.
     pub(super) has_unusable_answer: bool,
 }
 
-/// What was read from a connection.
+/// Result of reading from a connection.
 pub(super) enum Received {
-    /// No complete answer yet.
+    /// No complete answer was received yet.
     Nothing,
-    /// A complete answer.
+    /// Complete answer.
     Answer(Message),
-    /// The connection can't be used any more.
+    /// Error after which the connection can't be used.
     Failed(DiscoveryError),
 }
 
-/// Why a call to discovery failed.
+/// The reason why a call to discovery failed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum DiscoveryError {
     #[error("{0}")]
@@ -128,13 +125,13 @@
     TimedOut,
     #[error("status {0}")]
     Status(u16),
-    #[error("no answer but a request")]
+    #[error("expected a response, received a request")]
     NoAnswer,
-    #[error("a list that is not UTF-8")]
+    #[error("list is not valid UTF-8")]
     NotUtf8,
-    #[error("a list that is no JSON, or cut off")]
+    #[error("list is not valid JSON")]
     NotJson,
-    #[error("an answer without members")]
+    #[error("answer has no member list")]
     NoEndpoints,
 }
 
@@ -150,7 +147,7 @@
 }
 
 impl DiscoveryConnection {
-    /// A connection that is being established.
+    /// Creates the state of a connection that is being established.
     pub(super) fn new(stream: TcpStream, role: Role, max_list_bytes: usize) -> DiscoveryConnection {
         DiscoveryConnection {
             stream,
@@ -166,7 +163,7 @@
         }
     }
 
-    /// Starts a call, whose bytes [`DiscoveryConnection::flush`] writes. Gives when it times out.
+    /// Starts a call, whose bytes [`DiscoveryConnection::flush`] writes. Returns the time at which the call times out.
     pub(super) fn start_call(
         &mut self,
         request: Vec<u8>,
@@ -174,7 +171,7 @@
         connect_timeout_s: f64,
     ) -> f64 {
         self.unsent = request;
-        // A machine that is not there must not use up the long timeout of a watch.
+        // An unreachable host must not use up the long timeout of a watch.
         let timeout_s = if self.is_connected {
             open_call.timeout_s
         } else {
@@ -186,28 +183,28 @@
         self.due
     }
 
-    /// No call is in flight any more.
+    /// Records that the call was answered and none is in flight.
     pub(super) fn call_completed(&mut self) {
         self.open_call = None;
         self.answer_began_at = None;
         self.due = f64::MAX;
     }
 
-    /// Since when an incomplete answer has been arriving that may be a list.
+    /// Returns the time since which an incomplete answer that may be a list has been arriving.
     pub(super) fn answer_arriving_since(&self) -> Option<f64> {
         let status = self.reader.begun_status(&self.unread);
         self.answer_began_at
             .filter(|_| status.is_none_or(|status| status == STATUS_OK))
     }
 
-    /// How its call ended, if the connection can't be used any more for that reason.
+    /// Classifies how the call ended if the connection can't be used any more for this reason.
     pub(super) fn call_end(&self, reason: &DiscoveryError) -> CallEnd {
         if self.open_call.is_none() || !self.is_connected || !self.unsent.is_empty() {
             return CallEnd::NotSent;
         }
         match reason {
             DiscoveryError::Status(_) => CallEnd::Refused,
-            // The last list stays in use, as the log says, because no call can bring this one.
+            // The mixer keeps using the last list, as the log says, because no call can deliver this one.
             DiscoveryError::ListTooLarge { .. } => CallEnd::Refused,
             _ if self.has_unusable_answer => CallEnd::Refused,
             _ if self.answer_arriving_since().is_some() => CallEnd::CutOff,
@@ -218,7 +215,7 @@
         }
     }
 
-    /// Writes what the socket takes, once the connection is established.
+    /// Writes as much as the socket accepts, once the connection is established.
     pub(super) fn flush(&mut self) -> io::Result<()> {
         if !self.is_connected {
             return Ok(());
@@ -226,7 +223,8 @@
         write_available(&mut self.stream, &mut self.unsent)
     }
 
-    /// Writes what waits for the connection to be established, if it is. Says whether it is.
+    /// Checks whether the connection is established and, if so, writes the pending bytes. Returns whether the connection is
+    /// established.
     pub(super) fn finish_connecting(&mut self) -> io::Result<bool> {
         if !self.is_connected {
             self.is_connected = came_up(&self.stream)?;
@@ -242,8 +240,8 @@
         Ok(true)
     }
 
-    /// Reads up to the end of an answer, or of what the socket has. It was received after `previous_turn_at`, when the loop read
-    /// the socket before.
+    /// Reads up to the end of an answer or until the socket has no more data. The data was received after
+    /// `previous_turn_at`, the previous time at which the event loop read the socket.
     pub(super) fn receive(&mut self, previous_turn_at: f64, now: f64) -> Received {
         let length_before = self.received_bytes();
         let received = self.read_answer(previous_turn_at);
@@ -254,7 +252,7 @@
         received
     }
 
-    /// Bytes received of an answer that is not complete.
+    /// Returns the number of bytes received of an incomplete answer.
     fn received_bytes(&self) -> usize {
         self.unread.len() + self.reader.buffered_bytes()
     }
--- a/src/net/discovery/lease.rs
+++ b/src/net/discovery/lease.rs
@@ -1,35 +1,33 @@
-//! Publishes the lease on the endpoint list: to the decision module, to the log, and to the timer that renews it.
-//!
-//! This file owns what was last published, and how long the loop may be held up without looking at discovery. It must never
-//! take over a list, and never send anything to a server.
+//! Publishes the lease on the endpoint list: to the decision module, to the log, and to the timer that renews the lease.
 
 use crate::endpoints::lease::{Basis, ListLease};
 use crate::net::runtime::Runtime;
 use crate::net::timer_queue::Deadline;
 use crate::net::timer_queue::TIMER_TOLERANCE_S;
 
-/// A loop that did not poll for this time reads discovery before anything else, and sends nothing before that (seconds). The
-/// part of the drain grace that is used allows for it.
-pub(in crate::net) const HELD_UP_S: f64 = 0.05;
-/// A loop that did not poll for this time was stopped (seconds); shorter delays of up to 0.15 s are allowed for.
-pub(in crate::net) const STANDSTILL_S: f64 = 0.2;
+/// Maximum time between two polls of the event loop (seconds). After a longer delay the loop reads discovery before
+/// anything else, and sends nothing before that. The part of the drain grace that is used includes this delay.
+pub(in crate::net) const MAX_LOOP_DELAY_S: f64 = 0.05;
+/// Minimum time without a poll after which the process counts as paused (seconds). Shorter delays, of up to 0.15 s, are
+/// allowed for in the time limits.
+pub(in crate::net) const MIN_PROCESS_PAUSE_S: f64 = 0.2;
 
-/// The state of a lease as the log shows it.
+/// State of a lease as shown in the log.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct LeaseState {
     basis: Basis,
     is_in_force: bool,
 }
 
-/// What was last published of the lease.
+/// The state of the lease that was last published.
 pub(super) struct LeasePublisher {
     logged: LeaseState,
-    /// When the lease is checked next.
+    /// Time of the next scheduled check of the lease.
     check_at: Option<f64>,
 }
 
 impl Default for LeasePublisher {
-    /// Nothing was published, as is right for a mixer without discovery.
+    /// The state of a mixer without discovery, whose list can always be used.
     fn default() -> LeasePublisher {
         LeasePublisher {
             logged: LeaseState {
@@ -42,7 +40,7 @@
 }
 
 impl LeasePublisher {
-    /// Publishes until when the list of that version may be acted on, and schedules the next check of the lease.
+    /// Publishes the time until which the list with this revision may be used, and schedules the next check of the lease.
     pub(super) fn publish(
         &mut self,
         runtime: &mut Runtime,
@@ -52,7 +50,7 @@
         let now = runtime.now;
         runtime
             .coordinator
-            .list_lease(now, lease.until(now), &mut runtime.commands);
+            .set_list_lease(now, lease.until(now), &mut runtime.commands);
         self.log(runtime, lease, revision);
         let next_at = lease.next_check_at(now);
         if lease.basis(now) != Basis::NoDiscovery && Some(next_at) != self.check_at {
@@ -77,17 +75,17 @@
             None => "never confirmed".to_string(),
         };
         let basis = state.basis.label();
-        let force = if state.is_in_force {
-            "in force"
+        let validity = if state.is_in_force {
+            "valid"
         } else {
-            "not in force, nothing is sent by it"
+            "not valid, no calls are sent"
         };
         runtime.log(&format!(
-            "list: {force} ({basis}), revision {revision:?}, {age}"
+            "list: {validity} ({basis}), revision {revision:?}, {age}"
         ));
     }
 
-    /// Whether the check that was scheduled last is due.
+    /// Returns whether the check that was scheduled last is due.
     pub(super) fn is_check_due(&self, now: f64) -> bool {
         self.check_at.is_none_or(|at| now + TIMER_TOLERANCE_S >= at)
     }
--- a/src/net/discovery/link.rs
+++ b/src/net/discovery/link.rs
@@ -1,7 +1,5 @@
-//! The connections to one discovery, and what is known of how it answers.
-//!
-//! This file owns which connection carries the watch and which its checks, and the history of failures. It is made anew for
-//! another discovery. It must never make a call.
+//! The connections to one discovery and the history of its answers. The state is discarded when the mixer switches to another
+//! discovery.
 
 use crate::connections::backoff::Backoff;
 use crate::endpoints::heartbeat::Fleet;
@@ -15,39 +13,40 @@
 use crate::net::timer_queue::TIMER_TOLERANCE_S;
 use crate::net::ConnectionKey;
 
-/// Of this many calls for changes in a row that timed out, the last one is a call for the complete list: a discovery that waits
-/// all the same answers this one. Not after other failures: a fleet that comes out of an outage would call for complete lists
-/// alone, each of which costs discovery many times as much.
+/// Number of consecutive timeouts of calls that open a watch after which a complete list is requested, in case discovery
+/// waits for a change although the call says not to. Other failures do not count: after an outage a whole fleet would
+/// request only complete lists, each of which costs discovery many times as much.
 const WHOLE_LIST_EVERY_CALLS: u32 = 8;
 
-/// The connections to one discovery, and what is known of how it answers.
+/// The connections to one discovery, and the history of its answers.
 pub(super) struct DiscoveryLink {
     pub(super) watch: Option<ConnectionKey>,
     pub(super) check_connection: Option<ConnectionKey>,
     pub(super) overdue: OverdueCalls,
     pub(super) check: WatchCheck,
     max_list_bytes: usize,
-    /// Whether a watch has been answered.
-    pub(super) has_worked: bool,
-    /// Calls in a row that failed before a watch was open.
+    /// Whether a call of the watch has been answered since this discovery is in use.
+    pub(super) has_been_answered: bool,
+    /// Number of consecutive failed calls to open a watch.
     pub(super) failed_opens: u32,
-    /// Of these, the last ones that timed out.
-    pub(super) unanswered_opens: u32,
-    /// Whether discovery has ended an overdue call with an error: it is crowded, and refuses a mixer's open call together with the
-    /// one beside it. Until its next answer no call is made beside an open one before that could be answered.
+    /// Number of consecutive calls to open a watch that timed out, the last call included.
+    pub(super) timed_out_opens: u32,
+    /// Whether discovery has ended an overdue call with an error. Discovery is then overloaded and refuses a mixer's open
+    /// call together with a second one. Until its next answer, no second call is made before the full timeout of the open
+    /// call.
     pub(super) refuses_open_calls: bool,
-    /// Whether discovery has refused a call for changes as such.
+    /// Whether discovery has refused a call for changes with a 4xx status.
     pub(super) refuses_changes: bool,
-    /// Suspends calls while discovery's list is too long.
+    /// Backoff that suspends calls while discovery's list is too long.
     pub(super) oversize: Backoff,
-    /// When a call that failed is retried.
+    /// Time at which a failed call is retried.
     retry_at: Option<f64>,
-    /// Hash of the answer that was taken over last.
+    /// Hash of the answer that was applied last.
     pub(super) last_answer_hash: Option<u64>,
 }
 
 impl DiscoveryLink {
-    /// No connection is open; `jitter` is from 0 to 1.
+    /// Creates a state without open connections; `jitter` is from 0 to 1.
     pub(super) fn new(fleet: Fleet, max_list_bytes: usize, now: f64, jitter: f64) -> DiscoveryLink {
         DiscoveryLink {
             watch: None,
@@ -55,9 +54,9 @@
             overdue: OverdueCalls::default(),
             check: WatchCheck::new(fleet, now, jitter),
             max_list_bytes,
-            has_worked: false,
+            has_been_answered: false,
             failed_opens: 0,
-            unanswered_opens: 0,
+            timed_out_opens: 0,
             refuses_open_calls: false,
             refuses_changes: false,
             oversize: Backoff::default(),
@@ -66,12 +65,12 @@
         }
     }
 
-    /// The longest list that is read (bytes).
+    /// Returns the maximum size of a list (bytes).
     pub(super) fn max_list_bytes(&self) -> usize {
         self.max_list_bytes
     }
 
-    /// A connection was opened for that role.
+    /// Records a connection that was opened for a role.
     pub(super) fn connection_opened(&mut self, key: ConnectionKey, role: Role) {
         match role {
             Role::Watch => self.watch = Some(key),
@@ -79,7 +78,7 @@
         }
     }
 
-    /// A connection was removed from the loop's table.
+    /// Records that a connection was removed from the event loop's table.
     pub(super) fn connection_removed(&mut self, key: ConnectionKey) {
         for slot in [&mut self.watch, &mut self.check_connection] {
             if *slot == Some(key) {
@@ -89,48 +88,48 @@
         self.overdue.remove(key);
     }
 
-    /// The call of that connection is overdue: it stays open, and another call may take its place. Gives the overdue call that
-    /// is to be closed for it, if there are too many.
+    /// Moves a connection to the overdue ones: its call stays open, and another call may be made. Returns the connection of
+    /// an overdue call that has to be closed if there are too many.
     pub(super) fn call_overdue(&mut self, key: ConnectionKey) -> Option<ConnectionKey> {
         self.connection_removed(key);
         self.overdue.add(key)
     }
 
-    /// The open connections, the watch first.
+    /// Returns the open connections, the watch first.
     pub(super) fn connections(&self) -> impl Iterator<Item = ConnectionKey> + '_ {
         self.current_connections().chain(self.overdue.iter())
     }
 
-    /// The connections of the watch and of its checks.
+    /// Returns the connections of the watch and of its checks, without overdue ones.
     fn current_connections(&self) -> impl Iterator<Item = ConnectionKey> {
         self.watch.into_iter().chain(self.check_connection)
     }
 
-    /// The call that opens a watch where the list in use has that version.
+    /// Returns the call that opens a watch, given the revision of the list in use.
     pub(super) fn opening_call(&self, revision: Option<u64>) -> Call {
         let is_whole_list_due =
-            self.unanswered_opens % WHOLE_LIST_EVERY_CALLS == WHOLE_LIST_EVERY_CALLS - 1;
+            self.timed_out_opens % WHOLE_LIST_EVERY_CALLS == WHOLE_LIST_EVERY_CALLS - 1;
         match revision {
             Some(since) if !self.refuses_changes && !is_whole_list_due => Call::Changes { since },
             _ => Call::WholeList,
         }
     }
 
-    /// After which time a call that opens a watch is overdue (seconds), among `mixers` that call the same discovery, if they call
-    /// again soon beside an open call.
+    /// Returns the timeout after which a call that opens a watch is overdue (seconds). `mixers` is the number of mixers
+    /// that call the same discovery, or `None` if no second call is made while one is open.
     pub(super) fn open_timeout_s(&self, call: Call, mixers: Option<u32>) -> f64 {
         if call == Call::WholeList || self.refuses_open_calls {
             return watch_schedule::OPEN_TIMEOUT_S;
         }
-        let timeout_s = watch_schedule::open_timeout_s(self.has_worked, self.failed_opens);
+        let timeout_s = watch_schedule::open_timeout_s(self.has_been_answered, self.failed_opens);
         let overdue_calls = self.overdue.count();
         mixers.map_or(timeout_s, |mixers| {
             timeout_s.min(watch_schedule::overdue_after_s(mixers, overdue_calls))
         })
     }
 
-    /// Delay before the call after one that failed while an overdue call is open (seconds), among `mixers` that call the same
-    /// discovery; none if the watch schedule decides alone.
+    /// Returns the delay before the next call after a failure while an overdue call is open (seconds), among `mixers` that
+    /// call the same discovery; `None` if only the watch schedule applies.
     pub(super) fn retry_while_overdue_s(&self, mixers: u32) -> Option<f64> {
         if self.overdue.count() == 0 || self.refuses_open_calls {
             return None;
@@ -138,37 +137,37 @@
         watch_schedule::retry_while_overdue_s(mixers)
     }
 
-    /// Schedules the retry of a failed call, unless one comes sooner. There is one such time, because each failed call would add
-    /// another.
+    /// Schedules the retry of a failed call, unless an earlier one is scheduled. Only one retry is scheduled at a time,
+    /// because otherwise each failed call would add another.
     pub(super) fn retry_after(&mut self, runtime: &mut Runtime, delay_s: f64) {
         let at = self.retry_at.unwrap_or(f64::MAX).min(runtime.now + delay_s);
         self.retry_at = Some(at);
         runtime.timers.add(at, Deadline::DiscoveryRetry);
     }
 
-    /// Whether the retry of a failed call is due; true once for each.
+    /// Returns whether the retry of a failed call is due; true only once for each retry.
     pub(super) fn take_due_retry(&mut self, now: f64) -> bool {
         let due_by = now + TIMER_TOLERANCE_S;
         self.retry_at.take_if(|at| *at <= due_by).is_some()
     }
 
-    /// Cancels the retry, because a call is made.
+    /// Cancels the retry, because a call is made now.
     pub(super) fn cancel_retry(&mut self) {
         self.retry_at = None;
     }
 
-    /// Whether any call is in flight that is not overdue.
+    /// Returns whether any call that is not overdue is in flight.
     pub(super) fn is_call_in_flight(&self, runtime: &Runtime) -> bool {
         self.current_connections()
             .any(|key| open_call(runtime, Some(key)).is_some())
     }
 
-    /// Whether the watch is open: its call waits for changes.
+    /// Returns whether the watch is open, that is, its call waits for changes.
     pub(super) fn is_watch_open(&self, runtime: &Runtime) -> bool {
         open_call(runtime, self.watch).is_some_and(|open| open.call.is_watch())
     }
 
-    /// Whether the watch is open and its wait not over.
+    /// Returns whether the watch is open and its wait has not ended.
     pub(super) fn is_watch_in_time(&self, runtime: &Runtime) -> bool {
         open_call(runtime, self.watch).is_some_and(|open| match open.call {
             Call::Watch { wait_s, .. } => runtime.now < open.made_at + wait_s,
@@ -176,7 +175,7 @@
         })
     }
 
-    /// Since when an incomplete answer has been arriving, on any connection.
+    /// Returns the earliest time since which an incomplete answer has been arriving on any connection.
     pub(super) fn answer_arriving_since(&self, runtime: &Runtime) -> Option<f64> {
         self.connections()
             .filter_map(|key| connection(runtime, key)?.answer_arriving_since())
@@ -184,7 +183,7 @@
     }
 }
 
-/// The connection to discovery of that key, if it is one.
+/// Returns the connection to discovery with this key.
 pub(super) fn connection(runtime: &Runtime, key: ConnectionKey) -> Option<&DiscoveryConnection> {
     match runtime.connections.get(key) {
         Some(Connection::Discovery(connection)) => Some(connection),
@@ -192,7 +191,7 @@
     }
 }
 
-/// The same, to be changed.
+/// Returns the mutable connection to discovery with this key.
 pub(super) fn connection_mut(
     runtime: &mut Runtime,
     key: ConnectionKey,
@@ -203,7 +202,7 @@
     }
 }
 
-/// The call in flight on a connection.
+/// Returns the call in flight on a connection.
 pub(super) fn open_call(runtime: &Runtime, key: Option<ConnectionKey>) -> Option<OpenCall> {
     connection(runtime, key?)?.open_call
 }
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -1,12 +1,12 @@
-//! The client of discovery: the watch on the endpoint list, its heartbeat, and the lease on the list in the loop.
+//! The client of discovery: the watch on the endpoint list, its heartbeat, and the lease on the list.
 //!
-//! `client` owns the state. `calls` decides which call is made next, `answers` what becomes of its answer or failure,
-//! `heartbeat` when an open watch is checked, `list` what an answer may contain, and `lease` when the lease is published.
-//! `connection` has the bytes of one connection. `routing` alone connects all this to the other subsystems of the loop.
+//! `client` holds the state. `calls` decides which call is made next, `answers` handles answers and failures, `heartbeat`
+//! schedules the checks of an open watch, `list` limits and decodes answers, `lease` publishes the lease, and `connection`
+//! reads and writes one connection. Only `routing` accesses the other subsystems of the event loop.
 //!
-//! A connection begins with a call that discovery answers at once. Then the watch waits on it for changes, and is renewed in
-//! each period. If its answer is late, a check is made on a second connection; with the answer to the check, that connection
-//! becomes the watch, and the old one is closed.
+//! A connection begins with a call that discovery answers at once. After that the watch waits on this connection for
+//! changes, and is renewed in each period. If its answer is late, a check is made on a second connection. If the check is
+//! answered, its connection becomes the watch and the old connection is closed.
 
 mod answers;
 mod calls;
--- a/src/net/discovery/routing.rs
+++ b/src/net/discovery/routing.rs
@@ -1,15 +1,14 @@
-//! Routes between the client of discovery, the reload of the configuration, and the other subsystems of the loop.
-//!
-//! Each method calls a subsystem and leads its typed result to the next one. This file owns no state and no decision.
+//! Connects the client of discovery and the reload of the configuration to the other subsystems of the event loop. Each
+//! method calls one subsystem and passes its result to the next.
 
 use crate::config::Deployment;
 use crate::decisions::api::ReplicaEntry;
 use crate::net::discovery::answers::{
-    AnswerContent, AnsweredCall, Arrival, CallsBefore, FailedCall, ListAnswer,
+    AnswerContent, AnsweredCall, CallsBefore, FailedCall, ListAnswer, ReadOutcome,
 };
 use crate::net::discovery::calls::{PlannedCall, Step};
 use crate::net::discovery::connection::{Call, DiscoveryError, Role};
-use crate::net::discovery::lease::HELD_UP_S;
+use crate::net::discovery::lease::MAX_LOOP_DELAY_S;
 use crate::net::event_loop::{Mixer, TurnEvents};
 use crate::net::http::Message;
 use crate::net::lifecycle::Phase;
@@ -21,39 +20,39 @@
 use mio::Token;
 use std::net::SocketAddr;
 
-/// A connection to a replica to which no new requests may be sent.
+/// A connection to a replica that must not receive new requests.
 struct UnreadyConnection {
     key: ConnectionKey,
     /// Whether the replica was removed from the list.
-    is_gone: bool,
+    is_removed: bool,
 }
 
 // Calls to discovery.
 impl Mixer {
-    /// Opens or continues the watch, unless a call of it is in flight.
+    /// Opens or continues the watch, unless one of its calls is in flight.
     pub(in crate::net) fn call_discovery(&mut self) {
-        self.follow(Step::Reconsider);
+        self.execute(Step::Decide);
     }
 
-    /// The deadline of the retry of a failed call.
+    /// Handles the deadline of the retry of a failed call.
     pub(in crate::net) fn discovery_retry_due(&mut self) {
         let step = self.discovery.retry_due(&self.runtime);
-        self.follow(step);
+        self.execute(step);
     }
 
-    /// The deadline of the check of the watch.
+    /// Handles the deadline of the check of the watch.
     pub(in crate::net) fn heartbeat_due(&mut self) {
         let step = self.discovery.check_due(&mut self.runtime);
-        self.follow(step);
+        self.execute(step);
     }
 
-    /// Carries out what the client of discovery decided, until it waits.
-    fn follow(&mut self, first: Step) {
+    /// Executes the steps of the client of discovery until it waits.
+    fn execute(&mut self, first: Step) {
         let mut step = first;
         loop {
             step = match step {
                 Step::Wait => return,
-                Step::Reconsider => self.discovery.next_step(&mut self.runtime),
+                Step::Decide => self.discovery.next_step(&mut self.runtime),
                 Step::Make(planned) => return self.make_call(planned),
                 Step::Open(opening) => {
                     let Some(address) = self.discovery.address() else {
@@ -71,7 +70,7 @@
         }
     }
 
-    /// Connects to discovery; where descriptors are used up, a client connection is closed for it.
+    /// Connects to discovery. If no file descriptor is left, an idle client connection is closed first.
     fn connect_to_discovery(&mut self, address: SocketAddr) -> Result<TcpStream, DiscoveryError> {
         let stream =
             TcpStream::connect(address).or_else(|error| self.connect_again(address, error))?;
@@ -87,7 +86,7 @@
         }
     }
 
-    /// Schedules a call after the predecessor's lease was taken over, if an answer may be missing.
+    /// Schedules a call after the predecessor's lease was adopted, if an answer may be missing.
     pub(in crate::net) fn retry_for_missing_answer(&mut self) {
         self.discovery.retry_for_missing_answer(&mut self.runtime);
     }
@@ -95,16 +94,16 @@
 
 // Answers and failures of calls.
 impl Mixer {
-    /// Reads from discovery before anything that clients bring: a change counts as notified from the moment it was written, also
-    /// if the loop was held up and a request was received first. Gives whose events have been handled. What follows from them
-    /// is left to [`Mixer::settle`].
+    /// Reads from discovery before any client is read: a change counts as notified from the time at which discovery wrote
+    /// it, even if the event loop was delayed and a request was received earlier. Returns the tokens whose events have been
+    /// handled. The resulting commands are executed by [`Mixer::settle`].
     pub(in crate::net) fn receive_from_discovery(&mut self, events: &TurnEvents) -> Vec<Token> {
-        let was_held_up = self.runtime.now > self.runtime.previous_turn_at + HELD_UP_S;
+        let is_delayed = self.runtime.now > self.runtime.previous_turn_at + MAX_LOOP_DELAY_S;
         let mut handled = Vec::new();
         for key in self.discovery.connections() {
             let token = token(key);
             let has_event = events.iter().any(|event| event.token() == token);
-            if was_held_up || has_event {
+            if is_delayed || has_event {
                 self.discovery_event(key);
                 handled.push(token);
             }
@@ -112,22 +111,22 @@
         handled
     }
 
-    /// An event of a connection to discovery.
+    /// Handles an event of a connection to discovery.
     pub(in crate::net) fn discovery_event(&mut self, key: ConnectionKey) {
         match self.discovery.receive(&mut self.runtime, key) {
-            Arrival::NotConnected => {}
-            Arrival::Incomplete => self.publish_lease(),
-            Arrival::Failed(error) => self.end_discovery(key, error),
-            Arrival::Answer(message) => self.discovery_answered(key, &message),
+            ReadOutcome::NotConnected => {}
+            ReadOutcome::Incomplete => self.publish_lease(),
+            ReadOutcome::Failed(error) => self.end_discovery(key, error),
+            ReadOutcome::Answer(message) => self.discovery_answered(key, &message),
         }
     }
 
     fn discovery_answered(&mut self, key: ConnectionKey, message: &Message) {
-        let list = match self.take_answer(key, message) {
+        let list = match self.process_answer(key, message) {
             Ok(list) => list,
             Err(error) => {
                 self.discovery
-                    .note_unusable_answer(&mut self.runtime, key, message);
+                    .record_unusable_answer(&mut self.runtime, key, message);
                 return self.end_discovery(key, error);
             }
         };
@@ -147,12 +146,12 @@
             Role::Watch => self.watch_answered(&answered),
             Role::Heartbeat => {
                 let step = self.discovery.check_answered(&mut self.runtime, &answered);
-                self.follow(step);
+                self.execute(step);
             }
         }
     }
 
-    fn take_answer(
+    fn process_answer(
         &mut self,
         key: ConnectionKey,
         message: &Message,
@@ -161,10 +160,10 @@
             .discovery
             .compare_answer(&mut self.runtime, key, message)?;
         match content {
-            AnswerContent::Unchanged => Ok(ListAnswer::Same),
+            AnswerContent::Unchanged => Ok(ListAnswer::Unchanged),
             AnswerContent::Outdated => Ok(ListAnswer::Outdated),
             AnswerContent::List(list) => {
-                if !self.take_list(&list.json) {
+                if !self.apply_list(&list.json) {
                     return Err(DiscoveryError::NoEndpoints);
                 }
                 Ok(self.discovery.list_taken_over(&list))
@@ -173,10 +172,10 @@
     }
 
     fn watch_answered(&mut self, answered: &AnsweredCall) {
-        self.discovery.adopt_overdue(&mut self.runtime, answered);
+        self.discovery.promote_overdue(&mut self.runtime, answered);
         let calls_before = self.discovery.watch_confirmed(&mut self.runtime);
         if calls_before == CallsBefore::Failed {
-            self.take_entries(false, Vec::new()); // the decision module counts failures up to the next list
+            self.apply_entries(false, Vec::new()); // resets the decision module's count of failed calls
         }
         self.discovery
             .schedule_check_after(&mut self.runtime, answered);
@@ -184,12 +183,12 @@
         let step = self
             .discovery
             .after_watch_answer(&mut self.runtime, answered);
-        self.follow(step);
+        self.execute(step);
     }
 
-    /// The call on a connection to discovery was not answered in time.
+    /// Handles the timeout of the call on a connection to discovery.
     pub(in crate::net) fn discovery_timed_out(&mut self, key: ConnectionKey) {
-        match self.discovery.leave_open(&mut self.runtime, key) {
+        match self.discovery.mark_overdue(&mut self.runtime, key) {
             Some(overdue) => self.call_failed(&overdue),
             None => self.end_discovery(key, DiscoveryError::TimedOut),
         }
@@ -212,38 +211,39 @@
         self.discovery.report_failure(&mut self.runtime, failed);
         self.publish_lease();
         let step = self.discovery.after_failure(&mut self.runtime, failed);
-        self.follow(step);
+        self.execute(step);
     }
 }
 
 // The list in use, and the lease on it.
 impl Mixer {
-    /// Takes over a list in discovery's form; says whether it was one.
-    pub(in crate::net) fn take_list(&mut self, list: &Value) -> bool {
+    /// Applies a list in discovery's format; returns whether the JSON was a list.
+    pub(in crate::net) fn apply_list(&mut self, list: &Value) -> bool {
         let Some(list) = self.discovery.read_list(&mut self.runtime, list) else {
             return false;
         };
-        self.take_entries(list.is_full, list.entries);
+        self.apply_entries(list.is_full, list.entries);
         self.discovery.notify_observer(&self.runtime);
         true
     }
 
-    /// Takes over a list whose version is not one of discovery's: the version in use stays.
-    pub(in crate::net) fn take_list_without_revision(&mut self, list: &Value) {
+    /// Applies a list whose revision was not assigned by the current discovery, and keeps the revision in use.
+    pub(in crate::net) fn apply_list_without_revision(&mut self, list: &Value) {
         let revision = self.discovery.revision();
-        self.take_list(list);
+        self.apply_list(list);
         self.discovery.set_revision(revision);
     }
 
-    /// Passes lines of a list to the decision module, and withdraws what may not be sent any more.
-    pub(in crate::net) fn take_entries(&mut self, is_full: bool, entries: Vec<ReplicaEntry>) {
+    /// Forwards list entries to the decision module, and withdraws unsent calls to replicas that must not receive new
+    /// requests.
+    pub(in crate::net) fn apply_entries(&mut self, is_full: bool, entries: Vec<ReplicaEntry>) {
         self.discovery
-            .pass_on_entries(&mut self.runtime, is_full, entries);
+            .forward_entries(&mut self.runtime, is_full, entries);
         for connection in self.unready_connections() {
             self.replicas.withdraw_all_unsent(
                 &mut self.runtime,
                 connection.key,
-                connection.is_gone,
+                connection.is_removed,
             );
         }
         self.runtime.directory.forget_gone();
@@ -255,22 +255,25 @@
             .directory
             .unready()
             .flat_map(|endpoint| {
-                let is_gone = endpoint.is_gone();
+                let is_removed = endpoint.is_gone();
                 endpoint
                     .connections
                     .iter()
-                    .map(move |key| UnreadyConnection { key: *key, is_gone })
+                    .map(move |key| UnreadyConnection {
+                        key: *key,
+                        is_removed,
+                    })
             })
             .collect()
     }
 
-    /// Publishes until when the list may be acted on.
+    /// Publishes the time until which the list may be used.
     pub(in crate::net) fn publish_lease(&mut self) {
         self.discovery.publish_lease(&mut self.runtime);
         self.check_readiness();
     }
 
-    /// Becomes ready once there is a list that may be acted on, with a replica to which requests may be sent.
+    /// Starts serving once there is a list that may be used, with a replica that may receive requests.
     pub(in crate::net) fn check_readiness(&mut self) {
         let is_due =
             self.lifecycle.phase() == Phase::Starting && self.runtime.directory.has_ready();
@@ -280,7 +283,7 @@
         }
     }
 
-    /// The deadline of the check of the lease, which is about to end, or has ended.
+    /// Handles the deadline of the check of the lease, which is about to end or has ended.
     pub(in crate::net) fn lease_due(&mut self) {
         if !self.discovery.is_lease_check_due(self.runtime.now) {
             return;
@@ -289,8 +292,8 @@
         self.publish_lease();
     }
 
-    /// A request was received that needs the list.
-    pub(in crate::net) fn list_needed(&mut self) {
+    /// Renews the lease if necessary, because a request was received that needs the list.
+    pub(in crate::net) fn renew_lease_for_request(&mut self) {
         self.discovery.request_received(self.runtime.now);
         self.renew_lease();
     }
@@ -302,11 +305,12 @@
     }
 }
 
-// A loop that was held up.
+// Delays of the event loop.
 impl Mixer {
-    /// The loop was stopped since that time at the latest. If lists are pushed, what the agent has received meanwhile counts as
-    /// notified, even if an answer was read that it wrote before: another call has to confirm the list.
-    pub(in crate::net) fn confirm_after_standstill(&mut self, since: f64) {
+    /// Requires another call to confirm the list after the process was paused, since `since` at the latest. If lists are
+    /// pushed, data that the agent received during the pause counts as notified, even if the mixer then reads an answer
+    /// that the agent wrote earlier.
+    pub(in crate::net) fn confirm_list_after_pause(&mut self, since: f64) {
         if self.runtime.deployment.policy.must_poll || self.discovery.address().is_none() {
             return;
         }
@@ -323,7 +327,7 @@
         reload::log_phases(&mut self.runtime);
     }
 
-    /// SIGHUP: reads the configuration again. Requests and connections stay as they are; an invalid file changes nothing.
+    /// Handles SIGHUP: reads the configuration again. Requests and connections are kept; an invalid file changes nothing.
     pub(in crate::net) fn reload_requested(&mut self) {
         let RereadOutcome::Accepted {
             deployment,
@@ -332,7 +336,7 @@
         else {
             return;
         };
-        // Settings that the operators stored take precedence over the file.
+        // Settings stored by the operators take precedence over the file.
         if !self.has_stored_settings() {
             self.accept_settings(*deployment);
         }
@@ -342,12 +346,12 @@
         }
     }
 
-    /// Accepts valid settings, which are applied a little later.
+    /// Accepts valid settings, which are applied after a short delay.
     pub(in crate::net) fn accept_settings(&mut self, deployment: Deployment) {
         self.reload.accept_settings(&mut self.runtime, deployment);
     }
 
-    /// The deadline at which accepted settings are applied.
+    /// Applies the accepted settings when their deadline is due.
     pub(in crate::net) fn apply_pending_settings(&mut self) {
         let Some(deployment) = self.reload.take_pending() else {
             return;
@@ -360,11 +364,11 @@
         reload::apply_settings(&mut self.runtime, deployment);
     }
 
-    /// Changes to another discovery.
+    /// Switches to another discovery.
     fn change_discovery(&mut self, address: SocketAddr) {
         self.runtime
             .log(&format!("reload: switching to discovery {address}"));
-        self.discovery.move_to(&mut self.runtime, address);
+        self.discovery.switch_to(&mut self.runtime, address);
         self.call_discovery();
     }
 }
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -119,7 +119,7 @@
     }
 
     /// Waits for events until the next deadline. Returns when it was over, none where a signal has ended it. The events include
-    /// all that had come by then, but for the last `HELD_UP_S`: what a turn does by the clock must not be later than what it
+    /// all that had come by then, but for the last `MAX_LOOP_DELAY_S`: what a turn does by the clock must not be later than what it
     /// knows.
     fn await_events(
         &mut self,
@@ -128,7 +128,7 @@
     ) -> Result<Option<f64>, NetError> {
         let runtime = &mut self.runtime;
         let polled_at = runtime.clock.now();
-        let timeout = if self.replicas.has_held_back() {
+        let timeout = if self.replicas.has_postponed_writes() {
             Some(Duration::ZERO)
         } else {
             runtime.timers.wait(polled_at)
@@ -141,7 +141,7 @@
             return Ok(None);
         }
         let woke_at = runtime.clock.now();
-        if woke_at > polled_at + lease::HELD_UP_S {
+        if woke_at > polled_at + lease::MAX_LOOP_DELAY_S {
             poll(runtime, &mut events.latest, Some(Duration::ZERO))?;
         }
         Ok(Some(woke_at))
@@ -159,10 +159,10 @@
             self.runtime.log(&format!(
                 "loop: the process stood still for up to {stood_still_s:.3} s"
             ));
-            self.confirm_after_standstill(since);
+            self.confirm_list_after_pause(since);
         }
         self.settle();
-        self.flush_held_back();
+        self.flush_postponed();
         for event in events.iter() {
             if !handled.contains(&event.token()) {
                 self.handle_event(event);
@@ -184,7 +184,7 @@
         runtime.previous_turn_at = runtime.turn_began_at;
         runtime.turn_began_at = runtime.now;
         let overslept_s = standstill.woke(runtime.now, runtime.previous_turn_at);
-        if overslept_s > lease::HELD_UP_S {
+        if overslept_s > lease::MAX_LOOP_DELAY_S {
             // A stop comes at the end of a system call: the poll may have looked before it.
             runtime.turn_began_at = runtime.previous_turn_at;
         }
@@ -195,7 +195,7 @@
     fn advance_to_deadlines(&mut self, woke_at: f64, standstill: &mut StandstillDetector) {
         let now = self.runtime.clock.now();
         standstill.turn_took(now - woke_at, self.runtime.turn_began_at);
-        if now <= woke_at + lease::HELD_UP_S {
+        if now <= woke_at + lease::MAX_LOOP_DELAY_S {
             self.runtime.now = now;
         }
     }
@@ -242,12 +242,12 @@
                     Command::Withdraw { attempt } => self.withdraw_unsent(attempt),
                     Command::Reply {
                         caller,
-                        last,
+                        answer,
                         query_request,
                         took_s,
                     } => {
                         let key = ConnectionKey::from(KeyData::from_ffi(caller));
-                        self.reply(key, &query_request, last, took_s);
+                        self.reply(key, &query_request, answer, took_s);
                     }
                     Command::WakeAt { at, wake } => {
                         self.runtime.timers.add(at, Deadline::Coordinator(wake))
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -303,13 +303,13 @@
         let learned_state = runtime.coordinator.learned_state();
         runtime
             .coordinator
-            .record(runtime.now, true, &mut runtime.commands);
+            .set_recording(runtime.now, true, &mut runtime.commands);
         let names = runtime.directory.ids();
         let state = StateMessage {
             discovery: discovery.address.map(|address| address.to_string()),
             list: runtime.directory.to_json(discovery.revision),
             names: names.map(|(name, id)| (id.0, name.clone())).collect(),
-            classes: runtime.coordinator.learned_classes(),
+            classes: runtime.coordinator.learned_class_names(),
             phases: Some(runtime.coordinator.learned_phases()),
             tenants: runtime.deployment.tenants.clone(),
             learned_state,
@@ -448,7 +448,7 @@
             }
             (Side::Successor, _) => {
                 let coordinator = &mut runtime.coordinator;
-                coordinator.record(runtime.now, false, &mut runtime.commands);
+                coordinator.set_recording(runtime.now, false, &mut runtime.commands);
                 runtime.log(&format!(
                     "handover: the successor did not take over ({reason}); serving on"
                 ));
--- a/src/net/handover/messages.rs
+++ b/src/net/handover/messages.rs
@@ -143,16 +143,16 @@
     /// The load of this process. Attempts count as reported from now on.
     pub(super) fn of(runtime: &mut Runtime, connections: ConnectionCounts) -> LoadMessage {
         let ProcessLoad {
-            ids,
-            held,
+            request_ids,
+            open_count,
             attempts,
-        } = runtime.coordinator.load();
+        } = runtime.coordinator.take_process_load();
         let name = |id| runtime.directory.name(id).map(String::from);
         let in_flight = attempts.in_flight.into_iter();
         let sent = attempts.sent.into_iter();
         LoadMessage {
-            ids,
-            held: held as u32,
+            ids: request_ids,
+            held: open_count as u32,
             clients: connections.clients as u32,
             replicas: connections.replicas as u32,
             in_flight: in_flight
@@ -198,8 +198,8 @@
                 .collect(),
         };
         ProcessLoad {
-            ids: self.ids,
-            held: self.held as usize,
+            request_ids: self.ids,
+            open_count: self.held as usize,
             attempts,
         }
     }
--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -53,7 +53,7 @@
             .ids()
             .map(|(name, id)| (id.0, name.clone()))
             .collect(),
-        classes: coordinator.learned_classes(),
+        classes: coordinator.learned_class_names(),
         tenants: Vec::new(),
         learned_state: coordinator.learned_state(),
         load: LoadMessage {
--- a/src/net/lifecycle_routing.rs
+++ b/src/net/lifecycle_routing.rs
@@ -330,9 +330,9 @@
         let is_same_discovery = state.discovery == own_discovery;
         let revision = crate::endpoints::list_format::revision(&list);
         if is_same_discovery && revision > self.discovery.revision() {
-            self.take_list(&list);
+            self.apply_list(&list);
         } else if self.discovery.revision().is_none() {
-            self.take_list_without_revision(&list);
+            self.apply_list_without_revision(&list);
         }
     }
 
--- a/src/net/operator_routing.rs
+++ b/src/net/operator_routing.rs
@@ -230,7 +230,7 @@
         match change {
             StoredChange::EndpointList(list) => {
                 // Its revision is not one of discovery's.
-                self.take_list_without_revision(&list);
+                self.apply_list_without_revision(&list);
             }
             StoredChange::Draining(names) => {
                 match names.len() {
@@ -240,7 +240,7 @@
                         .log(&format!("store: draining {count} servers")),
                 }
                 let entries = self.runtime.directory.set_drain_marks(names);
-                self.take_entries(false, entries);
+                self.apply_entries(false, entries);
             }
             StoredChange::Settings(deployment) => {
                 self.runtime.log("store: new settings");
--- a/src/net/replica/answers.rs
+++ b/src/net/replica/answers.rs
@@ -23,12 +23,12 @@
         loop {
             match self.stream.read(&mut buffer) {
                 Ok(0) => {
-                    self.take_answers(true, now, results)?;
+                    self.process_input(true, now, results)?;
                     return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into());
                 }
                 Ok(count) => {
-                    self.inbuf.extend_from_slice(&buffer[..count]);
-                    self.take_answers(false, now, results)?;
+                    self.input.extend_from_slice(&buffer[..count]);
+                    self.process_input(false, now, results)?;
                     self.silent_since = (!self.is_unused()).then_some(now);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
@@ -38,28 +38,28 @@
         }
     }
 
-    fn take_answers(
+    fn process_input(
         &mut self,
         has_ended: bool,
         now: f64,
         results: &mut Vec<AttemptResult>,
     ) -> Result<(), ReplicaError> {
         match self.setup.wire_format {
-            WireFormat::Frames => self.take_frames(now, results),
-            WireFormat::Search => self.take_response(has_ended, now, results),
+            WireFormat::Frames => self.process_frames(now, results),
+            WireFormat::Search => self.process_response(has_ended, now, results),
         }
     }
 
-    fn take_response(
+    fn process_response(
         &mut self,
         has_ended: bool,
         now: f64,
         results: &mut Vec<AttemptResult>,
     ) -> Result<(), ReplicaError> {
-        let message = match self.reader.read(&mut self.inbuf, has_ended) {
+        let message = match self.reader.read(&mut self.input, has_ended) {
             Ok(Some(message)) => message,
             Ok(None) => {
-                let has_begun = !self.inbuf.is_empty() || self.reader.is_inside_message();
+                let has_begun = !self.input.is_empty() || self.reader.is_inside_message();
                 self.answer_began_at = has_begun.then(|| self.answer_began_at.unwrap_or(now));
                 return Ok(());
             }
@@ -85,34 +85,34 @@
         }
     }
 
-    fn take_frames(
+    fn process_frames(
         &mut self,
         now: f64,
         results: &mut Vec<AttemptResult>,
     ) -> Result<(), ReplicaError> {
         // Taken out while its frames are read, so that they can be borrowed from it. After an error nothing is read on.
-        let mut inbuf = std::mem::take(&mut self.inbuf);
-        let mut taken_bytes = 0;
+        let mut input = std::mem::take(&mut self.input);
+        let mut consumed_bytes = 0;
         loop {
-            match frames::first_frame(&inbuf[taken_bytes..]) {
+            match frames::first_frame(&input[consumed_bytes..]) {
                 FirstFrame::Incomplete => break,
                 FirstFrame::InvalidLength => {
                     return Err(self.reject_answer(None, ReplicaError::InvalidFrameLength))
                 }
                 FirstFrame::Complete { frame, total_bytes } => {
-                    self.take_frame(&frame, now, results)?;
-                    taken_bytes += total_bytes;
+                    self.process_frame(&frame, now, results)?;
+                    consumed_bytes += total_bytes;
                 }
             }
         }
-        inbuf.drain(..taken_bytes);
-        self.inbuf = inbuf;
-        let began_at = self.answer_began_at.filter(|_| taken_bytes == 0);
-        self.answer_began_at = (!self.inbuf.is_empty()).then(|| began_at.unwrap_or(now));
+        input.drain(..consumed_bytes);
+        self.input = input;
+        let began_at = self.answer_began_at.filter(|_| consumed_bytes == 0);
+        self.answer_began_at = (!self.input.is_empty()).then(|| began_at.unwrap_or(now));
         Ok(())
     }
 
-    fn take_frame(
+    fn process_frame(
         &mut self,
         frame: &ReceivedFrame<'_>,
         now: f64,
@@ -120,7 +120,7 @@
     ) -> Result<(), ReplicaError> {
         match frame {
             ReceivedFrame::Answer(content) => {
-                self.take_answer(content, results)?;
+                self.process_answer(content, results)?;
                 self.used_at = now;
                 Ok(())
             }
@@ -138,7 +138,7 @@
         }
     }
 
-    fn take_answer(
+    fn process_answer(
         &mut self,
         content: &[u8],
         results: &mut Vec<AttemptResult>,
--- a/src/net/replica/connection.rs
+++ b/src/net/replica/connection.rs
@@ -10,7 +10,7 @@
 use crate::net::http::Reader;
 use crate::net::replica::error::ReplicaError;
 use crate::net::replica::frames::{self, EncodedCall};
-use crate::net::replica::send_queue::{BegunCall, QueuedFrame, SendQueue, WriteStep};
+use crate::net::replica::send_queue::{QueuedFrame, SendQueue, StartedCall, WriteStep};
 use crate::net::socket::came_up;
 use crate::requests::coordinator::{AttemptKey, CallPart};
 use crate::requests::invariants::CallTimes;
@@ -20,7 +20,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// An answer that has begun is complete after this time, or the connection ends (seconds).
+/// An answer that has started is complete after this time, or the connection ends (seconds).
 const ANSWER_TIMEOUT_S: f64 = 0.25;
 /// Ended parts that are remembered, so that a late or second answer to one is recognized.
 const MAX_RECENT_PARTS: usize = 64;
@@ -127,20 +127,20 @@
 /// One connection to a leaf server. Times are of the loop's clock (seconds).
 pub struct ReplicaConnection {
     pub(super) stream: TcpStream,
-    is_up: bool,
+    is_connected: bool,
     /// When a call was last queued or an answer came.
     pub(super) used_at: f64,
     /// The load report that came last, as the leaf server words it.
     pub(super) load: Option<String>,
     /// Attempts written completely and not counted yet, by the front of their requests.
     written: [u64; 2],
-    /// Calls that have begun to leave and were not verified yet.
-    begun_calls: Vec<BegunCall>,
+    /// Calls that have started to leave and were not verified yet.
+    started_calls: Vec<StartedCall>,
     pub(super) setup: ReplicaConnectionSetup,
     queue: SendQueue,
     pub(super) parts: Vec<PartInFlight>,
     pub(super) recent: VecDeque<RecentPart>,
-    pub(super) inbuf: Vec<u8>,
+    pub(super) input: Vec<u8>,
     pub(super) reader: Reader,
     /// Since when a part of an answer is there.
     pub(super) answer_began_at: Option<f64>,
@@ -154,16 +154,16 @@
     pub fn new(stream: TcpStream, setup: ReplicaConnectionSetup, now: f64) -> ReplicaConnection {
         ReplicaConnection {
             stream,
-            is_up: false,
+            is_connected: false,
             used_at: now,
             load: None,
             written: [0; 2],
-            begun_calls: Vec::new(),
+            started_calls: Vec::new(),
             setup,
             queue: SendQueue::default(),
             parts: Vec::new(),
             recent: VecDeque::new(),
-            inbuf: Vec::new(),
+            input: Vec::new(),
             reader: Reader::responses(frames::MAX_FRAME_BYTES),
             answer_began_at: None,
             silent_since: None,
@@ -187,12 +187,12 @@
     }
 
     /// Whether it has come up.
-    pub fn is_up(&self) -> bool {
-        self.is_up
+    pub fn is_connected(&self) -> bool {
+        self.is_connected
     }
 
     /// Whether its socket is connected by now; an error says why it never will be.
-    pub(super) fn is_connected(&self) -> io::Result<bool> {
+    pub(super) fn poll_connected(&self) -> io::Result<bool> {
         came_up(&self.stream)
     }
 
@@ -211,9 +211,9 @@
         std::mem::take(&mut self.written)
     }
 
-    /// Calls that have begun to leave since this was last called.
-    pub fn take_begun_calls(&mut self) -> Vec<BegunCall> {
-        std::mem::take(&mut self.begun_calls)
+    /// Calls that have started to leave since this was last called.
+    pub fn take_started_calls(&mut self) -> Vec<StartedCall> {
+        std::mem::take(&mut self.started_calls)
     }
 
     /// Parts that count against how many the connection carries at a time.
@@ -243,7 +243,7 @@
     /// Whether nothing was received for longer than `silence_s` (seconds) though something is in flight. Cancelling that
     /// afterwards changes nothing.
     pub fn is_suspect(&self, now: f64, silence_s: f64) -> bool {
-        self.is_up && self.silent_since.is_some_and(|at| now > at + silence_s)
+        self.is_connected && self.silent_since.is_some_and(|at| now > at + silence_s)
     }
 
     /// Whether it is suspect though the leaf server has answered on another connection what was sent later, at
@@ -268,7 +268,7 @@
         self.local_close = Some(LocalClose::Silent);
     }
 
-    /// When an answer that has begun has to be complete, if one has.
+    /// When an answer that has started has to be complete, if one has.
     pub fn answer_due_at(&self) -> Option<f64> {
         self.answer_began_at.map(|at| at + ANSWER_TIMEOUT_S)
     }
@@ -331,8 +331,8 @@
     }
 
     /// The connection has come up.
-    pub fn come_up(&mut self, now: f64) {
-        self.is_up = true;
+    pub fn mark_connected(&mut self, now: f64) {
+        self.is_connected = true;
         self.refresh_timeouts(now);
         let _ = self.stream.set_nodelay(true);
     }
@@ -381,7 +381,7 @@
         else {
             return false;
         };
-        // What has not begun to leave never leaves, also where others in its call do.
+        // What has not started to leave never leaves, also where others in its call do.
         if self.withdraw_unsent(attempt) {
             return false;
         }
@@ -394,7 +394,7 @@
         false
     }
 
-    /// Withdraws an attempt unless its call has begun to leave. Says whether it never will.
+    /// Withdraws an attempt unless its call has started to leave. Says whether it never will.
     pub fn withdraw_unsent(&mut self, attempt: AttemptKey) -> bool {
         let is_withdrawn = self.queue.withdraw(attempt);
         if is_withdrawn {
@@ -403,14 +403,14 @@
         is_withdrawn
     }
 
-    /// Withdraws every call that has not begun to leave: nothing new may go to the leaf server. Gives the attempts.
+    /// Withdraws every call that has not started to leave: nothing new may go to the leaf server. Gives the attempts.
     pub fn withdraw_all_unsent(&mut self) -> Vec<AttemptKey> {
         let withdrawn = self.queue.withdraw_all();
         self.forget_parts(&withdrawn);
         withdrawn
     }
 
-    /// Withdraws the calls that have not begun to leave and may no longer: the window in which their class may repeat a part
+    /// Withdraws the calls that have not started to leave and may no longer: the window in which their class may repeat a part
     /// has ended while they waited for the connection, or behind others. Gives the attempts.
     pub fn withdraw_late(&mut self, now: f64) -> Vec<AttemptKey> {
         let withdrawn = self.queue.withdraw_late(now);
@@ -434,7 +434,7 @@
         self.queue.is_partly_sent_too_late(now)
     }
 
-    /// Attempts whose calls have not begun to leave.
+    /// Attempts whose calls have not started to leave.
     pub fn unsent_attempts(&self) -> Vec<AttemptKey> {
         self.queue.unsent_attempts()
     }
@@ -444,23 +444,23 @@
         self.queue.partly_sent_attempts()
     }
 
-    /// Writes what the socket takes. `may_begin` is asked before the first byte of each call leaves, and gives the time if the
+    /// Writes what the socket takes. `may_start` is asked before the first byte of each call leaves, and gives the time if the
     /// call may; one that may not is withdrawn, and its attempts are added to `withdrawn`.
     pub fn flush(
         &mut self,
-        mut may_begin: impl FnMut(&CallTimes) -> Option<f64>,
+        mut may_start: impl FnMut(&CallTimes) -> Option<f64>,
         withdrawn: &mut Vec<AttemptKey>,
     ) -> io::Result<()> {
-        while self.is_up {
-            match self.queue.write_once(&mut self.stream, &mut may_begin)? {
+        while self.is_connected {
+            match self.queue.write_once(&mut self.stream, &mut may_start)? {
                 WriteStep::Empty | WriteStep::Blocked => return Ok(()),
                 WriteStep::Interrupted => {}
                 WriteStep::Withdrawn(attempts) => {
                     self.forget_parts(&attempts);
                     withdrawn.extend(attempts);
                 }
-                WriteStep::Wrote { begun, complete } => {
-                    self.begun_calls.extend(begun);
+                WriteStep::Wrote { started, complete } => {
+                    self.started_calls.extend(started);
                     if let Some(frame) = complete {
                         self.mark_written(&frame);
                     }
--- a/src/net/replica/events.rs
+++ b/src/net/replica/events.rs
@@ -26,11 +26,11 @@
         let Some(Connection::Replica(connection)) = runtime.connections.get_mut(key) else {
             return;
         };
-        if !connection.is_up() {
-            match connection.is_connected() {
+        if !connection.is_connected() {
+            match connection.poll_connected() {
                 Ok(false) => return,
                 Ok(true) => {
-                    connection.come_up(runtime.now);
+                    connection.mark_connected(runtime.now);
                     let idle_at = runtime.now + max_idle_s(runtime);
                     runtime.timers.add(idle_at, Deadline::Connection(key));
                 }
@@ -66,7 +66,7 @@
         let Some(Connection::Replica(connection)) = runtime.connections.get_mut(key) else {
             return;
         };
-        if !connection.is_up() {
+        if !connection.is_connected() {
             return self.end(runtime, key, &ReplicaError::ConnectTimeout);
         }
         // The parts on a connection where an answer never ends would otherwise wait for as long as their clients do.
--- a/src/net/replica/frames.rs
+++ b/src/net/replica/frames.rs
@@ -57,12 +57,12 @@
 
 fn encode_part(part: &CallPart, out: &mut Vec<u8>) {
     let id = part_id(part);
-    let text = part.query_request.text.as_bytes();
+    let text = part.query_request.payload.as_bytes();
     let shard = part.query_request.parts[part.index].shard;
     let timeout_ms = (part.timeout_s * 1000.0).floor().max(1.0) as u64;
     let key = part
         .query_request
-        .idempotency
+        .idempotency_key
         .as_ref()
         .map(|key| format!(",k={key}"))
         .unwrap_or_default();
--- a/src/net/replica/pool.rs
+++ b/src/net/replica/pool.rs
@@ -46,9 +46,9 @@
     /// It is on a connection, or its attempts have ended.
     Done,
     /// The leaf server takes one part a call: these are to be sent one by one.
-    OneByOne(Vec<CallPart>),
+    OnePartPerCall(Vec<CallPart>),
     /// It needs another connection; its parts wait for [`ReplicaConnections::send_on_new`] or
-    /// [`ReplicaConnections::not_opened`].
+    /// [`ReplicaConnections::open_failed`].
     NeedsConnection(UnplacedCall),
 }
 
@@ -64,7 +64,7 @@
 /// A connection that accepts a call.
 struct Candidate {
     key: ConnectionKey,
-    is_up: bool,
+    is_connected: bool,
 }
 
 /// The connections to leaf servers, as a whole. Times are of the loop's clock (seconds).
@@ -73,7 +73,7 @@
     /// The connection on which each attempt is in flight.
     in_flight: SecondaryMap<AttemptKey, ConnectionKey>,
     /// Connections whose calls leave in the next turn of the loop.
-    held_back: Vec<ConnectionKey>,
+    postponed: Vec<ConnectionKey>,
     /// Bytes that may wait to be written on one connection, at most.
     max_waiting_bytes: usize,
 }
@@ -85,7 +85,7 @@
         ReplicaConnections {
             count: 0,
             in_flight: SecondaryMap::new(),
-            held_back: Vec::new(),
+            postponed: Vec::new(),
             max_waiting_bytes: (memory_bytes / MEMORY_DIVISOR / max_replica_connections)
                 .clamp(MIN_WAITING_BYTES, MAX_WAITING_BYTES),
         }
@@ -97,18 +97,18 @@
     }
 
     /// Whether calls were held back in this turn of the loop.
-    pub(in crate::net) fn has_held_back(&self) -> bool {
-        !self.held_back.is_empty()
+    pub(in crate::net) fn has_postponed_writes(&self) -> bool {
+        !self.postponed.is_empty()
     }
 
     /// The calls of a connection leave in the next turn of the loop.
-    pub(super) fn hold_back(&mut self, key: ConnectionKey) {
-        self.held_back.push(key);
+    pub(super) fn postpone_write(&mut self, key: ConnectionKey) {
+        self.postponed.push(key);
     }
 
     /// The connections whose calls were held back, which is none from now on.
-    pub(in crate::net) fn take_held_back(&mut self) -> Vec<ConnectionKey> {
-        std::mem::take(&mut self.held_back)
+    pub(in crate::net) fn take_postponed(&mut self) -> Vec<ConnectionKey> {
+        std::mem::take(&mut self.postponed)
     }
 
     /// The connection on which an attempt is in flight.
@@ -165,7 +165,7 @@
             silence_s,
         };
         if wire_format == WireFormat::Search && parts.len() > 1 {
-            return Placement::OneByOne(parts);
+            return Placement::OnePartPerCall(parts);
         }
         let mut connections = endpoint.connections.clone();
         self.drop_unusable(runtime, &mut connections, silence_s);
@@ -209,7 +209,7 @@
                 return true;
             };
             let is_silent = connection.is_suspect(now, silence_s);
-            let is_idle = connection.is_up() && now >= connection.used_at() + max_idle_s;
+            let is_idle = connection.is_connected() && now >= connection.used_at() + max_idle_s;
             let is_unusable = connection.is_unused() && (is_silent || is_idle);
             if is_unusable {
                 self.drop_connection(runtime, *key);
@@ -304,7 +304,7 @@
     }
 
     /// No connection could be opened for a call: its attempts end. `error` is why, where the system refused it.
-    pub(in crate::net) fn not_opened(
+    pub(in crate::net) fn open_failed(
         &mut self,
         runtime: &mut Runtime,
         call: &UnplacedCall,
@@ -379,21 +379,21 @@
         };
         // A draining leaf server gets something new for a short while yet, but only at once: a connection that is being
         // established, or has bytes waiting, could bring it there too late.
-        let is_soon_enough =
-            required.is_ready || (connection.is_up() && connection.has_nothing_to_send());
+        let can_write_now =
+            required.is_ready || (connection.is_connected() && connection.has_nothing_to_send());
         if Some(connection.address()) != required.address
-            || !is_soon_enough
+            || !can_write_now
             || !connection.can_accept(parts, required.max_parts, runtime.now, required.silence_s)
         {
             continue;
         }
         if chosen
             .as_ref()
-            .is_none_or(|chosen| connection.is_up() && !chosen.is_up)
+            .is_none_or(|chosen| connection.is_connected() && !chosen.is_connected)
         {
             chosen = Some(Candidate {
                 key: *key,
-                is_up: connection.is_up(),
+                is_connected: connection.is_connected(),
             });
         }
     }
@@ -429,7 +429,7 @@
         .map(|class| class.latency_objective_s);
     pool::doubt_after_s(
         objectives.fold(f64::MAX, f64::min),
-        runtime.coordinator.near_worst_latency_s(),
+        runtime.coordinator.slowest_class_p95_s(),
     )
 }
 
--- a/src/net/replica/routing.rs
+++ b/src/net/replica/routing.rs
@@ -25,22 +25,22 @@
             .place_call(&mut self.runtime, replica, parts, list_until)
         {
             Placement::Done => {}
-            Placement::OneByOne(parts) => {
+            Placement::OnePartPerCall(parts) => {
                 for part in parts {
                     self.call(replica, vec![part]);
                 }
             }
-            Placement::NeedsConnection(call) => self.open_for(&call, list_until),
+            Placement::NeedsConnection(call) => self.open_connection_for(&call, list_until),
         }
     }
 
-    fn open_for(&mut self, call: &UnplacedCall, list_until: f64) {
+    fn open_connection_for(&mut self, call: &UnplacedCall, list_until: f64) {
         let max_connections = self.connection_limits().replicas;
         if !self
             .replicas
             .ensure_capacity(&mut self.runtime, max_connections)
         {
-            return self.replicas.not_opened(&mut self.runtime, call, None);
+            return self.replicas.open_failed(&mut self.runtime, call, None);
         }
         let address = call.address();
         match TcpStream::connect(address).or_else(|error| self.connect_again(address, error)) {
@@ -49,7 +49,7 @@
                 .send_on_new(&mut self.runtime, stream, call, list_until),
             Err(error) => self
                 .replicas
-                .not_opened(&mut self.runtime, call, Some(&error)),
+                .open_failed(&mut self.runtime, call, Some(&error)),
         }
     }
 
@@ -81,8 +81,8 @@
 
     /// Writes calls that were held back in the turn before, in which the loop was held up: what discovery wrote and which
     /// clients have gone is known now.
-    pub(in crate::net) fn flush_held_back(&mut self) {
-        for key in self.replicas.take_held_back() {
+    pub(in crate::net) fn flush_postponed(&mut self) {
+        for key in self.replicas.take_postponed() {
             let list_until = self.list_until();
             self.replicas
                 .flush_or_end(&mut self.runtime, key, list_until);
@@ -96,7 +96,7 @@
         self.replicas.cancel(&mut self.runtime, attempt, list_until);
     }
 
-    /// Withdraws an attempt that no client waits for, unless its call has begun to leave.
+    /// Withdraws an attempt that no client waits for, unless its call has started to leave.
     pub(in crate::net) fn withdraw_unsent(&mut self, attempt: AttemptKey) {
         self.replicas.withdraw_unsent(&mut self.runtime, attempt);
     }
--- a/src/net/replica/send_queue.rs
+++ b/src/net/replica/send_queue.rs
@@ -28,8 +28,8 @@
     /// The front whose requests the parts belong to.
     protocol: Protocol,
     /// Whether its first byte has left.
-    has_begun: bool,
-    /// It must have begun to leave by then.
+    has_started: bool,
+    /// It must have started to leave by then.
     send_by: f64,
 }
 
@@ -57,7 +57,7 @@
 
     /// Whether it is a call that may still be withdrawn.
     fn is_unsent_call(&self) -> bool {
-        !self.has_begun && !self.parts.is_empty()
+        !self.has_started && !self.parts.is_empty()
     }
 
     /// What the invariants need to know of the call.
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Takes a part out of a call of several that has not begun to leave. Gives how many bytes that were.
+    /// Takes a part out of a call of several that has not started to leave. Gives how many bytes that were.
     fn remove_part(&mut self, attempt: AttemptKey) -> usize {
         let index = self
             .parts
@@ -97,7 +97,7 @@
 
 /// A call whose first bytes have left.
 #[derive(Clone, Copy, Debug)]
-pub struct BegunCall {
+pub struct StartedCall {
     /// Its limits in time.
     pub times: CallTimes,
     /// It left at this time at the earliest (seconds).
@@ -117,7 +117,7 @@
     /// Bytes of the first frame have left.
     Wrote {
         /// The call, if these are its first bytes.
-        begun: Option<BegunCall>,
+        started: Option<StartedCall>,
         /// The frame, if its last byte has left.
         complete: Option<QueuedFrame>,
     },
@@ -158,7 +158,7 @@
             parts: queued_parts(parts.iter().cloned(), encoded.part_bytes),
             encoded_at: now,
             protocol,
-            has_begun: false,
+            has_started: false,
             send_by,
         });
     }
@@ -171,7 +171,7 @@
             parts: Vec::new(),
             encoded_at: 0.0,
             protocol: Protocol::Platform,
-            has_begun: false,
+            has_started: false,
             send_by: f64::INFINITY,
         });
     }
@@ -203,12 +203,12 @@
         }
     }
 
-    /// Withdraws an attempt, unless its call has begun to leave or it does not wait here. Says whether it was withdrawn.
+    /// Withdraws an attempt, unless its call has started to leave or it does not wait here. Says whether it was withdrawn.
     pub(super) fn withdraw(&mut self, attempt: AttemptKey) -> bool {
         let index = self
             .frames
             .iter()
-            .position(|frame| !frame.has_begun && frame.carries(attempt));
+            .position(|frame| !frame.has_started && frame.carries(attempt));
         let Some(index) = index else {
             return false;
         };
@@ -221,12 +221,12 @@
         true
     }
 
-    /// Withdraws every call that has not begun to leave. Gives its attempts.
+    /// Withdraws every call that has not started to leave. Gives its attempts.
     pub(super) fn withdraw_all(&mut self) -> Vec<AttemptKey> {
         self.withdraw_where(|_| true)
     }
 
-    /// Withdraws the calls that have not begun to leave and had to by now. Gives their attempts.
+    /// Withdraws the calls that have not started to leave and had to by now. Gives their attempts.
     pub(super) fn withdraw_late(&mut self, now: f64) -> Vec<AttemptKey> {
         self.withdraw_where(|frame| frame.send_by < now)
     }
@@ -259,14 +259,14 @@
     pub(super) fn is_partly_sent_too_late(&self, now: f64) -> bool {
         self.frames
             .front()
-            .is_some_and(|frame| frame.has_begun && frame.send_by < now)
+            .is_some_and(|frame| frame.has_started && frame.send_by < now)
     }
 
-    /// Attempts whose calls have not begun to leave.
+    /// Attempts whose calls have not started to leave.
     pub(super) fn unsent_attempts(&self) -> Vec<AttemptKey> {
         self.frames
             .iter()
-            .filter(|frame| !frame.has_begun)
+            .filter(|frame| !frame.has_started)
             .flat_map(QueuedFrame::attempts)
             .collect()
     }
@@ -275,33 +275,33 @@
     pub(super) fn partly_sent_attempts(&self) -> Vec<AttemptKey> {
         self.frames
             .front()
-            .filter(|frame| frame.has_begun)
+            .filter(|frame| frame.has_started)
             .into_iter()
             .flat_map(QueuedFrame::attempts)
             .collect()
     }
 
-    /// Writes once. `may_begin` is asked before the first byte of a call leaves; it gives the time if the call may.
+    /// Writes once. `may_start` is asked before the first byte of a call leaves; it gives the time if the call may.
     pub(super) fn write_once(
         &mut self,
         socket: &mut impl Write,
-        may_begin: &mut impl FnMut(&CallTimes) -> Option<f64>,
+        may_start: &mut impl FnMut(&CallTimes) -> Option<f64>,
     ) -> io::Result<WriteStep> {
         let Some(frame) = self.frames.front_mut() else {
             return Ok(WriteStep::Empty);
         };
-        let mut begun = None;
+        let mut started = None;
         if frame.is_unsent_call() {
             let times = frame.times();
-            let Some(not_before) = may_begin(&times) else {
+            let Some(not_before) = may_start(&times) else {
                 return Ok(WriteStep::Withdrawn(self.withdraw_first()));
             };
-            begun = Some(BegunCall { times, not_before });
+            started = Some(StartedCall { times, not_before });
         }
         match socket.write(&frame.bytes[self.sent_bytes..]) {
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
             Ok(count) => {
-                frame.has_begun = true;
+                frame.has_started = true;
                 self.sent_bytes += count;
                 self.waiting_bytes -= count;
             }
@@ -320,7 +320,7 @@
         } else {
             None
         };
-        Ok(WriteStep::Wrote { begun, complete })
+        Ok(WriteStep::Wrote { started, complete })
     }
 }
 
--- a/src/net/replica/send_queue/tests.rs
+++ b/src/net/replica/send_queue/tests.rs
@@ -42,11 +42,11 @@
 fn part(attempt: AttemptKey, id: &str, send_by: f64) -> CallPart {
     let query_request = QueryRequest {
         id: id.into(),
-        text: "text".into(),
+        payload: "text".into(),
         parts: vec![PartRequest {
             shard: 3,
             weight: 1.0,
-            hint_s: None,
+            cost_hint_s: None,
         }],
         ..QueryRequest::default()
     };
--- a/src/net/replica/sending.rs
+++ b/src/net/replica/sending.rs
@@ -8,7 +8,7 @@
 use crate::net::connection_table::Connection;
 use crate::net::replica::error::ReplicaError;
 use crate::net::replica::pool::{max_silence_s, ReplicaConnections};
-use crate::net::replica::send_queue::BegunCall;
+use crate::net::replica::send_queue::StartedCall;
 use crate::net::runtime::Runtime;
 use crate::net::tokens::PROTOCOLS;
 use crate::net::ConnectionKey;
@@ -40,7 +40,7 @@
         }
         // A loop that was held up reads what came meanwhile first: it may forbid the call.
         if runtime.is_held_up() {
-            self.hold_back(key);
+            self.postpone_write(key);
             return Ok(());
         }
         let to = destination(runtime, connection.replica(), list_until);
@@ -94,7 +94,7 @@
         self.flush_or_end(runtime, key, list_until);
     }
 
-    /// Withdraws an attempt that no client waits for, where leaf servers take no cancellations: only what has not begun to
+    /// Withdraws an attempt that no client waits for, where leaf servers take no cancellations: only what has not started to
     /// leave can be kept back.
     pub(in crate::net) fn withdraw_unsent(&mut self, runtime: &mut Runtime, attempt: AttemptKey) {
         let Some(key) = self.connection_of(attempt) else {
@@ -108,13 +108,13 @@
         }
     }
 
-    /// Withdraws all that has not begun to leave on a connection to a leaf server that may get nothing new. If the leaf
+    /// Withdraws all that has not started to leave on a connection to a leaf server that may get nothing new. If the leaf
     /// server is gone, the connection is dropped once it carries nothing.
     pub(in crate::net) fn withdraw_all_unsent(
         &mut self,
         runtime: &mut Runtime,
         key: ConnectionKey,
-        is_gone: bool,
+        is_removed: bool,
     ) {
         let Some(Connection::Replica(connection)) = runtime.connections.get_mut(key) else {
             return;
@@ -126,7 +126,7 @@
             runtime.connections.get(key),
             Some(Connection::Replica(connection)) if connection.is_unused()
         );
-        if is_gone && is_unused {
+        if is_removed && is_unused {
             self.drop_connection(runtime, key);
         }
     }
@@ -145,7 +145,7 @@
     }
 }
 
-/// Withdraws calls that have not begun to leave and that no client waits for any more. The coordinator withdraws each such
+/// Withdraws calls that have not started to leave and that no client waits for any more. The coordinator withdraws each such
 /// attempt itself; one that it missed is stopped here.
 fn withdraw_unwanted(runtime: &mut Runtime, key: ConnectionKey) -> Vec<AttemptKey> {
     let Some(Connection::Replica(connection)) = runtime.connections.get_mut(key) else {
@@ -159,7 +159,7 @@
         runtime
             .coordinator
             .invariants_mut()
-            .stop(Invariant::ClientGone);
+            .stop(Invariant::ClientDisconnected);
         runtime.log(
             "invariant kept, action stopped: client_gone: a part that no client waits for did not leave",
         );
@@ -182,7 +182,7 @@
             stopped_by,
         };
     };
-    if connection.is_up() {
+    if connection.is_connected() {
         connection.refresh_timeouts(now);
     }
     withdrawn.extend(connection.withdraw_late(now));
@@ -194,7 +194,7 @@
     }
     let invariants = runtime.coordinator.invariants_mut();
     let clock = &runtime.clock;
-    let may_begin = |call: &CallTimes| {
+    let may_start = |call: &CallTimes| {
         // The process may have been stopped since the turn began, and may yet be before the write.
         let just_before = clock.now();
         // Both are checked in any case: each counts what it stops.
@@ -203,28 +203,28 @@
         stopped_by = verdict.err().or(stopped_by);
         verdict.is_ok().then_some(just_before)
     };
-    let result: io::Result<()> = connection.flush(may_begin, withdrawn);
+    let result: io::Result<()> = connection.flush(may_start, withdrawn);
     Flushed {
         result: result.map_err(ReplicaError::from),
         stopped_by,
     }
 }
 
-/// Counts the attempts that have left completely, and verifies the calls that have begun to leave.
+/// Counts the attempts that have left completely, and verifies the calls that have started to leave.
 fn count_written(runtime: &mut Runtime, key: ConnectionKey, to: &Destination) {
     let Some(Connection::Replica(connection)) = runtime.connections.get_mut(key) else {
         return;
     };
     let written = connection.take_written();
-    let begun_calls = connection.take_begun_calls();
+    let started_calls = connection.take_started_calls();
     for (protocol, count) in PROTOCOLS.into_iter().zip(written) {
         runtime.coordinator.count_sent_attempts(protocol, count);
     }
-    verify_calls(runtime, to, &begun_calls);
+    verify_calls(runtime, to, &started_calls);
 }
 
-/// Verifies calls that have begun to leave, by the time now that they are written.
-fn verify_calls(runtime: &mut Runtime, to: &Destination, calls: &[BegunCall]) {
+/// Verifies calls that have started to leave, by the time now that they are written.
+fn verify_calls(runtime: &mut Runtime, to: &Destination, calls: &[StartedCall]) {
     if calls.is_empty() {
         return;
     }
@@ -263,7 +263,7 @@
     runtime
         .coordinator
         .invariants_mut()
-        .stop(Invariant::ClientGone);
+        .stop(Invariant::ClientDisconnected);
     runtime.log(
         "invariant kept, action stopped: client_gone: a partly sent call that no client waits for does not arrive",
     );
--- a/src/net/runtime.rs
+++ b/src/net/runtime.rs
@@ -6,7 +6,7 @@
 use crate::endpoints::directory::{ConnectionKey, Directory};
 use crate::net::clock::Clock;
 use crate::net::connection_table::Connection;
-use crate::net::discovery::lease::HELD_UP_S;
+use crate::net::discovery::lease::MAX_LOOP_DELAY_S;
 use crate::net::log::Log;
 use crate::net::timer_queue::{Deadline, TimerQueue};
 use crate::net::tokens::token;
@@ -46,7 +46,7 @@
 impl Runtime {
     /// Whether the loop has been held up since this turn began, so that sockets have not been read since.
     pub(in crate::net) fn is_held_up(&self) -> bool {
-        self.clock.now() > self.now + HELD_UP_S
+        self.clock.now() > self.now + MAX_LOOP_DELAY_S
     }
 
     /// Writes a line about the mixer as a whole, within the limit on such lines.
--- a/src/net/standstill.rs
+++ b/src/net/standstill.rs
@@ -2,7 +2,7 @@
 //!
 //! This file owns when the loop expected to wake and since when it may have stood still. It must never read a clock.
 
-use crate::net::discovery::lease::STANDSTILL_S;
+use crate::net::discovery::lease::MIN_PROCESS_PAUSE_S;
 
 /// What the loop knows of its own wake-ups. Times are of the loop's clock (seconds).
 pub(super) struct StandstillDetector {
@@ -31,7 +31,7 @@
     /// The wait is over. Returns how much later than expected (seconds; negative where an event came first).
     pub(super) fn woke(&mut self, now: f64, previous_turn_at: f64) -> f64 {
         let overslept_s = now - std::mem::replace(&mut self.wake_at, f64::INFINITY);
-        if overslept_s > STANDSTILL_S {
+        if overslept_s > MIN_PROCESS_PAUSE_S {
             self.beginning.get_or_insert(previous_turn_at);
         }
         overslept_s
@@ -39,7 +39,7 @@
 
     /// Handling the events of a turn took so long (seconds); the turn began at that time.
     pub(super) fn turn_took(&mut self, turn_s: f64, turn_began_at: f64) {
-        if turn_s > STANDSTILL_S {
+        if turn_s > MIN_PROCESS_PAUSE_S {
             self.beginning = Some(turn_began_at);
         }
     }
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -58,7 +58,7 @@
         mixer.lifecycle.begin_inheriting();
     }
     if let Some(known) = &known_list {
-        mixer.take_list(known);
+        mixer.apply_list(known);
     }
     if let Some(inherited) = inherited {
         mixer.set_up_handover(inherited)?;
--- a/src/requests/attempt.rs
+++ b/src/requests/attempt.rs
@@ -1,7 +1,4 @@
-//! Attempts: what is sent to a replica for one part of a request.
-//!
-//! This file owns the record of an attempt in flight, and the calls that are collected until a round of decisions is over.
-//! It must never decide whether an attempt is made.
+//! The record of an attempt in flight, and the queue that groups the attempts of one round of decisions into calls.
 
 use crate::decisions::api::{Outcome, PartId, ReplicaId};
 use crate::requests::query_request::{Protocol, QueryRequest};
@@ -9,43 +6,43 @@
 use std::rc::Rc;
 
 slotmap::new_key_type! {
-    /// An attempt that has no outcome yet.
+    /// An attempt in flight: sent or queued, with no recorded outcome.
     pub struct AttemptKey;
 }
 
 /// One part in a call to a replica.
 #[derive(Clone, Debug)]
 pub struct CallPart {
-    /// The attempt that this is.
+    /// Key under which the coordinator records the attempt.
     pub attempt: AttemptKey,
-    /// The request that it belongs to.
+    /// Request that the part belongs to.
     pub query_request: Rc<QueryRequest>,
-    /// The part's index in the request.
+    /// Index of the part in the request.
     pub index: usize,
-    /// How long the mixer will wait for it (seconds).
+    /// Timeout after which the coordinator ends the attempt (seconds).
     pub timeout_s: f64,
-    /// Until when its client waits.
+    /// Time until which the client waits for the answer.
     pub client_deadline: f64,
-    /// Whether it is a pre-check, which asks only whether anything matches.
+    /// Whether the replica is asked only if anything matches (pre-check).
     pub pre_check: bool,
-    /// When it must have begun to leave: for a retry in a class whose leaf servers discard repeats for a while only.
-    /// Infinite for any other.
+    /// Latest time at which writing may start, for a retry in a class whose leaf servers discard duplicates only for a
+    /// limited time; infinite for any other attempt.
     pub send_by: f64,
 }
 
-/// An attempt that has no outcome yet.
+/// An attempt in flight: sent or queued, with no recorded outcome.
 pub(super) struct Attempt {
     pub(super) part: PartId,
-    /// Of its part, from 0.
+    /// Number of the attempt within its part, from 0.
     pub(super) number: u8,
     pub(super) replica: ReplicaId,
     pub(super) sent_at: f64,
     pub(super) pre_check: bool,
-    /// Of its request.
+    /// Front through which the request was received.
     pub(super) protocol: Protocol,
 }
 
-/// Whether an outcome proves that the attempt was never executed.
+/// Returns whether an outcome proves that the replica never executed the attempt.
 pub(super) fn has_never_run(outcome: Outcome) -> bool {
     matches!(
         outcome,
@@ -53,17 +50,17 @@
     )
 }
 
-/// The parts of one call.
+/// Parts that are queued for the same replica.
 struct PendingCall {
     replica: ReplicaId,
     parts: Vec<CallPart>,
 }
 
-/// The calls of one round of decisions, in the order of their first parts. Parts to one replica go together.
+/// The calls of one round of decisions, in the order of their first parts. All parts for a replica are in the same call.
 #[derive(Default)]
 pub(super) struct CallQueue {
     calls: Vec<PendingCall>,
-    /// The index of each replica's call.
+    /// Index in `calls` by replica.
     index_of: BTreeMap<ReplicaId, usize>,
 }
 
@@ -80,7 +77,7 @@
         self.calls[index].parts.push(part);
     }
 
-    /// Removes an attempt that has not been handed over yet. Returns whether it was here.
+    /// Removes an attempt that has not been drained yet; returns whether it was queued.
     pub(super) fn withdraw(&mut self, key: AttemptKey) -> bool {
         self.calls.iter_mut().any(|call| {
             let count = call.parts.len();
@@ -89,18 +86,18 @@
         })
     }
 
-    /// Empties the queue into `hand_over`, in calls of at most `max_parts` parts, none of them empty.
+    /// Empties the queue and passes its calls to `emit_call`, split into calls of 1 to `max_parts` parts.
     pub(super) fn drain(
         &mut self,
         max_parts: usize,
-        mut hand_over: impl FnMut(ReplicaId, Vec<CallPart>),
+        mut emit_call: impl FnMut(ReplicaId, Vec<CallPart>),
     ) {
         self.index_of.clear();
         for call in std::mem::take(&mut self.calls) {
             let mut parts = call.parts;
             while !parts.is_empty() {
                 let rest = parts.split_off(parts.len().min(max_parts));
-                hand_over(call.replica, parts);
+                emit_call(call.replica, parts);
                 parts = rest;
             }
         }
--- a/src/requests/command.rs
+++ b/src/requests/command.rs
@@ -1,6 +1,5 @@
-//! What the coordinator wants done by whoever owns the sockets and the timers.
-//!
-//! This file owns the vocabulary of these commands only. They are to be carried out in the order in which they were given.
+//! Commands of the coordinator to the event loop, which owns the sockets and the timers. Commands are to be executed in the
+//! order in which they were issued.
 
 use crate::decisions::api::ReplicaId;
 use crate::requests::attempt::{AttemptKey, CallPart};
@@ -9,62 +8,64 @@
 use crate::requests::response::FinalAnswer;
 use std::rc::Rc;
 
-/// What the coordinator wants done.
+/// A command to the event loop.
 #[derive(Debug)]
 pub enum Command {
-    /// Send these parts to a replica in one call.
+    /// Sends parts to a replica in one call.
     Call {
-        /// The replica.
+        /// Destination of the call.
         replica: ReplicaId,
-        /// The parts, at least one.
+        /// Parts of the call, at least one.
         parts: Vec<CallPart>,
     },
-    /// Nobody waits for this attempt any more; its outcome has been recorded.
+    /// Cancels an attempt whose outcome has already been recorded.
     Cancel {
-        /// The attempt.
+        /// Attempt to end.
         attempt: AttemptKey,
     },
-    /// Nobody waits for this attempt any more, and replicas take no cancellation: it must not leave if it has not begun to.
+    /// Removes an attempt of a finished request from the send queue unless writing has started. Used where replicas accept
+    /// no cancellations.
     Withdraw {
-        /// The attempt.
+        /// Attempt to end.
         attempt: AttemptKey,
     },
-    /// Give the caller the final answer.
+    /// Returns the final answer to the caller.
     Reply {
-        /// As handed to [`Coordinator::accept_request`](crate::requests::coordinator::Coordinator::accept_request).
+        /// Handle that the caller passed to
+        /// [`Coordinator::accept_request`](crate::requests::coordinator::Coordinator::accept_request).
         caller: u64,
-        /// The answer.
-        last: FinalAnswer,
-        /// The request that it answers.
+        /// Final answer of the request.
+        answer: FinalAnswer,
+        /// Request that is answered.
         query_request: Rc<QueryRequest>,
-        /// The time since acceptance (seconds).
+        /// Time since the request was accepted (seconds).
         took_s: f64,
     },
-    /// Call [`Coordinator::wake`](crate::requests::coordinator::Coordinator::wake) with this at that time.
+    /// Schedules a call of [`Coordinator::wake`](crate::requests::coordinator::Coordinator::wake).
     WakeAt {
-        /// When.
+        /// Time of the call.
         at: f64,
-        /// The deadline that passes then.
+        /// Deadline to pass to `wake`.
         wake: Wake,
     },
-    /// Poll discovery for changes of the endpoint list.
+    /// Requests a call to discovery for changes of the endpoint list.
     Watch,
-    /// Close the idle connections to a replica.
+    /// Closes the idle connections to a replica.
     CloseIdle {
-        /// The replica.
+        /// Replica whose connections are closed.
         replica: ReplicaId,
     },
-    /// Write a line to the log.
+    /// Writes a line to the log.
     Log(String),
 }
 
-/// What a deadline is for.
+/// The kind of a deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Wake {
-    /// A timer of the decision module, by its token.
+    /// Timer of the decision module, identified by its token.
     Module(u64),
-    /// The deadline of a request.
+    /// Deadline of a request.
     Request(RequestKey),
-    /// The timeout of an attempt.
+    /// Timeout of an attempt.
     Attempt(AttemptKey),
 }
--- a/src/requests/coordinator.rs
+++ b/src/requests/coordinator.rs
@@ -1,11 +1,11 @@
-//! The coordinator: every open request, around the decision module.
+//! The coordinator: manages each request from its acceptance to its final answer, and each attempt from its sending to its
+//! outcome.
 //!
-//! This file owns every request from its acceptance to its one final answer, and every attempt from its sending to its one
-//! outcome. It feeds the decision module events, and carries the module's actions out as [`Command`]s for whoever owns the
-//! sockets. Whatever the module says, it enforces what must always hold: one final answer for each request, before its
-//! client's deadline; a rejection only where nothing with an effect may have been executed; no answer below the floor of its
-//! class; `mostHeld`; the bound on attempts. It must never know a wire, a socket or JSON, never read a clock (time is passed
-//! in) and never choose a replica.
+//! The coordinator feeds events to the decision module and translates the module's actions into [`Command`]s for the event
+//! loop. Whatever the module decides, the coordinator enforces these invariants: each request gets exactly one final
+//! answer, before its client's deadline; a request is rejected only if nothing with an effect may have been executed; no
+//! answer is below the floor of its class; at most `mostHeld` queries and parts are open; the number of attempts is
+//! bounded. The coordinator performs no I/O and reads no clock: the current time is a parameter of each method.
 
 mod answering;
 mod attempts;
@@ -36,7 +36,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-/// The length of a query's pre-check phase (seconds), where it is to have one.
+/// Returns the length of the pre-check phase of a query (seconds), or `None` if the query has no such phase.
 fn plan_pre_check(
     phases: &mut Phases,
     query_request: &QueryRequest,
@@ -50,59 +50,60 @@
     )
 }
 
-/// The open requests of one mixer, around its decision module.
+/// The open requests of one mixer and its decision module.
 pub struct Coordinator {
-    module: Aggregator,
+    decisions: Aggregator,
     deployment: Rc<Deployment>,
     requests: SlotMap<RequestKey, Request>,
     attempts: SlotMap<AttemptKey, Attempt>,
     queries: BTreeMap<QueryId, RequestKey>,
-    /// The clients' ids of the open requests.
-    ids: BTreeSet<String>,
+    /// Ids that clients gave to the open requests.
+    open_ids: BTreeSet<String>,
     parts: BTreeMap<PartId, PartState>,
     invariants: Invariants,
-    /// Queries and parts that are open.
-    held: usize,
-    /// Until when the endpoint list may be acted on.
-    list_until: f64,
+    /// Number of open queries plus their parts; limited by `mostHeld`.
+    open_count: usize,
+    /// Time until which the endpoint list may be used.
+    list_valid_until: f64,
     last_id: u32,
-    last_number: u32,
-    /// Events for the module that it has not handled yet.
+    last_query_number: u32,
+    /// Events that the decision module has not handled yet.
     events: VecDeque<Event>,
-    /// An empty buffer for the module's actions.
+    /// Buffer for the module's actions, reused to avoid allocations.
     actions: Vec<Action>,
-    /// The calls of this round of decisions.
+    /// Calls of the current round of decisions.
     calls: CallQueue,
-    /// By protocol.
+    /// Indexed by protocol.
     metrics: [Metrics; 2],
     phases: Phases,
-    /// The attempts that a successor has not been notified of.
+    /// Recorder of attempts that have not been reported to the successor process.
     recorder: AttemptRecorder,
-    /// The load of the process that this one takes over from.
+    /// Load of the predecessor process during an upgrade.
     predecessor: ProcessLoad,
 }
 
 impl Coordinator {
-    /// A coordinator with no open request and an empty endpoint list. The same seed makes the same decisions.
+    /// Creates a coordinator with no open request and an empty endpoint list. The same seed and the same events lead to the
+    /// same decisions.
     pub fn new(deployment: Rc<Deployment>, seed: u64, now: f64) -> Coordinator {
         let mut metrics = [Metrics::default(), Metrics::default()];
         for metrics in &mut metrics {
             metrics.track_classes(&deployment.classes);
         }
         Coordinator {
-            module: Aggregator::new(module_settings(&deployment), seed, now),
+            decisions: Aggregator::new(module_settings(&deployment), seed, now),
             phases: new_phases(&deployment),
             deployment,
             requests: SlotMap::with_key(),
             attempts: SlotMap::with_key(),
             queries: BTreeMap::new(),
-            ids: BTreeSet::new(),
+            open_ids: BTreeSet::new(),
             parts: BTreeMap::new(),
             invariants: Invariants::default(),
-            held: 0,
-            list_until: f64::INFINITY,
+            open_count: 0,
+            list_valid_until: f64::INFINITY,
             last_id: 0,
-            last_number: 0,
+            last_query_number: 0,
             events: VecDeque::new(),
             actions: Vec::new(),
             calls: CallQueue::default(),
@@ -112,41 +113,41 @@
         }
     }
 
-    /// What the decision module has learned, for a successor.
+    /// Returns the statistics that the decision module has learned, for the successor process.
     pub fn learned_state(&self) -> LearnedState {
-        self.module.learned_state()
+        self.decisions.learned_state()
     }
 
-    /// The names of the classes by which the learned state goes.
-    pub fn learned_classes(&self) -> Vec<String> {
+    /// Returns the names of the classes in the order in which the learned state refers to them.
+    pub fn learned_class_names(&self) -> Vec<String> {
         module_classes(&self.deployment)
     }
 
-    /// What has been learned of pre-check phases, for a successor.
+    /// Returns the statistics of pre-check phases, for the successor process.
     pub fn learned_phases(&self) -> Vec<PhaseStatistics> {
         self.phases.statistics()
     }
 
-    /// The pre-check phases and their metrics, by class.
+    /// Returns the pre-check phases and their metrics, by class.
     pub fn phases(&self) -> &Phases {
         &self.phases
     }
 
-    /// Takes over what a predecessor learned of pre-check phases.
+    /// Adopts the predecessor's statistics of pre-check phases.
     pub fn inherit_phases(&mut self, learned: Vec<PhaseStatistics>) {
         self.phases.inherit(learned);
     }
 
-    /// Takes over what a predecessor learned, whose classes and tenants had these names.
+    /// Adopts the state that a predecessor learned; `classes` and `tenants` are the names to which its indices refer.
     pub fn inherit(&mut self, learned_state: LearnedState, classes: &[String], tenants: &[String]) {
         let classes = former_indices(&module_classes(&self.deployment), classes);
         let tenants = former_indices(&self.deployment.tenants, tenants);
-        self.module.inherit(learned_state, &classes, &tenants);
+        self.decisions.inherit(learned_state, &classes, &tenants);
     }
 
-    /// Records from now on the attempts that are made, for a successor; or no longer. While it records, no retry budget
-    /// accrues here: the successor counts the attempts of both, and its own are not known here.
-    pub fn record(&mut self, now: f64, on: bool, out: &mut Vec<Command>) {
+    /// Starts or stops recording attempts for the successor process. While recording, the local retry budget does not grow:
+    /// the successor counts the attempts of both processes, and this process does not know those of the successor.
+    pub fn set_recording(&mut self, now: f64, on: bool, out: &mut Vec<Command>) {
         self.recorder.set_recording(on);
         let mut settings = Box::new(module_settings(&self.deployment));
         let Some(retry_budget) = settings.retry_budget.as_mut() else {
@@ -159,7 +160,7 @@
         let unchanged = |count: usize| (0..count).map(Some).collect();
         let classes = unchanged(settings.classes.len());
         let tenants = unchanged(settings.tenants.len());
-        self.feed(
+        self.handle_event(
             now,
             Event::Settings {
                 settings,
@@ -170,15 +171,15 @@
         );
     }
 
-    /// The load of this process, with the attempts made since this was last called.
-    pub fn load(&mut self) -> ProcessLoad {
+    /// Returns the load of this process, with the attempts sent since the previous call of this method.
+    pub fn take_process_load(&mut self) -> ProcessLoad {
         let mut in_flight: BTreeMap<ReplicaId, u32> = BTreeMap::new();
         for attempt in self.attempts.values() {
             *in_flight.entry(attempt.replica).or_default() += 1;
         }
         ProcessLoad {
-            ids: self.ids.iter().cloned().collect(),
-            held: self.held,
+            request_ids: self.open_ids.iter().cloned().collect(),
+            open_count: self.open_count,
             attempts: PredecessorLoad {
                 in_flight: in_flight
                     .into_iter()
@@ -189,30 +190,30 @@
         }
     }
 
-    /// Takes the load of the process that this one takes over from: both together keep the limits that one would keep.
+    /// Sets the load of the predecessor process, so that both processes together keep the limits of a single one.
     pub fn set_predecessor_load(&mut self, now: f64, load: ProcessLoad, out: &mut Vec<Command>) {
-        self.feed(now, Event::PredecessorLoad(load.attempts.clone()), out);
+        self.handle_event(now, Event::PredecessorLoad(load.attempts.clone()), out);
         self.predecessor = load;
     }
 
-    /// The metrics of one protocol's requests.
+    /// Returns the metrics of one protocol's requests.
     pub fn metrics(&self, protocol: Protocol) -> &Metrics {
         &self.metrics[protocol as usize]
     }
 
-    /// Counts attempts of a protocol that have been written completely to a replica.
+    /// Counts attempts that have been written completely to a replica.
     pub fn count_sent_attempts(&mut self, protocol: Protocol, attempts: u64) {
-        self.metrics[protocol as usize].sends += attempts;
+        self.metrics[protocol as usize].sent_attempts += attempts;
     }
 
-    /// How many replicas of the list are avoided now, as ejected or slow.
+    /// Returns the number of listed replicas that are currently avoided because they are ejected or slow.
     pub fn avoided_replicas(&self) -> usize {
-        self.module.avoided()
+        self.decisions.avoided()
     }
 
-    /// Within what time nearly all answers come, in the slowest class (seconds).
-    pub fn near_worst_latency_s(&self) -> f64 {
-        self.module
+    /// Returns the 95th percentile latency of the slowest class (seconds).
+    pub fn slowest_class_p95_s(&self) -> f64 {
+        self.decisions
             .statistics
             .latencies
             .iter()
@@ -220,14 +221,14 @@
             .fold(0.0, f64::max)
     }
 
-    /// The client's id of an open request.
-    pub fn id_of(&self, key: RequestKey) -> Option<&str> {
+    /// Returns the client's id of an open request.
+    pub fn request_id(&self, key: RequestKey) -> Option<&str> {
         self.requests
             .get(key)
             .map(|request| request.query_request.id.as_str())
     }
 
-    /// Whether an attempt is in flight for a request that has no final answer yet.
+    /// Returns whether an attempt is in flight for a request that has no final answer yet.
     pub fn is_wanted(&self, key: AttemptKey) -> bool {
         let part = self
             .attempts
@@ -236,38 +237,40 @@
         part.is_some_and(|part| part.request.is_some())
     }
 
-    /// The invariants' counts.
+    /// Returns the counters of the invariants.
     pub fn invariants(&self) -> &Invariants {
         &self.invariants
     }
 
-    /// The invariants, for the checks of acts outside the coordinator.
+    /// Returns the invariants for checks of actions outside the coordinator.
     pub fn invariants_mut(&mut self) -> &mut Invariants {
         &mut self.invariants
     }
 
-    /// Requests that have no final answer yet.
+    /// Returns the number of requests without a final answer.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether a request of that id is open, here or at the predecessor. Another one of that id must not be accepted.
-    pub fn is_open(&self, id: &str) -> bool {
-        self.ids.contains(id) || self.predecessor.ids.iter().any(|other| other == id)
+    /// Returns whether a request with this id is open here or in the predecessor process. A second request with the same id
+    /// must not be accepted.
+    pub fn is_request_open(&self, id: &str) -> bool {
+        self.open_ids.contains(id) || self.predecessor.request_ids.iter().any(|other| other == id)
     }
 
-    /// Whether an attempt has no outcome yet.
+    /// Returns whether an attempt has no outcome yet.
     pub fn is_in_flight(&self, key: AttemptKey) -> bool {
         self.attempts.contains_key(key)
     }
 
-    /// Begins the module's periodic tick. Without this a mixer that polls discovery and has no list yet would wait for an
-    /// event that only its own first call can bring. To be called once, after the last known list where there is one.
+    /// Starts the module's periodic tick. Without the tick, a mixer that polls discovery and has no list would never make
+    /// its first call, because only that call brings further events. Must be called once, after the last known list was set
+    /// where there is one.
     pub fn start(&mut self, now: f64, out: &mut Vec<Command>) {
-        self.feed(now, Event::Start, out);
+        self.handle_event(now, Event::Start, out);
     }
 
-    /// Takes the endpoint list, or with `full` false the entries of it that changed.
+    /// Applies a complete endpoint list or, if `full` is false, the entries that changed.
     pub fn update_endpoints(
         &mut self,
         now: f64,
@@ -276,10 +279,10 @@
         out: &mut Vec<Command>,
     ) {
         let entries = entries.into();
-        self.feed(now, Event::List { full, entries }, out);
+        self.handle_event(now, Event::List { full, entries }, out);
     }
 
-    /// Puts other settings into force. Open requests keep the class settings with which they were accepted.
+    /// Applies new settings. Open requests keep the class settings with which they were accepted.
     pub fn reconfigure(&mut self, now: f64, deployment: Rc<Deployment>, out: &mut Vec<Command>) {
         let former_classes = module_classes(&self.deployment);
         let classes = former_indices(&module_classes(&deployment), &former_classes).into();
@@ -293,7 +296,7 @@
         self.phases.inherit(learned);
         self.phases.keep_metrics(&former_phases);
         self.deployment = deployment;
-        self.feed(
+        self.handle_event(
             now,
             Event::Settings {
                 settings,
@@ -304,18 +307,18 @@
         );
     }
 
-    /// Notifies that the endpoint list may be acted on until then.
-    pub fn list_lease(&mut self, now: f64, until: f64, out: &mut Vec<Command>) {
-        self.list_until = until;
-        self.feed(now, Event::ListLease { until }, out);
+    /// Sets the time until which the endpoint list may be used.
+    pub fn set_list_lease(&mut self, now: f64, until: f64, out: &mut Vec<Command>) {
+        self.list_valid_until = until;
+        self.handle_event(now, Event::ListLease { until }, out);
     }
 
-    /// Notifies that a call for the endpoint list failed, or that the watch broke.
-    pub fn list_failed(&mut self, now: f64, out: &mut Vec<Command>) {
-        self.feed(now, Event::ListFailed, out);
+    /// Records that a call for the endpoint list failed or that the watch broke.
+    pub fn list_call_failed(&mut self, now: f64, out: &mut Vec<Command>) {
+        self.handle_event(now, Event::ListFailed, out);
     }
 
-    /// Accepts a request. It gets exactly one [`Command::Reply`], unless its client leaves.
+    /// Accepts a request. The caller gets exactly one [`Command::Reply`], unless the client disconnects first.
     pub fn accept_request(
         &mut self,
         now: f64,
@@ -323,35 +326,36 @@
         caller: u64,
         out: &mut Vec<Command>,
     ) -> RequestKey {
-        let is_full = self.held + self.predecessor.held >= self.deployment.max_in_flight;
+        let is_full =
+            self.open_count + self.predecessor.open_count >= self.deployment.max_in_flight;
         let key = self.open_request(now, query_request, caller);
         if is_full {
-            // The decision module never learns of a request beyond the limit.
-            let last = FinalAnswer::Rejected {
-                reason: Reason::Held,
+            // The decision module is not notified of a request beyond the limit.
+            let answer = FinalAnswer::Rejected {
+                reason: Reason::TooManyOpen,
                 retry_after_s: self.deployment.policy.retry_after_s / 2.0,
             };
-            self.finish(now, key, last, out);
+            self.finish(now, key, answer, out);
             return key;
         }
         self.submit(now, key, out);
-        self.pump(now, out);
+        self.process_events(now, out);
         key
     }
 
-    /// The client of a request has left; it gets no answer.
-    pub fn client_left(&mut self, now: f64, key: RequestKey, out: &mut Vec<Command>) {
-        let Some(request) = self.forget(key) else {
+    /// Removes a request whose client has disconnected; no answer is sent.
+    pub fn client_disconnected(&mut self, now: f64, key: RequestKey, out: &mut Vec<Command>) {
+        let Some(request) = self.remove_request(key) else {
             return;
         };
         if let Some(metrics) = self.class_metrics(&request.query_request) {
-            metrics.left += 1;
+            metrics.client_disconnected += 1;
         }
         self.withdraw_unsent(now, &request, out);
-        self.feed(now, Event::ClientLeft(request.query), out);
+        self.handle_event(now, Event::ClientLeft(request.query), out);
     }
 
-    /// An attempt ended. `value` is what the replica answered for the part, where it served it.
+    /// Records the end of an attempt. `value` is the replica's answer for the part, if the part was served.
     pub fn attempt_ended(
         &mut self,
         now: f64,
@@ -361,13 +365,13 @@
         out: &mut Vec<Command>,
     ) {
         self.end_attempt(now, key, outcome, value);
-        self.pump(now, out);
+        self.process_events(now, out);
     }
 
-    /// A time that [`Command::WakeAt`] named has come. What it was for may have ended since.
+    /// Handles a deadline set by [`Command::WakeAt`]. A deadline whose request or attempt has ended has no effect.
     pub fn wake(&mut self, now: f64, wake: Wake, out: &mut Vec<Command>) {
         match wake {
-            Wake::Module(token) => self.feed(now, Event::Timer(token), out),
+            Wake::Module(token) => self.handle_event(now, Event::Timer(token), out),
             Wake::Attempt(key) => {
                 if self.attempts.contains_key(key) {
                     out.push(Command::Cancel { attempt: key });
@@ -375,24 +379,24 @@
                 }
             }
             Wake::Request(key) => {
-                // The module gives a request up before its deadline, unless the process was held up.
+                // The module ends a request before its deadline, unless the process was paused.
                 if let Some(request) = self.requests.get(key) {
                     let query = request.query;
-                    let last = request.failure(Reason::DeadlineExceeded);
-                    self.finish(now, key, last, out);
-                    self.feed(now, Event::ClientLeft(query), out);
+                    let answer = request.failure(Reason::DeadlineExceeded);
+                    self.finish(now, key, answer, out);
+                    self.handle_event(now, Event::ClientLeft(query), out);
                 }
             }
         }
     }
 
-    /// Adds a request to the open ones.
+    /// Adds a request to the open ones, without notifying the decision module.
     fn open_request(&mut self, now: f64, query_request: QueryRequest, caller: u64) -> RequestKey {
         let count = query_request.parts.len();
-        self.held += 1 + count;
+        self.open_count += 1 + count;
         let query = QueryId(self.next_id());
         let parts = (0..count).map(|_| PartId(self.next_id())).collect();
-        self.ids.insert(query_request.id.clone());
+        self.open_ids.insert(query_request.id.clone());
         self.requests.insert(Request {
             caller,
             query,
@@ -402,12 +406,12 @@
             pruned: vec![false; count],
             class_settings: self.deployment.policy.classes[query_request.class].clone(),
             may_have_run: false,
-            taken_at: now,
+            accepted_at: now,
             query_request: Rc::new(query_request),
         })
     }
 
-    /// Queues the events by which the decision module learns of a request.
+    /// Queues the events that notify the decision module of a request and its parts.
     fn submit(&mut self, now: f64, key: RequestKey, out: &mut Vec<Command>) {
         let request = &self.requests[key];
         let query_request = &request.query_request;
@@ -417,8 +421,8 @@
             wake: Wake::Request(key),
         });
         self.queries.insert(request.query, key);
-        self.last_number = self.last_number.wrapping_add(1);
-        let number = self.last_number;
+        self.last_query_number = self.last_query_number.wrapping_add(1);
+        let number = self.last_query_number;
         let timeout_s = deadline - now;
         let pre_check_s = plan_pre_check(&mut self.phases, query_request, timeout_s);
         let pre_check_class = pre_check_class(&self.deployment, query_request.class);
@@ -435,7 +439,7 @@
             tenant: query_request.tenant,
             deadline,
             parts: query_request.parts.len() as u32,
-            repeat: query_request.repeat,
+            repeat: query_request.is_client_retry,
             key: query_request.key,
             pre_check,
         }));
@@ -447,7 +451,7 @@
                 query_number: number,
                 shard: part.shard,
                 weight: part.weight,
-                cost_hint_s: part.hint_s,
+                cost_hint_s: part.cost_hint_s,
             }));
         }
     }
@@ -457,18 +461,19 @@
         self.last_id
     }
 
-    fn feed(&mut self, now: f64, event: Event, out: &mut Vec<Command>) {
+    fn handle_event(&mut self, now: f64, event: Event, out: &mut Vec<Command>) {
         self.events.push_back(event);
-        self.pump(now, out);
+        self.process_events(now, out);
     }
 
-    /// Feeds the module all events that wait, and those that its own actions cause; then hands over the calls.
-    fn pump(&mut self, now: f64, out: &mut Vec<Command>) {
+    /// Passes all queued events to the decision module, including those caused by its own actions, and then issues the
+    /// queued calls.
+    fn process_events(&mut self, now: f64, out: &mut Vec<Command>) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
-            self.module.handle(now, event, &mut actions);
+            self.decisions.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.act(now, action, out);
+                self.execute_action(now, action, out);
             }
             self.actions = actions;
         }
@@ -478,8 +483,8 @@
         });
     }
 
-    /// Carries out one action of the module. One that concerns a request that is no longer open does nothing.
-    fn act(&mut self, now: f64, action: Action, out: &mut Vec<Command>) {
+    /// Executes one action of the module. An action for a request that is no longer open has no effect.
+    fn execute_action(&mut self, now: f64, action: Action, out: &mut Vec<Command>) {
         match action {
             Action::Send {
                 part,
@@ -504,7 +509,9 @@
                 retry_after_s,
             } => self.reject(now, query, retry_after_s, out),
             Action::Fail { query } => {
-                self.finish_query(now, query, out, |request| request.failure(Reason::GivenUp));
+                self.finish_query(now, query, out, |request| {
+                    request.failure(Reason::Abandoned)
+                });
             }
             Action::SetTimer { token, after_s } => out.push(Command::WakeAt {
                 at: now + after_s,
--- a/src/requests/coordinator/answering.rs
+++ b/src/requests/coordinator/answering.rs
@@ -1,35 +1,32 @@
-//! The coordinator's final answers.
-//!
-//! This file owns the one place where a request gets its final answer, and what is counted of it. What an answer may claim
-//! stands in [`response`](crate::requests::response).
+//! Final answers of the coordinator and the metrics that are recorded with them. The contents of an answer are determined
+//! in [`response`](crate::requests::response).
 
 use super::Coordinator;
 use crate::decisions::api::QueryId;
 use crate::requests::command::Command;
-use crate::requests::metrics::{count, ClassMetrics};
+use crate::requests::metrics::{increment, ClassMetrics};
 use crate::requests::part::PartState;
 use crate::requests::query_request::QueryRequest;
 use crate::requests::request::{Request, RequestKey};
 use crate::requests::response::{FinalAnswer, Reason};
 
 impl Coordinator {
-    /// Ends the module's query, if its request is open, with the answer that `last` makes of it.
+    /// Finishes an open query with the answer that `final_answer` returns.
     pub(super) fn finish_query(
         &mut self,
         now: f64,
         query: QueryId,
         out: &mut Vec<Command>,
-        last: impl FnOnce(&Request) -> FinalAnswer,
+        final_answer: impl FnOnce(&Request) -> FinalAnswer,
     ) {
         let Some(key) = self.queries.get(&query).copied() else {
             return;
         };
-        let last = last(&self.requests[key]);
-        self.finish(now, key, last, out);
+        let answer = final_answer(&self.requests[key]);
+        self.finish(now, key, answer, out);
     }
 
-    /// Ends the module's query, if its request is open, with a rejection, or a failure where something that has an effect
-    /// may have been executed.
+    /// Finishes an open query with a rejection, or with a failure if something with an effect may have been executed.
     pub(super) fn reject(
         &mut self,
         now: f64,
@@ -43,33 +40,33 @@
         let request = &self.requests[key];
         let mut parts = request.parts.iter().filter_map(|id| self.parts.get(id));
         let has_attempt_in_flight = parts.any(PartState::is_in_flight);
-        let reason = if now < self.list_until {
+        let reason = if now < self.list_valid_until {
             Reason::Overload
         } else {
             Reason::StaleList
         };
-        let last = request.rejection(has_attempt_in_flight, reason, retry_after_s);
-        self.finish(now, key, last, out);
+        let answer = request.rejection(has_attempt_in_flight, reason, retry_after_s);
+        self.finish(now, key, answer, out);
     }
 
-    /// The one place where a request gets its final answer.
+    /// Removes an open request and issues its final answer. Every final answer passes through this method.
     pub(super) fn finish(
         &mut self,
         now: f64,
         key: RequestKey,
-        last: FinalAnswer,
+        answer: FinalAnswer,
         out: &mut Vec<Command>,
     ) {
-        let Some(request) = self.forget(key) else {
+        let Some(request) = self.remove_request(key) else {
             return;
         };
         self.withdraw_unsent(now, &request, out);
-        let took_s = now - request.taken_at;
+        let took_s = now - request.accepted_at;
         self.verify_in_time(now, &request, out);
-        self.count_answer(&request, &last, took_s);
+        self.count_answer(&request, &answer, took_s);
         out.push(Command::Reply {
             caller: request.caller,
-            last,
+            answer,
             query_request: request.query_request,
             took_s,
         });
@@ -83,33 +80,33 @@
         };
         let id = &request.query_request.id;
         let rule = rule.label();
-        let took_s = now - request.taken_at;
-        let earliest_s = deadline.earliest - request.taken_at;
-        let latest_s = deadline.latest - request.taken_at;
+        let took_s = now - request.accepted_at;
+        let earliest_s = deadline.earliest - request.accepted_at;
+        let latest_s = deadline.latest - request.accepted_at;
         out.push(Command::Log(format!(
             "invariant {finding}: {rule}: request {id} is answered after {took_s:.3} s, its client waited for {earliest_s:.3} to {latest_s:.3} s"
         )));
     }
 
-    fn count_answer(&mut self, request: &Request, last: &FinalAnswer, took_s: f64) {
+    fn count_answer(&mut self, request: &Request, answer: &FinalAnswer, took_s: f64) {
         let metrics = &mut self.metrics[request.query_request.protocol as usize];
-        match last {
+        match answer {
             FinalAnswer::Answered { .. } => {}
-            FinalAnswer::Rejected { reason, .. } => count(&mut metrics.refused, *reason),
-            FinalAnswer::Failed { reason, .. } => count(&mut metrics.failed, *reason),
+            FinalAnswer::Rejected { reason, .. } => increment(&mut metrics.rejected, *reason),
+            FinalAnswer::Failed { reason, .. } => increment(&mut metrics.failed, *reason),
         }
         let latency_objective_s = request.class_settings.latency_objective_s;
         let Some(metrics) = self.class_metrics(&request.query_request) else {
             return;
         };
-        match last {
+        match answer {
             FinalAnswer::Answered { complete, .. } => {
                 metrics.answered += 1;
                 metrics.partial += u64::from(!*complete);
                 metrics.within_objective += u64::from(took_s <= latency_objective_s);
             }
-            FinalAnswer::Rejected { .. } => metrics.deferred += 1,
-            FinalAnswer::Failed { .. } => metrics.errored += 1,
+            FinalAnswer::Rejected { .. } => metrics.rejected += 1,
+            FinalAnswer::Failed { .. } => metrics.failed += 1,
         }
     }
 
@@ -122,12 +119,12 @@
             .get_mut(&query_request.class_name)
     }
 
-    /// Takes a request out of the open ones. Its attempts in flight keep their parts until they end.
-    pub(super) fn forget(&mut self, key: RequestKey) -> Option<Request> {
+    /// Removes a request from the open ones. Parts with attempts in flight are kept until these attempts end.
+    pub(super) fn remove_request(&mut self, key: RequestKey) -> Option<Request> {
         let request = self.requests.remove(key)?;
         self.queries.remove(&request.query);
-        self.ids.remove(&request.query_request.id);
-        self.held -= 1 + request.parts.len();
+        self.open_ids.remove(&request.query_request.id);
+        self.open_count -= 1 + request.parts.len();
         for id in &request.parts {
             if let Some(part) = self.parts.get_mut(id) {
                 part.request = None;
--- a/src/requests/coordinator/attempts.rs
+++ b/src/requests/coordinator/attempts.rs
@@ -1,31 +1,28 @@
-//! The coordinator's attempts: sending, cancelling and ending them.
-//!
-//! This file owns the way of an attempt from the module's action to its one outcome. It must never decide where an attempt
-//! goes, and never give a final answer.
+//! Sends, cancels and ends the coordinator's attempts, from the action of the decision module to the outcome.
 
 use super::Coordinator;
 use crate::decisions::api::{AttemptEnd, Event, Outcome, PartId, ReplicaId, Settings};
 use crate::requests::attempt::{Attempt, AttemptKey, CallPart};
 use crate::requests::command::{Command, Wake};
 use crate::requests::invariants::Invariants;
-use crate::requests::metrics::count;
+use crate::requests::metrics::increment;
 use crate::requests::part::PartState;
 use crate::requests::request::Request;
 use std::rc::Rc;
 
-/// Attempt numbers fit into a byte.
+/// Maximum number of attempts for a part, because attempt numbers are stored in a `u8`.
 const MAX_ATTEMPTS: u32 = 255;
 
-/// An attempt that the decision module wants.
+/// An attempt requested by the decision module.
 pub(super) struct Dispatch {
     pub(super) part: PartId,
     pub(super) replica: ReplicaId,
-    /// 0 for the time that is left to the request (seconds).
+    /// Maximum timeout (seconds); 0 stands for the time that is left for the request.
     pub(super) max_timeout_s: f64,
     pub(super) pre_check: bool,
 }
 
-/// Whether one more attempt of a part may be sent for a request that is still open.
+/// Returns whether another attempt of a part may be sent; logs an attempt that an invariant forbids.
 fn is_attempt_allowed(
     now: f64,
     part: &PartState,
@@ -52,7 +49,7 @@
     u32::from(number) < max_attempts && verdict.is_ok()
 }
 
-/// The end of an attempt that was not sent.
+/// Returns the event by which an attempt that was not sent ends.
 fn superseded(dispatch: &Dispatch, number: u8) -> Event {
     Event::AttemptEnded(AttemptEnd {
         part: dispatch.part,
@@ -64,7 +61,8 @@
 }
 
 impl Coordinator {
-    /// Sends an attempt, if its request is open and the rules allow it; otherwise the module learns that it was superseded.
+    /// Sends an attempt if its request is open and the invariants allow it; otherwise notifies the module that the attempt
+    /// was superseded.
     pub(super) fn send(&mut self, now: f64, dispatch: &Dispatch, out: &mut Vec<Command>) {
         let replica = dispatch.replica;
         let Some(part) = self.parts.get_mut(&dispatch.part) else {
@@ -84,8 +82,8 @@
         };
         let protocol = request.query_request.protocol;
         if number > 0 {
-            let retries = &mut self.metrics[protocol as usize].repeats;
-            count(retries, part.outcome_before_retry());
+            let retries = &mut self.metrics[protocol as usize].retries;
+            increment(retries, part.outcome_before_retry());
         }
         let key = self.attempts.insert(Attempt {
             part: dispatch.part,
@@ -115,7 +113,7 @@
         self.calls.push(replica, call_part);
     }
 
-    /// Cancels an attempt that is in flight, before it is sent where it still waits in a call of this round.
+    /// Cancels an attempt in flight. An attempt that is still in a call of the current round is not sent.
     pub(super) fn cancel(&mut self, now: f64, part: PartId, number: u8, out: &mut Vec<Command>) {
         let part = self.parts.get(&part);
         let Some(key) = part.and_then(|part| part.attempt(number)) else {
@@ -128,7 +126,8 @@
         self.end_attempt(now, key, Outcome::Cancelled, None);
     }
 
-    /// Records an attempt's one outcome, and queues the event for the module. A second outcome does nothing.
+    /// Records the outcome of an attempt and queues the event for the module. A second outcome for the same attempt is
+    /// ignored.
     pub(super) fn end_attempt(
         &mut self,
         now: f64,
@@ -140,7 +139,7 @@
             return;
         };
         let took_s = now - attempt.sent_at;
-        // Only a pre-check may be answered so, and it has no value then.
+        // `Matches` is a valid outcome only for a pre-check.
         let outcome = match outcome {
             Outcome::Matches if !attempt.pre_check => Outcome::Error,
             outcome => outcome,
@@ -161,7 +160,7 @@
             }
         }
         let ends = &mut self.metrics[attempt.protocol as usize].attempts;
-        count(ends, outcome);
+        increment(ends, outcome);
         self.events.push_back(Event::AttemptEnded(AttemptEnd {
             part: attempt.part,
             attempt: attempt.number,
@@ -171,7 +170,8 @@
         }));
     }
 
-    /// Withdraws the unsent attempts of a request that has ended, where the module may not cancel them.
+    /// Withdraws the unsent attempts of a request that has ended, where the settings do not allow the module to cancel
+    /// attempts.
     pub(super) fn withdraw_unsent(&mut self, now: f64, request: &Request, out: &mut Vec<Command>) {
         if self.deployment.policy.cancel {
             return;
