--- a/src/requests/invariants.rs
+++ b/src/requests/invariants.rs
@@ -1,63 +1,63 @@
-//! The invariants: what must always hold, with one check for each kind of act, made where the act happens.
+//! Safety invariants, checked where the action happens, whatever the decision module, a queue or a socket did before.
 //!
-//! Whatever the decision module, a queue or a socket did before: nothing is sent by an endpoint list that may not be acted
-//! on, to a server that is draining or gone, or for a client that left; nothing is repeated outside its window; no connection
-//! is closed while a request that was read from it has no answer; no client is served before there is a list. A `check_`
-//! method is called before an act, and counts the act as stopped where it is forbidden; a `verify_` method is called after
-//! an act, and counts a violation, or that the clock readings do not decide whether it was one. This file owns these rules and
-//! all counts. It must never act, never read a clock, and never know a socket.
+//! Nothing is sent by an endpoint list that may not be used, to a server that is draining or removed, or for a client that
+//! disconnected; nothing is repeated outside its window; no connection is closed while a request that was read from it has
+//! no answer; no client is served before there is a list. A `check_` method is called before an action and counts a
+//! forbidden action as stopped. A `verify_` method is called after an action and counts a violation, or counts the action
+//! as undecided if the clock readings do not show whether the limit was kept.
 
 use crate::decisions::api::Effect;
 use crate::endpoints::directory::ServerState;
 
-/// The loop may be held up this long between reading its clock and writing: an act is judged as if it came so much later
-/// (seconds).
+/// Maximum delay of the event loop between reading its clock and writing. Destinations are checked as if the write came
+/// this much later (seconds).
 const STALL_ALLOWANCE_S: f64 = 0.15;
-/// Tolerance of the operators' rules on sockets (seconds).
-const SLACK_S: f64 = 0.05;
-/// The timeout sent to a server may exceed the time that its client still waits by this (seconds).
+/// Tolerance of the operators' rules for events on sockets (seconds).
+const TOLERANCE_S: f64 = 0.05;
+/// Maximum by which the timeout sent to a server may exceed the remaining time of its client (seconds).
 const MAX_SENT_TIMEOUT_EXCESS_S: f64 = 0.15;
-/// A final answer that comes this long after its client's deadline counts as none (seconds).
+/// A final answer that is later than this after its client's deadline counts as missing (seconds).
 const LATE_ANSWER_S: f64 = 0.5;
 
-/// A rule that must always hold.
+/// A safety rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
-    /// Nothing is sent by an endpoint list that discovery has not confirmed for too long, and no client is served by one.
+    /// Nothing is sent by an endpoint list whose last confirmation by discovery is too old, and no client is served by such
+    /// a list.
     StaleList,
-    /// Nothing is sent to a server that is gone, or that is draining and whose grace is over.
+    /// Nothing is sent to a server that was removed, or that is draining and whose drain grace is over.
     Drain,
-    /// Nothing is sent for a client that has left, or for a request that has its final answer.
-    ClientGone,
-    /// Nothing is repeated outside its window, with more than one hedged request, or at all where a second execution does
-    /// harm.
+    /// Nothing is sent for a client that has disconnected, or for a request that has its final answer.
+    ClientDisconnected,
+    /// No part is repeated after the window of its class, with more than one hedged request, or at all where a second
+    /// execution does harm.
     Repeat,
-    /// The timeout sent to a server is no longer than its client waits.
+    /// The timeout sent to a server is not longer than its client waits.
     SentTimeout,
-    /// A request that was read has its final answer in time; no connection is closed before that.
+    /// A request that was read gets its final answer in time; its connection is not closed before.
     Unanswered,
-    /// An attempt that is in flight gets its outcome.
+    /// Every attempt in flight gets an outcome.
     AttemptLost,
 }
 
 impl Invariant {
-    /// All rules, in the order of their counters.
+    /// All rules, in declaration order, which is the index of their counters.
     pub const ALL: [Invariant; 7] = [
         Invariant::StaleList,
         Invariant::Drain,
-        Invariant::ClientGone,
+        Invariant::ClientDisconnected,
         Invariant::Repeat,
         Invariant::SentTimeout,
         Invariant::Unanswered,
         Invariant::AttemptLost,
     ];
 
-    /// Its label in metrics and log lines; operators rely on it.
+    /// Returns the label in metrics and log lines; operators rely on these labels.
     pub fn label(self) -> &'static str {
         match self {
             Invariant::StaleList => "stale_list",
             Invariant::Drain => "drain",
-            Invariant::ClientGone => "client_gone",
+            Invariant::ClientDisconnected => "client_gone",
             Invariant::Repeat => "repeat",
             Invariant::SentTimeout => "told_wait",
             Invariant::Unanswered => "unanswered",
@@ -66,60 +66,61 @@
     }
 }
 
-/// The server of a call, and what limits calls to it.
+/// The server of a call, with the limits for calls to it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Destination {
-    /// The server's state.
+    /// State of the server.
     pub server: ServerState,
-    /// Nothing may go to a draining server this long after the mixer was notified (seconds).
+    /// Time after the notification during which calls may still be sent to a draining server (seconds).
     pub drain_grace_s: f64,
-    /// Until when the endpoint list may be acted on.
+    /// Time until which the endpoint list may be used.
     pub list_until: f64,
 }
 
-/// The limits in time of a call whose first byte is to be written, or has been.
+/// Time limits of a call whose first byte is about to be written or has been written.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallTimes {
-    /// When it must have begun to leave; infinite where none of its parts is a limited repeat.
+    /// Latest time at which writing may start; infinite if no part of the call is a retry with a limited window.
     pub send_by: f64,
-    /// By how much the timeout sent exceeds what a client still waits, the most over the parts of the call (seconds).
+    /// Largest excess over the parts of the call of the timeout sent over the remaining time of the client (seconds).
     pub sent_beyond_client_s: f64,
-    /// Until when the last of its clients waits.
+    /// Latest deadline of the clients of the call.
     pub client_deadline: f64,
 }
 
-/// When a call began to leave: between two readings of the clock (seconds). The process may have been stopped between them.
+/// Two clock readings between which the first byte of a call was written (seconds). The process may have been paused
+/// between them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WriteInterval {
-    /// Just before the write.
+    /// Reading just before the write.
     pub not_before: f64,
-    /// After the write.
+    /// Reading after the write.
     pub not_after: f64,
 }
 
-/// When a client stops to wait for its answer: between these times (seconds). It is not known when its request came that was read
-/// by a process that had been held up.
+/// Bounds of a client's deadline (seconds). The time at which a request was received is uncertain if the process was
+/// delayed before reading it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DeadlineBounds {
-    /// If the request came right after the sockets were looked at before.
+    /// Deadline if the request was received right after the previous poll of the sockets.
     pub earliest: f64,
-    /// If it came right before it was read.
+    /// Deadline if the request was received right before it was read.
     pub latest: f64,
 }
 
-/// What was found of an act after it was taken.
+/// Result of verifying an action after it was taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verification {
-    /// It kept every rule.
+    /// The action kept every rule.
     Kept,
-    /// It violated that rule.
+    /// The action violated the rule.
     Violated(Invariant),
-    /// Two readings of the clock have its limit between them: it violated that rule or kept it.
+    /// The limit lies between two clock readings, so the action may or may not have violated the rule.
     Undecided(Invariant),
 }
 
 impl Verification {
-    /// The word for the log and the rule, unless every rule was kept.
+    /// Returns the word for the log and the rule, or `None` if every rule was kept.
     pub fn finding(self) -> Option<(&'static str, Invariant)> {
         match self {
             Verification::Kept => None,
@@ -129,22 +130,22 @@
     }
 }
 
-/// The facts about a further attempt of a part.
+/// The facts that decide whether another attempt of a part is allowed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Repeat {
-    /// What a second execution does.
+    /// Effect of a second execution.
     pub effect: Effect,
-    /// When the first attempt was sent that may have been executed, if there is one.
+    /// Time at which the first attempt was sent that may have been executed, if any.
     pub may_have_run_since: Option<f64>,
-    /// How long leaf servers discard repeats, in classes with an idempotency key (seconds).
+    /// Time for which leaf servers discard duplicates, in classes with an idempotency key (seconds).
     pub window_s: f64,
-    /// Attempts of the part that are in flight.
+    /// Number of attempts of the part in flight.
     pub in_flight: usize,
-    /// Whether two may be in flight (hedging).
+    /// Whether two attempts may be in flight at the same time (hedging).
     pub hedging_allowed: bool,
 }
 
-/// The counts of acts that were stopped and of violations, by rule.
+/// Counters of stopped actions, violations and undecided verifications, by rule.
 #[derive(Clone, Debug, Default)]
 pub struct Invariants {
     stopped: [u64; Invariant::ALL.len()],
@@ -153,22 +154,22 @@
 }
 
 impl Invariants {
-    /// How many acts were stopped that the rule forbids.
+    /// Returns the number of actions that the rule stopped.
     pub fn stopped(&self, rule: Invariant) -> u64 {
         self.stopped[rule as usize]
     }
 
-    /// How often the rule was violated.
+    /// Returns the number of violations of the rule.
     pub fn violations(&self, rule: Invariant) -> u64 {
         self.violations[rule as usize]
     }
 
-    /// How often the readings of the clock did not decide whether the rule was violated.
+    /// Returns the number of verifications for which the clock readings did not show whether the rule was violated.
     pub fn undecided(&self, rule: Invariant) -> u64 {
         self.undecided[rule as usize]
     }
 
-    /// Counts an act that the rule forbids and that was stopped.
+    /// Counts an action that the rule stopped.
     pub fn stop(&mut self, rule: Invariant) {
         self.stopped[rule as usize] += 1;
     }
@@ -178,35 +179,35 @@
         self.violations[rule as usize] += 1;
     }
 
-    /// Checks that a call may go to the server now; the error is the rule that forbids it.
+    /// Checks that a call may be sent to the server now; the error is the rule that forbids the call.
     pub fn check_destination(&mut self, now: f64, to: &Destination) -> Result<(), Invariant> {
         let latest = now + STALL_ALLOWANCE_S;
         let forbidden = match to.server {
             _ if now >= to.list_until => Some(Invariant::StaleList),
             ServerState::Gone => Some(Invariant::Drain),
-            ServerState::Draining { since } if latest >= since + to.drain_grace_s + SLACK_S => {
+            ServerState::Draining { since } if latest >= since + to.drain_grace_s + TOLERANCE_S => {
                 Some(Invariant::Drain)
             }
             ServerState::Ready | ServerState::Draining { .. } => None,
         };
-        self.verdict(forbidden)
+        self.count_if_stopped(forbidden)
     }
 
-    /// Checks that a call may begin to leave now; the error is the rule that forbids it.
+    /// Checks that writing a call may start now; the error is the rule that forbids the call.
     pub fn check_call(&mut self, now: f64, call: &CallTimes) -> Result<(), Invariant> {
         let forbidden = if call.send_by < now {
             Some(Invariant::Repeat)
         } else if call.client_deadline <= now {
-            Some(Invariant::ClientGone)
+            Some(Invariant::ClientDisconnected)
         } else if call.sent_beyond_client_s > MAX_SENT_TIMEOUT_EXCESS_S {
             Some(Invariant::SentTimeout)
         } else {
             None
         };
-        self.verdict(forbidden)
+        self.count_if_stopped(forbidden)
     }
 
-    /// Verifies a call that has begun to leave within that interval. All limits are upper ones, so that a call that was late
+    /// Verifies a call whose writing started within the interval. All limits are upper bounds, so a call that was late
     /// before the write was late in any case.
     pub fn verify_call(
         &mut self,
@@ -215,8 +216,8 @@
         call: &CallTimes,
     ) -> Verification {
         let verification = match (
-            rule_broken_at(written.not_before, to, call),
-            rule_broken_at(written.not_after, to, call),
+            rule_violated_at(written.not_before, to, call),
+            rule_violated_at(written.not_after, to, call),
         ) {
             (Some(rule), _) => Verification::Violated(rule),
             (None, Some(rule)) => Verification::Undecided(rule),
@@ -225,7 +226,7 @@
         self.count_verification(verification)
     }
 
-    /// Checks that a part may be sent once more now.
+    /// Checks that another attempt of a part may be sent now.
     pub fn check_repeat(&mut self, now: f64, repeat: &Repeat) -> Result<(), Invariant> {
         let effect_allows = match (repeat.effect, repeat.may_have_run_since) {
             (Effect::Idempotent, _) | (_, None) => true,
@@ -233,15 +234,15 @@
             (Effect::NonIdempotent, Some(_)) => false,
         };
         let hedging_allows = repeat.in_flight <= usize::from(repeat.hedging_allowed);
-        self.verdict((!effect_allows || !hedging_allows).then_some(Invariant::Repeat))
+        self.count_if_stopped((!effect_allows || !hedging_allows).then_some(Invariant::Repeat))
     }
 
-    /// Checks that clients may be served from now on, by a list that may be acted on until `list_until`.
+    /// Checks that the mixer may start serving clients by a list that may be used until `list_until`.
     pub fn check_start(&mut self, now: f64, list_until: f64) -> Result<(), Invariant> {
-        self.verdict((now >= list_until).then_some(Invariant::StaleList))
+        self.count_if_stopped((now >= list_until).then_some(Invariant::StaleList))
     }
 
-    /// Verifies that the final answer that a request gets now is in time for its client.
+    /// Verifies that a final answer sent now is in time for its client.
     pub fn verify_answer(&mut self, now: f64, client_deadline: DeadlineBounds) -> Verification {
         let verification = if now > client_deadline.latest + LATE_ANSWER_S {
             Verification::Violated(Invariant::Unanswered)
@@ -262,7 +263,7 @@
         verification
     }
 
-    fn verdict(&mut self, forbidden: Option<Invariant>) -> Result<(), Invariant> {
+    fn count_if_stopped(&mut self, forbidden: Option<Invariant>) -> Result<(), Invariant> {
         match forbidden {
             Some(rule) => {
                 self.stop(rule);
@@ -273,15 +274,17 @@
     }
 }
 
-/// The rule that a call violates if it begins to leave at that time.
-fn rule_broken_at(written_at: f64, to: &Destination, call: &CallTimes) -> Option<Invariant> {
+/// Returns the rule that a call violates if its first byte is written at that time.
+fn rule_violated_at(written_at: f64, to: &Destination, call: &CallTimes) -> Option<Invariant> {
     match to.server {
-        _ if written_at >= to.list_until + to.drain_grace_s + SLACK_S => Some(Invariant::StaleList),
+        _ if written_at >= to.list_until + to.drain_grace_s + TOLERANCE_S => {
+            Some(Invariant::StaleList)
+        }
         ServerState::Gone => Some(Invariant::Drain),
-        ServerState::Draining { since } if written_at >= since + to.drain_grace_s + SLACK_S => {
+        ServerState::Draining { since } if written_at >= since + to.drain_grace_s + TOLERANCE_S => {
             Some(Invariant::Drain)
         }
-        _ if written_at > call.send_by + SLACK_S => Some(Invariant::Repeat),
+        _ if written_at > call.send_by + TOLERANCE_S => Some(Invariant::Repeat),
         _ if call.sent_beyond_client_s > MAX_SENT_TIMEOUT_EXCESS_S => Some(Invariant::SentTimeout),
         ServerState::Ready | ServerState::Draining { .. } => None,
     }
--- a/src/requests/invariants/tests.rs
+++ b/src/requests/invariants/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of invariants.rs: each rule stops the acts that it forbids, and counts violations.
+//! Tests of the invariants: each rule stops forbidden actions and counts violations.
 
 use super::*;
 use rstest::rstest;
@@ -50,7 +50,7 @@
 #[rstest]
 #[case::within_all_limits(call(), Ok(()))]
 #[case::window_is_over(CallTimes { send_by: NOW - 0.001, ..call() }, Err(Invariant::Repeat))]
-#[case::client_deadline_passed(CallTimes { client_deadline: NOW, ..call() }, Err(Invariant::ClientGone))]
+#[case::client_deadline_passed(CallTimes { client_deadline: NOW, ..call() }, Err(Invariant::ClientDisconnected))]
 #[case::sent_timeout_too_long(CallTimes { sent_beyond_client_s: 0.2, ..call() }, Err(Invariant::SentTimeout))]
 fn a_call_is_allowed_within_its_window_deadline_and_timeout(
     #[case] call: CallTimes,
@@ -59,7 +59,7 @@
     assert_eq!(Invariants::default().check_call(NOW, &call), expected);
 }
 
-/// A call that was held up is judged by the time at which it was written, with the tolerance of the operators' rules.
+/// A delayed call is verified by the time at which it was written, with the tolerance of the operators' rules.
 #[rstest]
 #[case::in_time(NOW, ready(), call(), Ok(()))]
 #[case::within_the_grace(NOW + 0.54, draining(NOW), call(), Ok(()))]
@@ -94,8 +94,8 @@
     );
 }
 
-/// Soak seed 3: a process that was stopped between a write and the reading of the clock counted a violation of a call that
-/// had left in time.
+/// Guards against a false violation (found with soak seed 3): the process was paused between a write and the next clock
+/// reading, and a call that had been written in time counted as late.
 #[rstest]
 #[case::in_time(0.50, 0.54, Verification::Kept)]
 #[case::stopped_across_the_limit(0.50, 2.76, Verification::Undecided(Invariant::Drain))]
@@ -180,8 +180,8 @@
     );
 }
 
-/// Soak seed 3: a request that was read by a process that had been stopped may have come before or after the stop, and its
-/// answer counted as late for a client of which it was not known when it had asked.
+/// Guards against a false violation (found with soak seed 3): the process was paused before it read a request, so the time
+/// at which the client had sent the request was unknown, and the answer counted as late.
 #[rstest]
 #[case::in_time_at_the_earliest(NOW - 0.4, NOW + 2.0, Verification::Kept)]
 #[case::late_at_the_earliest_only(NOW - 2.0, NOW + 0.2, Verification::Undecided(Invariant::Unanswered))]
--- a/src/requests/mod.rs
+++ b/src/requests/mod.rs
@@ -1,9 +1,8 @@
-//! A request from acceptance to its one final answer. Nothing here knows a wire or a socket.
+//! Requests from acceptance to the final answer, independent of protocols and sockets.
 //!
-//! A front hands a [`QueryRequest`](query_request::QueryRequest) to the [`Coordinator`](coordinator::Coordinator), which
-//! keeps it as a request with its parts and attempts, asks the decision module, and returns a
-//! [`Command`](command::Command) for all that is to be done. The request ends with one
-//! [`FinalAnswer`](response::FinalAnswer).
+//! A front passes a [`QueryRequest`](query_request::QueryRequest) to the [`Coordinator`](coordinator::Coordinator), which
+//! tracks the request with its parts and attempts, consults the decision module, and issues [`Command`](command::Command)s
+//! to the event loop. The request ends with one [`FinalAnswer`](response::FinalAnswer).
 
 pub mod attempt;
 pub mod command;
--- a/src/requests/module_settings.rs
+++ b/src/requests/module_settings.rs
@@ -1,16 +1,14 @@
-//! What the decision module is given of a deployment.
-//!
-//! Behind the classes of the settings stand those of the pre-check phases, one for each class that has such a phase. This
-//! file owns their order and names.
+//! Conversion of the deployment's settings to those of the decision module. The module's classes are those of the settings,
+//! followed by one class for the pre-checks of each class that has a pre-check phase.
 
 use crate::config::Deployment;
 use crate::decisions::api::Settings;
 use crate::decisions::two_phase::Phases;
 
-/// The decision module's settings.
+/// Returns the settings of the decision module.
 pub(super) fn module_settings(deployment: &Deployment) -> Settings {
     let mut settings = deployment.policy.clone();
-    // Neither front has a second answer to one request: the first answer is the last.
+    // Neither front can send a second answer to a request, so the first answer is final.
     for class in &mut settings.classes {
         class.second_step = 0;
     }
@@ -24,7 +22,8 @@
     settings
 }
 
-/// The names of the decision module's classes. No class of the settings can have one with a slash in its path.
+/// Returns the names of the decision module's classes. A name of the settings contains no slash, so the names of the
+/// pre-check classes are unique.
 pub(super) fn module_classes(deployment: &Deployment) -> Vec<String> {
     let pre_check = deployment
         .phases
@@ -39,14 +38,14 @@
         .collect()
 }
 
-/// The index of the decision module's class for pre-checks of a class, where it has such a phase.
+/// Returns the index of the module's class for the pre-checks of a class, or `None` if the class has no pre-check phase.
 pub(super) fn pre_check_class(deployment: &Deployment, class: usize) -> Option<u16> {
     let mut pre_check_classes = deployment.phases.classes.iter();
     let index = pre_check_classes.position(|other| *other == class)?;
     Some((deployment.classes.len() + index) as u16)
 }
 
-/// The state of the pre-check phases of a deployment, with nothing learned yet.
+/// Returns the state of the deployment's pre-check phases without any statistics.
 pub(super) fn new_phases(deployment: &Deployment) -> Phases {
     Phases::new(
         &deployment.phases,
@@ -55,7 +54,7 @@
     )
 }
 
-/// For each name its index among the former names.
+/// Returns for each name its index among the former names.
 pub(super) fn former_indices(names: &[String], former: &[String]) -> Vec<Option<usize>> {
     names
         .iter()
--- a/src/requests/part.rs
+++ b/src/requests/part.rs
@@ -1,29 +1,27 @@
-//! The attempts of one part of a request.
-//!
-//! This file owns which attempts of a part are in flight and which may have been executed. It must never send one.
+//! The attempts of one part of a request: those in flight and those that may have been executed.
 
 use crate::decisions::api::{ClassSettings, Outcome};
 use crate::requests::attempt::{has_never_run, AttemptKey};
 use crate::requests::invariants::Repeat;
 use crate::requests::request::RequestKey;
 
-/// An attempt of a part that is not proved never to have been executed.
+/// An attempt that may have been executed by its replica.
 struct PossibleExecution {
     number: u8,
     sent_at: f64,
 }
 
-/// The attempts of one part. It is kept while its request is open or one of its attempts is in flight.
+/// The attempts of one part. The state is kept while the request is open or an attempt is in flight.
 pub(super) struct PartState {
-    /// None once the request has its final answer.
+    /// Request of the part; `None` after its final answer.
     pub(super) request: Option<RequestKey>,
-    /// The part's place in its query.
+    /// Index of the part in its query.
     pub(super) index: usize,
-    /// By attempt number; none once the attempt has ended.
+    /// Keys by attempt number; `None` for an attempt that has ended.
     attempts: Vec<Option<AttemptKey>>,
-    /// Of the attempt that ended last.
+    /// Outcome of the attempt that ended last.
     last_outcome: Option<Outcome>,
-    /// In the order in which they were sent.
+    /// Ordered by send time.
     possible_executions: Vec<PossibleExecution>,
 }
 
@@ -42,29 +40,29 @@
         self.attempts.iter().any(Option::is_some)
     }
 
-    /// Its attempts that have no outcome yet.
+    /// Returns the attempts that have no outcome yet.
     pub(super) fn in_flight(&self) -> impl Iterator<Item = AttemptKey> + '_ {
         self.attempts.iter().flatten().copied()
     }
 
-    /// The attempt of that number, while it is in flight.
+    /// Returns the attempt with this number if it is in flight.
     pub(super) fn attempt(&self, number: u8) -> Option<AttemptKey> {
         self.attempts.get(usize::from(number)).copied().flatten()
     }
 
-    /// The number that its next attempt has.
+    /// Returns the number of the next attempt.
     pub(super) fn next_number(&self) -> u8 {
         self.attempts.len() as u8
     }
 
-    /// When the first attempt was sent that may have been executed.
+    /// Returns the send time of the first attempt that may have been executed.
     pub(super) fn may_have_run_since(&self) -> Option<f64> {
         self.possible_executions
             .first()
             .map(|execution| execution.sent_at)
     }
 
-    /// What a retry begins after: the outcome of the attempt before, or none where one is still in flight (hedging).
+    /// Returns the outcome of the attempt before a retry, or `None` if an attempt is still in flight (hedging).
     pub(super) fn outcome_before_retry(&self) -> Option<Outcome> {
         if self.is_in_flight() {
             None
@@ -73,7 +71,7 @@
         }
     }
 
-    /// The facts by which a further attempt of this part is allowed or stopped.
+    /// Returns the facts that decide whether another attempt is allowed.
     pub(super) fn repeat(&self, class_settings: &ClassSettings, hedging_allowed: bool) -> Repeat {
         Repeat {
             effect: class_settings.effect,
@@ -84,7 +82,7 @@
         }
     }
 
-    /// Counts an attempt that was sent now.
+    /// Adds an attempt that is sent now.
     pub(super) fn add_attempt(&mut self, now: f64, key: AttemptKey) {
         let number = self.next_number();
         self.attempts.push(Some(key));
@@ -94,12 +92,12 @@
         });
     }
 
-    /// Uses up an attempt number for an attempt that the decision module wanted and that was not sent.
+    /// Consumes an attempt number for an attempt that the decision module requested and that was not sent.
     pub(super) fn skip_attempt(&mut self) {
         self.attempts.push(None);
     }
 
-    /// Records the end of an attempt.
+    /// Records the outcome of an attempt.
     pub(super) fn end_attempt(&mut self, number: u8, outcome: Outcome) {
         self.attempts[usize::from(number)] = None;
         self.last_outcome = Some(outcome);
--- a/src/requests/process_load.rs
+++ b/src/requests/process_load.rs
@@ -1,37 +1,35 @@
-//! What two processes of one mixer exchange about their load while both run during an upgrade.
-//!
-//! This file owns the record of attempts for a successor. It must never know how it travels.
+//! Load information that two processes of one mixer exchange while both run during an upgrade.
 
 use crate::decisions::api::{PredecessorLoad, ReplicaId, SentAttempt};
 
-/// Attempts that are recorded between two reports to a successor.
+/// Maximum number of attempts recorded between two reports to the successor.
 const MAX_RECORDED_ATTEMPTS: usize = 10_000;
 
-/// The load of one process, for another one of the same mixer.
+/// Load of one process, as reported to the other process of the same mixer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ProcessLoad {
-    /// The clients' ids of its open requests.
-    pub ids: Vec<String>,
-    /// Queries and parts that are open.
-    pub held: usize,
-    /// Its attempts, for the decision module.
+    /// Ids that clients gave to the open requests.
+    pub request_ids: Vec<String>,
+    /// Number of open queries plus their parts.
+    pub open_count: usize,
+    /// Attempts in flight and attempts sent since the last report.
     pub attempts: PredecessorLoad,
 }
 
-/// Records attempts for a successor, while there is one.
+/// Records attempts for the successor process, if there is one.
 #[derive(Debug, Default)]
 pub(super) struct AttemptRecorder {
-    /// None while nothing is to be recorded.
+    /// Attempts not reported yet; `None` while recording is off.
     unreported: Option<Vec<SentAttempt>>,
 }
 
 impl AttemptRecorder {
-    /// Begins to record, or stops and forgets.
+    /// Starts recording, or stops and discards what was recorded.
     pub(super) fn set_recording(&mut self, on: bool) {
         self.unreported = on.then(Vec::new);
     }
 
-    /// Records an attempt that was sent now. Beyond the bound it is lost for the successor.
+    /// Records an attempt sent now. Attempts beyond the maximum are dropped, so the successor does not count them.
     pub(super) fn record(&mut self, now: f64, replica: ReplicaId, is_retry: bool) {
         let Some(unreported) = &mut self.unreported else {
             return;
@@ -45,7 +43,7 @@
         }
     }
 
-    /// The attempts since the last report.
+    /// Returns the attempts recorded since the last report.
     pub(super) fn take_unreported(&mut self) -> Vec<SentAttempt> {
         self.unreported
             .as_mut()
--- a/src/requests/query_request.rs
+++ b/src/requests/query_request.rs
@@ -1,59 +1,58 @@
-//! A client's query in the vocabulary of the coordinator, whichever front read it.
-//!
-//! This file owns what the fronts hand over. It must never know what became of a request.
+//! A client's query as both fronts pass it to the coordinator.
 
-/// The front through which a request came; metrics are kept for each.
+/// The front through which a request was received. Metrics are kept per front.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Protocol {
-    /// The platform's protocol.
+    /// Protocol of the platform.
     #[default]
     Platform,
-    /// The search API.
+    /// Search API.
     Search,
 }
 
-/// A client's query, whichever front read it.
+/// A client's query, independent of the front that read it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct QueryRequest {
-    /// The client's id of the request, unique among those that are open.
+    /// Id given by the client, unique among open requests.
     pub id: String,
-    /// The front through which it came.
+    /// Front through which the query was received.
     pub protocol: Protocol,
-    /// Its class, as an index into the classes of the settings.
+    /// Index of the class in the settings.
     pub class: usize,
-    /// The name of its class.
+    /// Name of the class.
     pub class_name: String,
-    /// A value that the client gets back with the answer.
-    pub opaque: Option<String>,
-    /// Its tenant, as an index into the tenants of the settings.
+    /// Value that is returned unchanged to the client with the answer.
+    pub opaque_id: Option<String>,
+    /// Index of the tenant in the settings.
     pub tenant: u32,
-    /// The key of the data that it concerns; 0 for none.
+    /// Routing key of the data that the query concerns; 0 for none.
     pub key: u64,
-    /// Whether the client marked it as a retry of its own.
-    pub repeat: bool,
-    /// How long the client still waits (seconds).
+    /// Whether the client marked the query as a retry of its own.
+    pub is_client_retry: bool,
+    /// Time for which the client still waits (seconds).
     pub timeout_s: f64,
-    /// It may wait this much longer, because it is not known when its request came (seconds).
+    /// Maximum additional time for which the client may wait, because the time at which the request was received is
+    /// uncertain (seconds).
     pub timeout_uncertainty_s: f64,
-    /// The idempotency key by which leaf servers discard a repeat, in a class that has them.
-    pub idempotency: Option<String>,
-    /// The payload that every part carries.
-    pub text: String,
+    /// Idempotency key by which leaf servers discard duplicates, in classes that require one.
+    pub idempotency_key: Option<String>,
+    /// Payload sent with every part.
+    pub payload: String,
     /// Whether the client accepts only a complete answer.
     pub complete_only: bool,
-    /// With more parts than this a pre-check phase pays off, where the client says so.
+    /// Number of parts above which a pre-check phase pays off, if the client specified it.
     pub pre_check_above: Option<u32>,
-    /// The parts, one for each shard.
+    /// Parts of the query, one for each shard.
     pub parts: Vec<PartRequest>,
 }
 
 /// One part of a query.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PartRequest {
-    /// The shard it reads.
+    /// Shard that the part reads.
     pub shard: u32,
-    /// Its share of the complete answer, of 1 over all parts.
+    /// Share of the complete answer; the weights of all parts add up to 1.
     pub weight: f64,
-    /// The client's estimate of its work (seconds).
-    pub hint_s: Option<f64>,
+    /// Client's estimate of the work for the part (seconds).
+    pub cost_hint_s: Option<f64>,
 }
--- a/src/requests/response.rs
+++ b/src/requests/response.rs
@@ -1,65 +1,66 @@
-//! The final answer of a request, and how it follows from the parts that have been served.
+//! The final answer of a request, derived from the parts that have been served.
 //!
-//! This file owns what may be claimed in an answer: never complete below what the class needs, never an answer below its
-//! floor, never a rejection where something with an effect may have been executed. It must never send an answer.
+//! The rules hold whatever the decision module asks for: an answer is called complete only at or above the class's `need`,
+//! no answer is below the class's floor, and nothing is rejected if something with an effect may have been executed.
 
 use crate::decisions::api::{Effect, Outcome};
 use crate::requests::request::Request;
 use std::rc::Rc;
 
-/// Tolerance for rounding in sums of weights.
+/// Tolerance for rounding errors in sums of weights.
 const WEIGHT_TOLERANCE: f64 = 0.0001;
 
-/// Why a request ended without an answer.
+/// Reason for which a request ended without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reason {
-    /// Load was shed, or a rule stopped it; nothing that has an effect was executed.
+    /// Load was shed, or a rule stopped the request; nothing with an effect was executed.
     Overload,
-    /// The mixer holds as many requests as it may.
-    Held,
-    /// The endpoint list may not be acted on: discovery has not confirmed it for too long. Nothing that has an effect was
+    /// The number of open queries and parts has reached its limit.
+    TooManyOpen,
+    /// Discovery has not confirmed the endpoint list for too long, so the list may not be used. Nothing with an effect was
     /// executed.
     StaleList,
-    /// The decision module gave it up; parts may have been executed.
-    GivenUp,
-    /// Its deadline passed.
+    /// The decision module ended the request, or the served share was too small for an answer; parts may have been
+    /// executed.
+    Abandoned,
+    /// The deadline of the request passed.
     DeadlineExceeded,
-    /// Only part of the answer is there, and the client accepts only a complete one.
+    /// The answer is partial and the client accepts only a complete one.
     Incomplete,
 }
 
-/// The one final answer.
+/// The final answer of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalAnswer {
-    /// Served. The vectors have one entry for each part, in the order of the query.
+    /// The request was served. The vectors have one entry for each part, in the order of the query.
     Answered {
-        /// Whether the answer may be called complete.
+        /// Whether the answer is reported as complete.
         complete: bool,
-        /// The value of each part; none where it has not been served.
+        /// Value of each part; `None` for a part that was not served.
         values: Vec<Option<Rc<str>>>,
-        /// The latest outcome of each part; none where no attempt ended.
+        /// Latest outcome of each part; `None` if no attempt ended.
         outcomes: Vec<Option<Outcome>>,
-        /// Whether the value of a part is a pre-check's answer that nothing matches.
+        /// Whether the part's value is the answer to a pre-check that nothing matches.
         pruned: Vec<bool>,
     },
-    /// Rejected: the client may send it again without harm.
+    /// The request was rejected; the client may send it again without harm.
     Rejected {
-        /// Why.
+        /// Reason for the answer.
         reason: Reason,
-        /// When the client should retry (seconds); 0 for no advice.
+        /// Time after which the client should retry (seconds); 0 for no advice.
         retry_after_s: f64,
     },
-    /// Failed; parts of it may have been executed.
+    /// The request failed; parts of it may have been executed.
     Failed {
-        /// Why.
+        /// Reason for the answer.
         reason: Reason,
-        /// The latest outcome of each part, in the order of the query; none where no attempt ended.
+        /// Latest outcome of each part, in the order of the query; `None` if no attempt ended.
         outcomes: Vec<Option<Outcome>>,
     },
 }
 
 impl Request {
-    /// A failure for that reason.
+    /// Returns a failure with this reason.
     pub(super) fn failure(&self, reason: Reason) -> FinalAnswer {
         FinalAnswer::Failed {
             reason,
@@ -67,13 +68,14 @@
         }
     }
 
-    /// The answer made of the parts that have been served. The decision module calls it complete or not; below what the
-    /// class needs it is not complete all the same, and below its floor it is a failure.
+    /// Returns the answer from the parts that have been served. `complete` is the decision module's view: the answer is
+    /// reported as partial if the served share is below what the class needs, and the request fails if the share is below
+    /// the floor of the class.
     pub(super) fn answer(&self, complete: bool) -> FinalAnswer {
         let share = self.served_share();
         let complete = complete && share + WEIGHT_TOLERANCE >= self.class_settings.need;
         if share <= 0.0 || share + WEIGHT_TOLERANCE < self.class_settings.floor {
-            self.failure(Reason::GivenUp)
+            self.failure(Reason::Abandoned)
         } else if self.query_request.complete_only && !complete {
             self.failure(Reason::Incomplete)
         } else {
@@ -86,8 +88,8 @@
         }
     }
 
-    /// A rejection for that reason, or a failure where an attempt that has an effect may have been executed: ended ones are
-    /// known here, `has_attempt_in_flight` says whether there are others.
+    /// Returns a rejection with this reason, or a failure if an attempt with an effect may have been executed. Attempts
+    /// that ended are known to the request; `has_attempt_in_flight` tells whether there are others.
     pub(super) fn rejection(
         &self,
         has_attempt_in_flight: bool,
@@ -96,7 +98,7 @@
     ) -> FinalAnswer {
         let may_have_run = self.may_have_run || has_attempt_in_flight;
         if may_have_run && self.class_settings.effect != Effect::Idempotent {
-            return self.failure(Reason::GivenUp);
+            return self.failure(Reason::Abandoned);
         }
         FinalAnswer::Rejected {
             reason,
@@ -104,7 +106,7 @@
         }
     }
 
-    /// The sum of the weights of the parts that have been served.
+    /// Returns the sum of the weights of the served parts.
     fn served_share(&self) -> f64 {
         let parts = self.query_request.parts.iter().zip(&self.values);
         parts
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -14,7 +14,7 @@
 /// A connection that is up.
 fn connection() -> (TcpListener, ReplicaConnection) {
     let (listener, mut leaf) = establishing();
-    leaf.come_up(0.0);
+    leaf.mark_connected(0.0);
     (listener, leaf)
 }
 
@@ -40,11 +40,11 @@
     let parts = vec![PartRequest {
         shard: 3,
         weight: 1.0,
-        hint_s: None,
+        cost_hint_s: None,
     }];
     let query_request = Rc::new(QueryRequest {
         id: id.into(),
-        text: text.into(),
+        payload: text.into(),
         parts,
         ..QueryRequest::default()
     });
@@ -96,7 +96,7 @@
     let (late, sound) = (call(&mut leaf, "late", 1.1), call(&mut leaf, "sound", 1.3));
     assert!(leaf.withdraw_late(1.1).is_empty(), "it may still leave");
     assert_eq!(leaf.withdraw_late(1.2), [late]);
-    leaf.come_up(1.2);
+    leaf.mark_connected(1.2);
     leaf.flush(|_| Some(0.0), &mut Vec::new())
         .expect("room in the socket");
     assert!(leaf.withdraw_late(9.0).is_empty(), "what has left has left");
@@ -162,7 +162,7 @@
     let parts = vec![PartRequest {
         shard: 0,
         weight: 1.0,
-        hint_s: None,
+        cost_hint_s: None,
     }];
     let query_request = QueryRequest {
         id: "q".into(),
@@ -239,7 +239,7 @@
             let is_cancelled = number == 0 && !leaf.cancel(attempts[0], 1.0, MAX_SILENCE_S);
             assert!(is_cancelled || leaf.withdraw_unsent(attempts[number]));
         }
-        leaf.come_up(1.0);
+        leaf.mark_connected(1.0);
         leaf.flush(|_| Some(0.0), &mut Vec::new())
             .expect("room in the socket");
         let again = leaf.withdraw_unsent(attempts[1]);
@@ -267,7 +267,7 @@
     let attempt = send_part(&mut leaf, &mut keys, 1.0);
     let withdrawn = send_part(&mut leaf, &mut keys, 1.25);
     assert!(leaf.withdraw_unsent(withdrawn));
-    leaf.come_up(1.75);
+    leaf.mark_connected(1.75);
     leaf.flush(|_| Some(0.0), &mut Vec::new())
         .expect("room in the socket");
     assert!(
@@ -311,7 +311,7 @@
     let parts = vec![PartRequest {
         shard: 0,
         weight: 1.0,
-        hint_s: None,
+        cost_hint_s: None,
     }];
     let query_request = QueryRequest {
         id: "q".into(),
@@ -341,7 +341,7 @@
         let attempts: Vec<AttemptKey> = calls(&out);
         assert_eq!(attempts.len(), 1, "{out:?}");
         out.clear();
-        coordinator.client_left(0.2, key, &mut out);
+        coordinator.client_disconnected(0.2, key, &mut out);
         let unsent = out
             .iter()
             .any(|c| matches!(c, Command::Withdraw { attempt } if *attempt == attempts[0]));
@@ -376,7 +376,7 @@
     leaf.flush(|call| (call.send_by > 5.0).then_some(0.0), &mut withdrawn)
         .expect("room in the socket");
     assert_eq!(
-        (withdrawn, leaf.take_begun_calls().len()),
+        (withdrawn, leaf.take_started_calls().len()),
         (vec![forbidden], 1)
     );
     assert!(leaf.unsent_attempts().is_empty() && !leaf.is_unused());
--- a/tests/discovery_silence.rs
+++ b/tests/discovery_silence.rs
@@ -211,7 +211,7 @@
     for wait_s in [1, 2, 4] {
         program.await_log(&format!(
             "call failed (the list has 5000000 bytes or more, 4194304 are read (a share of limits.memory_mb)); \
-             not asked again for {wait_s} s"
+             next call in {wait_s} s"
         ));
     }
 }
