--- a/src/net/discovery/answers.rs
+++ b/src/net/discovery/answers.rs
@@ -85,7 +85,7 @@
 
 /// The result of the calls before the one that was answered for the watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum CallsBefore {
+pub(super) enum PreviousCalls {
     /// The previous call was answered, or there was none.
     Answered,
     /// At least the last call failed.
@@ -324,7 +324,7 @@
     }
 
     /// Records that the watch, or a call that opens it, was answered.
-    pub(super) fn watch_confirmed(&mut self, runtime: &mut Runtime) -> CallsBefore {
+    pub(super) fn watch_confirmed(&mut self, runtime: &mut Runtime) -> PreviousCalls {
         let failed_opens = std::mem::take(&mut self.link.failed_opens);
         if !self.link.has_been_answered || failed_opens > 0 {
             let revision = self.revision;
@@ -336,9 +336,9 @@
         self.link.refuses_open_calls = false;
         self.link.timed_out_opens = 0;
         if failed_opens > 0 {
-            CallsBefore::Failed
+            PreviousCalls::Failed
         } else {
-            CallsBefore::Answered
+            PreviousCalls::Answered
         }
     }
 
--- a/src/net/discovery/calls.rs
+++ b/src/net/discovery/calls.rs
@@ -24,26 +24,26 @@
     /// Decides again on the watch's next call.
     Decide,
     /// Opens a connection to discovery.
-    Open(Opening),
+    Open(ConnectionPurpose),
     /// Makes a call on an open connection.
     Make(PlannedCall),
 }
 
 /// The purpose of a new connection to discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum Opening {
+pub(super) enum ConnectionPurpose {
     /// Watch. `was_postponed` is set if checks were made until now, so that no other call is needed before the watch.
     Watch { was_postponed: bool },
     /// Check of a watch, which asks for the changes since a revision.
     Check { since: u64 },
 }
 
-impl Opening {
+impl ConnectionPurpose {
     /// Returns the role of the connection.
     pub(super) fn role(self) -> Role {
         match self {
-            Opening::Watch { .. } => Role::Watch,
-            Opening::Check { .. } => Role::Heartbeat,
+            ConnectionPurpose::Watch { .. } => Role::Watch,
+            ConnectionPurpose::Check { .. } => Role::Heartbeat,
         }
     }
 }
@@ -75,7 +75,7 @@
             };
         }
         self.log_first_call(runtime);
-        Step::Open(Opening::Watch { was_postponed })
+        Step::Open(ConnectionPurpose::Watch { was_postponed })
     }
 
     /// Logs the list that is in use until the first call is answered.
@@ -93,26 +93,26 @@
         &mut self,
         runtime: &mut Runtime,
         stream: TcpStream,
-        opening: Opening,
+        purpose: ConnectionPurpose,
     ) -> Step {
-        let role = opening.role();
+        let role = purpose.role();
         let connection = DiscoveryConnection::new(stream, role, self.link.max_list_bytes());
         let key = runtime
             .connections
             .insert(Connection::Discovery(Box::new(connection)));
         self.link.connection_opened(key, role);
         runtime.register(key);
-        match opening {
-            Opening::Watch {
+        match purpose {
+            ConnectionPurpose::Watch {
                 was_postponed: true,
             } => self.continue_watch(runtime, key),
-            Opening::Watch {
+            ConnectionPurpose::Watch {
                 was_postponed: false,
             } => {
                 let call = self.link.opening_call(self.revision);
                 self.plan_opening(runtime, key, call)
             }
-            Opening::Check { since } => self.plan_check(key, since),
+            ConnectionPurpose::Check { since } => self.plan_check(key, since),
         }
     }
 
@@ -144,7 +144,7 @@
     /// Returns the step for the next call on a connection whose last call was answered.
     pub(super) fn continue_watch(&mut self, runtime: &mut Runtime, key: ConnectionKey) -> Step {
         let Some(since) = self.revision else {
-            return self.plan_opening(runtime, key, Call::WholeList);
+            return self.plan_opening(runtime, key, Call::CompleteList);
         };
         if self.lease.is_answer_missing(runtime.now) {
             return self.call_for_changes(runtime, key);
@@ -228,7 +228,7 @@
         }
         match self.link.check_connection {
             Some(key) => self.plan_check(key, since),
-            None => Step::Open(Opening::Check { since }),
+            None => Step::Open(ConnectionPurpose::Check { since }),
         }
     }
 
--- a/src/net/discovery/connection.rs
+++ b/src/net/discovery/connection.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Call {
     /// Request for the complete list, answered at once.
-    WholeList,
+    CompleteList,
     /// Request for the changes since a revision, answered at once.
     Changes {
         /// Revision since which changes are requested.
@@ -44,7 +44,7 @@
     /// Returns the bytes of the HTTP request.
     pub fn request_bytes(self, host: &str) -> Vec<u8> {
         let query = match self {
-            Call::WholeList => String::new(),
+            Call::CompleteList => String::new(),
             Call::Changes { since } => format!("?index={since}&wait=0"),
             Call::Watch { since, wait_s } => {
                 format!("?index={since}&wait={}", (wait_s * 1000.0) as u64)
--- a/src/net/discovery/link.rs
+++ b/src/net/discovery/link.rs
@@ -13,10 +13,10 @@
 use crate::net::timer_queue::TIMER_TOLERANCE_S;
 use crate::net::ConnectionKey;
 
-/// Number of consecutive timeouts of calls that open a watch after which a complete list is requested, in case discovery
-/// waits for a change although the call says not to. Other failures do not count: after an outage a whole fleet would
-/// request only complete lists, each of which costs discovery many times as much.
-const WHOLE_LIST_EVERY_CALLS: u32 = 8;
+/// Of each series of this many calls to open a watch that time out one after the other, the last one requests the complete
+/// list, in case discovery waits for a change although the call says not to. Other failures do not count: after an outage a
+/// whole fleet would request only complete lists, each of which costs discovery many times as much.
+const COMPLETE_LIST_CALL_INTERVAL: u32 = 8;
 
 /// The connections to one discovery, and the history of its answers.
 pub(super) struct DiscoveryLink {
@@ -107,18 +107,20 @@
 
     /// Returns the call that opens a watch, given the revision of the list in use.
     pub(super) fn opening_call(&self, revision: Option<u64>) -> Call {
-        let is_whole_list_due =
-            self.timed_out_opens % WHOLE_LIST_EVERY_CALLS == WHOLE_LIST_EVERY_CALLS - 1;
+        let is_complete_list_due =
+            self.timed_out_opens % COMPLETE_LIST_CALL_INTERVAL == COMPLETE_LIST_CALL_INTERVAL - 1;
         match revision {
-            Some(since) if !self.refuses_changes && !is_whole_list_due => Call::Changes { since },
-            _ => Call::WholeList,
+            Some(since) if !self.refuses_changes && !is_complete_list_due => {
+                Call::Changes { since }
+            }
+            _ => Call::CompleteList,
         }
     }
 
     /// Returns the timeout after which a call that opens a watch is overdue (seconds). `mixers` is the number of mixers
     /// that call the same discovery, or `None` if no second call is made while one is open.
     pub(super) fn open_timeout_s(&self, call: Call, mixers: Option<u32>) -> f64 {
-        if call == Call::WholeList || self.refuses_open_calls {
+        if call == Call::CompleteList || self.refuses_open_calls {
             return watch_schedule::OPEN_TIMEOUT_S;
         }
         let timeout_s = watch_schedule::open_timeout_s(self.has_been_answered, self.failed_opens);
@@ -171,7 +173,7 @@
     pub(super) fn is_watch_in_time(&self, runtime: &Runtime) -> bool {
         open_call(runtime, self.watch).is_some_and(|open| match open.call {
             Call::Watch { wait_s, .. } => runtime.now < open.made_at + wait_s,
-            Call::WholeList | Call::Changes { .. } => false,
+            Call::CompleteList | Call::Changes { .. } => false,
         })
     }
 
--- a/src/net/discovery/routing.rs
+++ b/src/net/discovery/routing.rs
@@ -4,7 +4,7 @@
 use crate::config::Deployment;
 use crate::decisions::api::ReplicaEntry;
 use crate::net::discovery::answers::{
-    AnswerContent, AnsweredCall, CallsBefore, FailedCall, ListAnswer, ReadOutcome,
+    AnswerContent, AnsweredCall, FailedCall, ListAnswer, PreviousCalls, ReadOutcome,
 };
 use crate::net::discovery::calls::{PlannedCall, Step};
 use crate::net::discovery::connection::{Call, DiscoveryError, Role};
@@ -54,16 +54,16 @@
                 Step::Wait => return,
                 Step::Decide => self.discovery.next_step(&mut self.runtime),
                 Step::Make(planned) => return self.make_call(planned),
-                Step::Open(opening) => {
+                Step::Open(purpose) => {
                     let Some(address) = self.discovery.address() else {
                         return;
                     };
                     match self.connect_to_discovery(address) {
                         Ok(stream) => {
                             self.discovery
-                                .connection_opened(&mut self.runtime, stream, opening)
+                                .connection_opened(&mut self.runtime, stream, purpose)
                         }
-                        Err(error) => return self.open_failed(opening.role(), error),
+                        Err(error) => return self.open_failed(purpose.role(), error),
                     }
                 }
             };
@@ -173,8 +173,8 @@
 
     fn watch_answered(&mut self, answered: &AnsweredCall) {
         self.discovery.promote_overdue(&mut self.runtime, answered);
-        let calls_before = self.discovery.watch_confirmed(&mut self.runtime);
-        if calls_before == CallsBefore::Failed {
+        let previous_calls = self.discovery.watch_confirmed(&mut self.runtime);
+        if previous_calls == PreviousCalls::Failed {
             self.apply_entries(false, Vec::new()); // resets the decision module's count of failed calls
         }
         self.discovery
--- a/src/net/replica/answers.rs
+++ b/src/net/replica/answers.rs
@@ -1,7 +1,6 @@
-//! What comes on a connection to a leaf server: frames or HTTP responses, matched to the parts in flight.
-//!
-//! This file owns which part an answer belongs to. It must never take an answer for a part whose call has not left
-//! completely, and never read on after an answer that it could not use.
+//! Reads answers from a leaf server, as frames or HTTP responses, and matches them to the parts in flight. An answer is
+//! only accepted for a part whose call has been written completely, and after an answer that can't be used nothing more is
+//! read.
 
 use crate::decisions::api::Outcome;
 use crate::endpoints::directory::WireFormat;
@@ -13,11 +12,12 @@
 use std::io::{self, Read};
 use std::rc::Rc;
 
-/// Bytes read from the socket at a time.
+/// Size of a single read from the socket.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 impl ReplicaConnection {
-    /// Reads what has come, and adds the attempts that ended to `results`. An error means that the connection has ended.
+    /// Reads all available answers, and adds the attempts that ended to `results`. An error means that the connection is to
+    /// be closed.
     pub fn read(&mut self, now: f64, results: &mut Vec<AttemptResult>) -> Result<(), ReplicaError> {
         let mut buffer = [0; READ_BUFFER_BYTES];
         loop {
@@ -90,7 +90,8 @@
         now: f64,
         results: &mut Vec<AttemptResult>,
     ) -> Result<(), ReplicaError> {
-        // Taken out while its frames are read, so that they can be borrowed from it. After an error nothing is read on.
+        // The buffer is moved out while its frames are read, so that they can borrow from it. After an error nothing more
+        // is read.
         let mut input = std::mem::take(&mut self.input);
         let mut consumed_bytes = 0;
         loop {
@@ -125,7 +126,7 @@
                 Ok(())
             }
             ReceivedFrame::Error => {
-                // The frame that it could not read is the last one that it received.
+                // The unreadable frame is the last one that the leaf server received.
                 let last = self
                     .parts
                     .iter()
@@ -144,7 +145,7 @@
         results: &mut Vec<AttemptResult>,
     ) -> Result<(), ReplicaError> {
         let id = frames::answered_part_id(content);
-        // Only a part whose frame has left completely can have an answer.
+        // Only a part whose frame has been written completely can have an answer.
         let index = self
             .parts
             .iter()
@@ -154,14 +155,14 @@
             return Err(self.reject_answer(named, ReplicaError::MalformedAnswer));
         };
         let Some(index) = index else {
-            // A second answer, or one that comes after its attempt has ended, is ignored.
+            // A duplicate answer, or one that arrives after its attempt has ended, is ignored.
             if self.recent.iter().any(|recent| Some(&*recent.id) == id) {
                 return Ok(());
             }
             return Err(self.reject_answer(None, ReplicaError::UnknownPart));
         };
         let Some(outcome) = answer.result.outcome(self.parts[index].pre_check) else {
-            // A late answer to a pre-check of a part that has been sent in full since is ignored.
+            // A late answer to the pre-check of a part that has since been sent in full is ignored.
             let is_late = |recent: &RecentPart| recent.pre_check && Some(&*recent.id) == id;
             if self.recent.iter().any(is_late) {
                 return Ok(());
@@ -172,7 +173,7 @@
         let value = (outcome == Outcome::Ok).then(|| Rc::from(answer.value));
         results.extend(part.result(outcome, value));
         self.load = answer.load.map(String::from).or(self.load.take());
-        self.remember(part);
+        self.add_recent_part(part);
         Ok(())
     }
 }
--- a/src/net/replica/connection.rs
+++ b/src/net/replica/connection.rs
@@ -1,8 +1,8 @@
-//! One connection to a leaf server: calls are queued and written; `answers.rs` reads what comes back.
+//! One connection to a leaf server: queues and writes calls, and tracks the parts in flight; `answers.rs` reads the
+//! answers.
 //!
-//! This file owns the parts that are in flight on the connection, and knows for each attempt whether its last byte has left
-//! and how it ended. It must never decide where a part goes, never give an attempt two outcomes, never take an answer for an
-//! attempt that was sent on another connection, and never read on after an answer that it could not use.
+//! Each attempt gets at most one outcome. An answer is only accepted for an attempt that was sent on the same connection,
+//! and after an answer that can't be used nothing more is read.
 
 use crate::decisions::api::{Outcome, ReplicaId};
 use crate::endpoints::directory::WireFormat;
@@ -20,30 +20,31 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// An answer that has started is complete after this time, or the connection ends (seconds).
+/// Time within which an answer has to be complete after its first byte, or the connection is closed (seconds).
 const ANSWER_TIMEOUT_S: f64 = 0.25;
-/// Ended parts that are remembered, so that a late or second answer to one is recognized.
+/// Maximum number of ended parts whose ids are kept to recognize late or duplicate answers.
 const MAX_RECENT_PARTS: usize = 64;
-/// Parts in flight on a connection in HTTP/1.1.
+/// Maximum number of parts in flight on an HTTP/1.1 connection.
 const MAX_HTTP_PARTS: usize = 1;
-/// In HTTP/1.1 a later request on another connection may be the faster one: silence has to be so many times as long there.
+/// Factor on the silence limit for HTTP/1.1, where each request has its own connection and a later request may be answered
+/// sooner.
 const HTTP_SILENCE_FACTOR: f64 = 2.0;
 
-/// A part that is in flight on a connection. It stays, without its attempt, after that was cancelled: its answer may still
-/// come, and must not be taken for that of a later attempt of the same part.
+/// A part in flight on a connection. After a cancellation the part stays here without its attempt: its answer may still
+/// arrive, and must not be taken for the answer to a later attempt of the same part.
 pub(super) struct PartInFlight {
     pub(super) attempt: Option<AttemptKey>,
     pub(super) id: String,
     pub(super) pre_check: bool,
-    /// Whether the last byte of its call has left.
+    /// Whether the last byte of the part's call has been written.
     pub(super) is_written: bool,
     sent_at: f64,
-    /// How long the client waits for it.
+    /// Time until which the mixer waits for the part.
     until: f64,
 }
 
 impl PartInFlight {
-    /// How its attempt ended; none where that was cancelled before.
+    /// Returns the result of the attempt, or `None` if the attempt was cancelled before.
     pub(super) fn result(&self, outcome: Outcome, value: Option<Rc<str>>) -> Option<AttemptResult> {
         Some(AttemptResult {
             attempt: self.attempt?,
@@ -60,49 +61,49 @@
     pub(super) pre_check: bool,
 }
 
-/// How an attempt ended, by its leaf server's answer.
+/// Result of an attempt that its leaf server answered.
 #[derive(Debug, PartialEq)]
 pub struct AttemptResult {
-    /// The attempt.
+    /// Attempt that ended.
     pub attempt: AttemptKey,
-    /// When its call was queued.
+    /// Time at which the call was queued.
     pub sent_at: f64,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// The value, where it was served.
+    /// Value of the part, if the part was served.
     pub value: Option<Rc<str>>,
 }
 
-/// How an attempt ended, by the end of its connection.
+/// Result of an attempt that ended with its connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LostAttempt {
-    /// The attempt.
+    /// Attempt that ended.
     pub attempt: AttemptKey,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
 }
 
-/// Why the mixer itself ends a connection that is up.
+/// Reason for which the mixer closes an established connection.
 #[derive(Clone, Copy)]
 enum LocalClose {
-    /// It is silent while another connection to the leaf server answers.
+    /// The connection is silent while another connection to the leaf server receives answers.
     Silent,
-    /// What came can't be used; and whose answer it was, if that is known.
+    /// An answer can't be used; `of` is the attempt it belongs to, if known.
     UnusableAnswer { of: Option<AttemptKey> },
 }
 
-/// What a connection is opened with.
+/// Parameters of a new connection.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaConnectionSetup {
-    /// The leaf server.
+    /// Leaf server to connect to.
     pub replica: ReplicaId,
-    /// The address to which the socket connects.
+    /// Address to which the socket connects.
     pub address: SocketAddr,
-    /// What the leaf server speaks.
+    /// Protocol of the leaf server.
     pub wire_format: WireFormat,
-    /// Shards of the deployment, for requests in HTTP.
+    /// Number of shards of the deployment, for requests in HTTP.
     pub shards: u32,
-    /// No call is accepted while more bytes wait to be written.
+    /// Number of unwritten bytes above which no call is accepted.
     pub max_waiting_bytes: usize,
 }
 
@@ -124,17 +125,17 @@
     }
 }
 
-/// One connection to a leaf server. Times are of the loop's clock (seconds).
+/// A connection to a leaf server. Times are those of the event loop's clock (seconds).
 pub struct ReplicaConnection {
     pub(super) stream: TcpStream,
     is_connected: bool,
-    /// When a call was last queued or an answer came.
+    /// Time at which a call was last queued or an answer was received.
     pub(super) used_at: f64,
-    /// The load report that came last, as the leaf server words it.
+    /// Last load report, in the leaf server's format.
     pub(super) load: Option<String>,
-    /// Attempts written completely and not counted yet, by the front of their requests.
+    /// Number of attempts that were written completely and not counted yet, by front.
     written: [u64; 2],
-    /// Calls that have started to leave and were not verified yet.
+    /// Calls whose writing has started and that have not been verified yet.
     started_calls: Vec<StartedCall>,
     pub(super) setup: ReplicaConnectionSetup,
     queue: SendQueue,
@@ -142,15 +143,15 @@
     pub(super) recent: VecDeque<RecentPart>,
     pub(super) input: Vec<u8>,
     pub(super) reader: Reader,
-    /// Since when a part of an answer is there.
+    /// Time since which an incomplete answer has been arriving.
     pub(super) answer_began_at: Option<f64>,
-    /// Since when something is in flight and nothing was received.
+    /// Time since which a part is in flight and nothing has been received.
     pub(super) silent_since: Option<f64>,
     local_close: Option<LocalClose>,
 }
 
 impl ReplicaConnection {
-    /// A connection that is being established.
+    /// Creates a connection that is being established.
     pub fn new(stream: TcpStream, setup: ReplicaConnectionSetup, now: f64) -> ReplicaConnection {
         ReplicaConnection {
             stream,
@@ -171,52 +172,53 @@
         }
     }
 
-    /// The leaf server that it goes to.
+    /// Returns the leaf server of the connection.
     pub fn replica(&self) -> ReplicaId {
         self.setup.replica
     }
 
-    /// The address to which it was opened; the leaf server's may have changed since.
+    /// Returns the address to which the connection was opened; the leaf server's address may have changed since.
     pub fn address(&self) -> SocketAddr {
         self.setup.address
     }
 
-    /// Its socket, for the poll.
+    /// Returns the socket, for registration with the poll.
     pub(in crate::net) fn stream_mut(&mut self) -> &mut TcpStream {
         &mut self.stream
     }
 
-    /// Whether it has come up.
+    /// Returns whether the connection is established.
     pub fn is_connected(&self) -> bool {
         self.is_connected
     }
 
-    /// Whether its socket is connected by now; an error says why it never will be.
+    /// Checks whether the socket is connected by now; an error means that connecting has failed.
     pub(super) fn poll_connected(&self) -> io::Result<bool> {
         came_up(&self.stream)
     }
 
-    /// When a call was last queued or an answer came.
+    /// Returns the time at which a call was last queued or an answer was received.
     pub fn used_at(&self) -> f64 {
         self.used_at
     }
 
-    /// The load report that came last, as the leaf server words it, if one came since it was last taken.
+    /// Takes the last load report, in the leaf server's format, if one was received since the previous call.
     pub fn take_load(&mut self) -> Option<String> {
         self.load.take()
     }
 
-    /// Attempts that were written completely since this was last called, by the front of their requests.
+    /// Takes the number of attempts that were written completely since the previous call, by front.
     pub fn take_written(&mut self) -> [u64; 2] {
         std::mem::take(&mut self.written)
     }
 
-    /// Calls that have started to leave since this was last called.
+    /// Takes the calls whose writing has started since the previous call.
     pub fn take_started_calls(&mut self) -> Vec<StartedCall> {
         std::mem::take(&mut self.started_calls)
     }
 
-    /// Parts that count against how many the connection carries at a time.
+    /// Returns the number of parts that count against the connection's limit, after removing cancelled parts whose time is
+    /// over.
     fn parts_in_flight(&mut self, now: f64) -> usize {
         while let Some(index) = self
             .parts
@@ -224,13 +226,13 @@
             .position(|part| part.attempt.is_none() && part.until <= now)
         {
             let part = self.parts.remove(index);
-            self.remember(part);
+            self.add_recent_part(part);
         }
         self.parts.len()
     }
 
     /// Keeps the id of a part that is no longer in flight.
-    pub(super) fn remember(&mut self, part: PartInFlight) {
+    pub(super) fn add_recent_part(&mut self, part: PartInFlight) {
         if self.recent.len() >= MAX_RECENT_PARTS {
             self.recent.pop_front();
         }
@@ -240,14 +242,14 @@
         });
     }
 
-    /// Whether nothing was received for longer than `silence_s` (seconds) though something is in flight. Cancelling that
-    /// afterwards changes nothing.
+    /// Returns whether nothing was received for longer than `silence_s` (seconds) although a part was in flight. Cancelling
+    /// the part afterwards changes nothing.
     pub fn is_suspect(&self, now: f64, silence_s: f64) -> bool {
         self.is_connected && self.silent_since.is_some_and(|at| now > at + silence_s)
     }
 
-    /// Whether it is suspect though the leaf server has answered on another connection what was sent later, at
-    /// `answered_sent_at`: then this connection is at fault, and not the leaf server.
+    /// Returns whether the connection is suspect although the leaf server has answered, on another connection, a call that
+    /// was sent later, at `answered_sent_at`. In that case the connection is at fault, and not the leaf server.
     pub fn is_silent_while_another_answers(
         &self,
         now: f64,
@@ -262,19 +264,20 @@
             && self.silent_since.is_some_and(|at| at < answered_sent_at)
     }
 
-    /// To be called before the connection is ended for [`ReplicaConnection::is_silent_while_another_answers`]: its attempts
-    /// are cancelled then, and count neither against the leaf server nor against their parts.
+    /// Marks the connection as silent; must be called before the connection is closed for
+    /// [`ReplicaConnection::is_silent_while_another_answers`]. Its attempts then count as cancelled, and are not held
+    /// against the leaf server or their parts.
     pub fn mark_silent(&mut self) {
         self.local_close = Some(LocalClose::Silent);
     }
 
-    /// When an answer that has started has to be complete, if one has.
+    /// Returns the time at which an incomplete answer has to be complete, if one is arriving.
     pub fn answer_due_at(&self) -> Option<f64> {
         self.answer_began_at.map(|at| at + ANSWER_TIMEOUT_S)
     }
 
-    /// What was received can't be used, so nothing that follows can be. Gives back the error that ends the connection.
-    /// The answer counts as that of the part it names, or otherwise of the one that has waited for the longest.
+    /// Records that an answer can't be used, so that nothing after it can be used either. Returns the error that closes the
+    /// connection. The answer counts as the answer to the part it names, or otherwise to the oldest part that was sent.
     pub fn reject_answer(
         &mut self,
         named: Option<AttemptKey>,
@@ -292,18 +295,19 @@
         error
     }
 
-    /// Whether no bytes wait to be written.
+    /// Returns whether no bytes are waiting to be written.
     pub fn has_nothing_to_send(&self) -> bool {
         self.queue.is_empty()
     }
 
-    /// Whether no attempt is in flight on it.
+    /// Returns whether no attempt is in flight on the connection.
     pub fn is_unused(&self) -> bool {
         self.parts.iter().all(|part| part.attempt.is_none())
     }
 
-    /// Whether these parts may be sent on it: at most `max_parts` are in flight then, no answer is incomplete, and none of
-    /// their ids is in flight already, for an answer names the part and not the attempt.
+    /// Returns whether these parts may be sent on the connection: at most `max_parts` are in flight afterwards, no answer
+    /// is incomplete, the connection is not suspect, and none of their ids is in flight, because an answer names the part
+    /// and not the attempt.
     pub fn can_accept(
         &mut self,
         parts: &[CallPart],
@@ -315,7 +319,8 @@
             WireFormat::Search => MAX_HTTP_PARTS,
             WireFormat::Frames => max_parts,
         };
-        // A call of more parts than a connection's limit is sent on an empty one; the leaf server reads the rest later.
+        // A call with more parts than the connection's limit is sent on an unused connection; the leaf server reads the
+        // remaining parts later.
         let in_flight = self.parts_in_flight(now);
         let has_capacity = in_flight == 0 || in_flight + parts.len() <= max_parts;
         let is_healthy = self.answer_began_at.is_none() && !self.is_suspect(now, silence_s);
@@ -330,21 +335,21 @@
             && !parts.iter().any(is_in_flight)
     }
 
-    /// The connection has come up.
+    /// Marks the connection as established.
     pub fn mark_connected(&mut self, now: f64) {
         self.is_connected = true;
         self.refresh_timeouts(now);
         let _ = self.stream.set_nodelay(true);
     }
 
-    /// Calls that have waited, for the connection or for the socket, are encoded anew with what is left of their timeouts.
+    /// Encodes calls that have waited for the connection or the socket again, with the time that is left of their timeouts.
     pub fn refresh_timeouts(&mut self, now: f64) {
         let setup = self.setup;
         self.queue
             .refresh_timeouts(now, |parts| setup.encode(parts));
     }
 
-    /// Queues a call; its bytes leave with [`ReplicaConnection::flush`].
+    /// Queues a call, whose bytes [`ReplicaConnection::flush`] writes.
     pub fn queue_call(&mut self, parts: &[CallPart], now: f64) {
         let encoded = self.setup.encode(parts);
         for part in parts {
@@ -362,11 +367,11 @@
         self.silent_since.get_or_insert(now);
     }
 
-    /// Cancels an attempt. Says whether the connection has to be closed for it.
+    /// Cancels an attempt. Returns whether the connection has to be closed to cancel it.
     pub fn cancel(&mut self, attempt: AttemptKey, now: f64, silence_s: f64) -> bool {
         let must_close = self.cancel_part(attempt);
-        // A cancelled part is never answered, so the silence after it means nothing: without this each cancellation would
-        // cost the leaf server a handshake. A connection that was suspect before stays so.
+        // A cancelled part is never answered, so the silence after it has no meaning: without this reset each cancellation
+        // would cost the leaf server a handshake. A connection that was suspect before remains suspect.
         if self.is_unused() && !self.is_suspect(now, silence_s) {
             self.silent_since = None;
         }
@@ -381,44 +386,45 @@
         else {
             return false;
         };
-        // What has not started to leave never leaves, also where others in its call do.
+        // An attempt whose writing has not started is never sent, even if other parts of its call are.
         if self.withdraw_unsent(attempt) {
             return false;
         }
         self.parts[index].attempt = None;
         if self.setup.wire_format == WireFormat::Search {
-            return true; // HTTP/1.1 has no other way to cancel a request
+            return true; // in HTTP/1.1 only closing the connection cancels a request
         }
         self.queue
             .push_cancel(frames::encode_cancel(&self.parts[index].id));
         false
     }
 
-    /// Withdraws an attempt unless its call has started to leave. Says whether it never will.
+    /// Withdraws an attempt unless writing its call has started. Returns whether the attempt was withdrawn.
     pub fn withdraw_unsent(&mut self, attempt: AttemptKey) -> bool {
         let is_withdrawn = self.queue.withdraw(attempt);
         if is_withdrawn {
-            self.forget_parts(&[attempt]);
+            self.remove_parts(&[attempt]);
         }
         is_withdrawn
     }
 
-    /// Withdraws every call that has not started to leave: nothing new may go to the leaf server. Gives the attempts.
+    /// Withdraws every call whose writing has not started, because the leaf server must not receive new calls. Returns the
+    /// attempts.
     pub fn withdraw_all_unsent(&mut self) -> Vec<AttemptKey> {
         let withdrawn = self.queue.withdraw_all();
-        self.forget_parts(&withdrawn);
+        self.remove_parts(&withdrawn);
         withdrawn
     }
 
-    /// Withdraws the calls that have not started to leave and may no longer: the window in which their class may repeat a part
-    /// has ended while they waited for the connection, or behind others. Gives the attempts.
+    /// Withdraws the unwritten calls that are too late: the window in which their class may repeat a part has ended while
+    /// they waited for the connection, or behind other calls. Returns the attempts.
     pub fn withdraw_late(&mut self, now: f64) -> Vec<AttemptKey> {
         let withdrawn = self.queue.withdraw_late(now);
-        self.forget_parts(&withdrawn);
+        self.remove_parts(&withdrawn);
         withdrawn
     }
 
-    fn forget_parts(&mut self, attempts: &[AttemptKey]) {
+    fn remove_parts(&mut self, attempts: &[AttemptKey]) {
         if attempts.is_empty() {
             return;
         }
@@ -428,24 +434,24 @@
         });
     }
 
-    /// Whether a call has left in part that must not arrive any more: only the end of the connection keeps back its last
-    /// byte.
+    /// Returns whether a partly written call must not arrive any more. Only closing the connection keeps its last byte from
+    /// being sent.
     pub fn is_partly_sent_too_late(&self, now: f64) -> bool {
         self.queue.is_partly_sent_too_late(now)
     }
 
-    /// Attempts whose calls have not started to leave.
+    /// Returns the attempts whose calls have not begun to be written.
     pub fn unsent_attempts(&self) -> Vec<AttemptKey> {
         self.queue.unsent_attempts()
     }
 
-    /// Attempts of the call that has left in part, if there is one.
+    /// Returns the attempts of the partly written call, if there is one.
     pub fn partly_sent_attempts(&self) -> Vec<AttemptKey> {
         self.queue.partly_sent_attempts()
     }
 
-    /// Writes what the socket takes. `may_start` is asked before the first byte of each call leaves, and gives the time if the
-    /// call may; one that may not is withdrawn, and its attempts are added to `withdrawn`.
+    /// Writes as much as the socket accepts. `may_start` is called before the first byte of each call is written, and
+    /// returns the time if the call may be sent; other calls are withdrawn and their attempts added to `withdrawn`.
     pub fn flush(
         &mut self,
         mut may_start: impl FnMut(&CallTimes) -> Option<f64>,
@@ -456,7 +462,7 @@
                 WriteStep::Empty | WriteStep::Blocked => return Ok(()),
                 WriteStep::Interrupted => {}
                 WriteStep::Withdrawn(attempts) => {
-                    self.forget_parts(&attempts);
+                    self.remove_parts(&attempts);
                     withdrawn.extend(attempts);
                 }
                 WriteStep::Wrote { started, complete } => {
@@ -477,8 +483,9 @@
         self.written[frame.protocol() as usize] += frame.part_count() as u64;
     }
 
-    /// How all attempts that are in flight end with the connection. Where an answer could not be used, the attempt that it
-    /// belongs to has failed; the others were in flight on a connection that the mixer itself ended, and are not to blame.
+    /// Ends all attempts in flight together with the connection. If an answer could not be used, the attempt that it
+    /// belongs to has failed; the other attempts were in flight on a connection that the mixer itself closed, and are not
+    /// held against the leaf server.
     pub fn end_attempts(&mut self) -> Vec<LostAttempt> {
         let local_close = self.local_close;
         let lost = self.parts.drain(..).filter_map(|part| {
--- a/src/net/replica/error.rs
+++ b/src/net/replica/error.rs
@@ -1,55 +1,55 @@
-//! Why a connection to a leaf server ends.
+//! Errors that end a connection to a leaf server.
 
 use crate::net::http::HttpError;
 use std::io;
 use thiserror::Error;
 
-/// Why a connection to a leaf server ends.
+/// Error that ends a connection to a leaf server.
 #[derive(Debug, Error)]
 pub enum ReplicaError {
-    /// The socket failed, or the leaf server closed it.
+    /// The socket failed, or the leaf server closed the connection.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The connection ended in the middle of an HTTP message.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// It did not come up within the connect timeout.
+    /// The connection was not established within the connect timeout.
     #[error("connect timeout")]
     ConnectTimeout,
-    /// Another connection to the same leaf server answered what was sent later.
+    /// Another connection to the same leaf server received an answer to a later call.
     #[error("silent while another answers")]
     Silent,
-    /// An answer began and was not complete in time.
+    /// An answer was not complete in time after its first byte.
     #[error("incomplete answer")]
     IncompleteAnswer,
-    /// An answer does not have the form that the protocol wants.
+    /// An answer does not have the format that the protocol requires.
     #[error("malformed answer")]
     MalformedAnswer,
-    /// An HTTP response came though no request was in flight.
+    /// An HTTP response was received although no request was in flight.
     #[error("unexpected response")]
     UnexpectedResponse,
-    /// An answer names a part that is not in flight on this connection, and was not lately.
+    /// An answer names a part that neither is nor recently was in flight on this connection.
     #[error("answer to an unknown part")]
     UnknownPart,
-    /// The answer to a pre-check came for a part that was sent in full.
+    /// The answer to a pre-check was received for a part that was sent in full.
     #[error("pre-check answer to a full query")]
     UnexpectedPreCheckAnswer,
-    /// The length of a frame is zero or beyond the limit.
+    /// The length of a frame is zero or above the limit.
     #[error("invalid frame length")]
     InvalidFrameLength,
-    /// A frame is of a kind that the protocol does not have.
+    /// The kind of a frame is not defined by the protocol.
     #[error("unknown kind of frame")]
     UnknownFrame,
-    /// The leaf server reports that it could not read a frame.
+    /// The leaf server reported that it could not read a frame.
     #[error("the leaf server rejected a frame")]
     FrameRejected,
-    /// An HTTP response announced that the connection closes after it.
+    /// An HTTP response announced that the connection will be closed.
     #[error("closed after its response")]
     ClosedAfterResponse,
-    /// A call has left in part, and its time to be sent is over: its last byte must not leave.
+    /// The idempotency window of a partly written call is over, so its last byte must not be sent.
     #[error("partly sent call is too late")]
     PartlySentTooLate,
-    /// A call has left in part, and no client waits for it any more: its last byte must not leave.
+    /// No client waits for a partly written call any more, so its last byte must not be sent.
     #[error("partly sent call has no client")]
     PartlySentUnwanted,
 }
--- a/src/net/replica/events.rs
+++ b/src/net/replica/events.rs
@@ -1,7 +1,5 @@
-//! Events and deadlines of the connections to leaf servers, and the end of a connection.
-//!
-//! This file owns what a connection's answers and its end mean for the attempts on it: each gets exactly one outcome. It must
-//! never end a connection without reporting these.
+//! Handles events and deadlines of the connections to leaf servers, and closes connections. Each attempt on a connection
+//! gets exactly one outcome, also when the connection ends.
 
 use crate::decisions::api::ReplicaId;
 use crate::net::connection_table::Connection;
@@ -12,11 +10,11 @@
 use crate::net::timer_queue::{Deadline, TIMER_TOLERANCE_S};
 use crate::net::ConnectionKey;
 
-/// A connection that is in use when it would have been idle for too long is looked at again after this time (seconds).
+/// Interval after which a connection is checked again that was in use at the end of its idle time (seconds).
 const IDLE_RECHECK_S: f64 = 0.5;
 
 impl ReplicaConnections {
-    /// A connection can be read or written, or has failed.
+    /// Handles an event of a connection that is readable or writable, or has failed.
     pub(in crate::net) fn connection_event(
         &mut self,
         runtime: &mut Runtime,
@@ -34,7 +32,7 @@
                     let idle_at = runtime.now + max_idle_s(runtime);
                     runtime.timers.add(idle_at, Deadline::Connection(key));
                 }
-                Err(error) => return self.end(runtime, key, &error.into()),
+                Err(error) => return self.close(runtime, key, &error.into()),
             }
         }
         let Some(Connection::Replica(connection)) = runtime.connections.get_mut(key) else {
@@ -51,15 +49,15 @@
             self.end_attempt(runtime, result.attempt, result.outcome, result.value);
         }
         if let Some(answered_sent_at) = answered_sent_at {
-            self.end_silent(runtime, replica, answered_sent_at);
+            self.close_silent(runtime, replica, answered_sent_at);
         }
         if let Err(error) = read.and(flushed) {
-            self.end(runtime, key, &error);
+            self.close(runtime, key, &error);
         }
     }
 
-    /// A deadline of a connection has come: it did not come up, an answer is incomplete, or it may have been unused for too
-    /// long.
+    /// Handles a deadline of a connection: it was not established in time, an answer is incomplete, or it may have been
+    /// unused for too long.
     pub(in crate::net) fn connection_due(&mut self, runtime: &mut Runtime, key: ConnectionKey) {
         let now = runtime.now;
         let max_idle_s = max_idle_s(runtime);
@@ -67,15 +65,16 @@
             return;
         };
         if !connection.is_connected() {
-            return self.end(runtime, key, &ReplicaError::ConnectTimeout);
+            return self.close(runtime, key, &ReplicaError::ConnectTimeout);
         }
-        // The parts on a connection where an answer never ends would otherwise wait for as long as their clients do.
+        // Without this deadline, the parts on a connection with an incomplete answer would wait for as long as their
+        // clients do.
         if connection
             .answer_due_at()
             .is_some_and(|due_at| due_at <= now + TIMER_TOLERANCE_S)
         {
             let error = connection.reject_answer(None, ReplicaError::IncompleteAnswer);
-            return self.end(runtime, key, &error);
+            return self.close(runtime, key, &error);
         }
         let idle_at = connection.used_at() + max_idle_s;
         if now + TIMER_TOLERANCE_S < idle_at {
@@ -89,9 +88,9 @@
         }
     }
 
-    /// The leaf server has answered what was sent at that time, so a connection to it that has been silent for longer is at
-    /// fault itself.
-    fn end_silent(&mut self, runtime: &mut Runtime, replica: ReplicaId, answered_sent_at: f64) {
+    /// Closes connections that have been silent since before `answered_sent_at`, because the leaf server has answered a
+    /// call that was sent at that time: the connections are at fault, and not the leaf server.
+    fn close_silent(&mut self, runtime: &mut Runtime, replica: ReplicaId, answered_sent_at: f64) {
         let connections = connections_to(runtime, replica);
         let silence_s = max_silence_s(runtime);
         for key in connections {
@@ -101,13 +100,13 @@
             if connection.is_silent_while_another_answers(runtime.now, silence_s, answered_sent_at)
             {
                 connection.mark_silent();
-                self.end(runtime, key, &ReplicaError::Silent);
+                self.close(runtime, key, &ReplicaError::Silent);
             }
         }
     }
 
-    /// Ends a connection: every attempt in flight on it gets its outcome.
-    fn end(&mut self, runtime: &mut Runtime, key: ConnectionKey, error: &ReplicaError) {
+    /// Closes a connection; every attempt in flight on it gets its outcome.
+    fn close(&mut self, runtime: &mut Runtime, key: ConnectionKey, error: &ReplicaError) {
         let Some(Connection::Replica(connection)) = runtime.connections.get_mut(key) else {
             return;
         };
@@ -130,8 +129,8 @@
     }
 }
 
-/// Keeps the load report that a connection has received, and sets a deadline for an answer that is incomplete. Gives the
-/// leaf server; none where the connection has ended.
+/// Stores the load report that a connection has received, and sets the deadline for an incomplete answer. Returns the leaf
+/// server, or `None` if the connection was removed.
 fn record_received(runtime: &mut Runtime, key: ConnectionKey) -> Option<ReplicaId> {
     let Some(Connection::Replica(connection)) = runtime.connections.get_mut(key) else {
         return None;
--- a/src/net/replica/frames.rs
+++ b/src/net/replica/frames.rs
@@ -1,16 +1,14 @@
-//! The frame protocol of leaf servers: calls and cancellations are encoded, answers decoded.
-//!
-//! This file owns the layout of frames: a length of four bytes (most significant first), a letter for the kind, and the
-//! content. It must never hold a socket or know what is in flight.
+//! The frame protocol of leaf servers: encodes calls and cancellations, and decodes answers. A frame consists of a length
+//! of four bytes (most significant first), a letter for its kind, and its content.
 
 use crate::decisions::api::Outcome;
 use crate::requests::coordinator::CallPart;
 
-/// Bytes of a frame's length.
+/// Size of a frame's length field.
 pub(super) const LENGTH_BYTES: usize = 4;
-/// Longest frame that a leaf server may send: the client's answer could not hold a longer value.
+/// Maximum length of a frame from a leaf server; the client's answer could not hold a longer value.
 pub(super) const MAX_FRAME_BYTES: usize = 66 * 1024;
-/// Longest load report that is kept.
+/// Maximum length of a load report that is kept.
 const MAX_LOAD_REPORT_BYTES: usize = 200;
 
 const CALL: u8 = b'q';
@@ -18,14 +16,14 @@
 const ANSWER: u8 = b'a';
 const ERROR: u8 = b'e';
 
-/// The bytes of a call. The last bytes are those of its parts, in order.
+/// An encoded call. The last bytes are those of its parts, in order.
 pub(super) struct EncodedCall {
     pub(super) bytes: Vec<u8>,
-    /// How many bytes each part takes.
+    /// Number of bytes of each part.
     pub(super) part_bytes: Vec<usize>,
 }
 
-/// The id of a part on the wire.
+/// Returns the id of a part on the wire.
 pub(super) fn part_id(part: &CallPart) -> String {
     format!(
         "{}.{}",
@@ -40,7 +38,7 @@
     out
 }
 
-/// The frame of one call.
+/// Encodes a call.
 pub(super) fn encode_call(parts: &[CallPart]) -> EncodedCall {
     let mut content = Vec::new();
     let mut part_bytes = Vec::new();
@@ -77,26 +75,26 @@
     out.extend_from_slice(text);
 }
 
-/// The frame that cancels a part.
+/// Encodes the cancellation of a part.
 pub(super) fn encode_cancel(part_id: &str) -> Vec<u8> {
     frame(CANCEL, part_id.as_bytes())
 }
 
-/// What a leaf server reports of a part.
+/// The result of a part as reported by a leaf server.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum PartResult {
     Served,
     Failed,
     Skipped,
-    /// Pre-check: nothing there matches.
+    /// Pre-check: nothing in the shard matches.
     NoMatch,
-    /// Pre-check: something may match.
+    /// Pre-check: something in the shard may match.
     MayMatch,
 }
 
 impl PartResult {
-    /// The outcome of the attempt; none where a pre-check's result comes for a part that was sent in full. A leaf server
-    /// that serves a pre-check in full has failed it.
+    /// Returns the outcome of the attempt, or `None` if a pre-check's result was received for a part that was sent in full.
+    /// A pre-check that the leaf server served in full counts as failed.
     pub(super) fn outcome(self, pre_check: bool) -> Option<Outcome> {
         match (self, pre_check) {
             (PartResult::Served, false) | (PartResult::NoMatch, true) => Some(Outcome::Ok),
@@ -112,27 +110,27 @@
 pub(super) struct Answer<'a> {
     pub(super) result: PartResult,
     pub(super) value: &'a str,
-    /// The load report, where it has the form of one.
+    /// Load report, if it has the valid format.
     pub(super) load: Option<&'a str>,
 }
 
-/// A frame of a leaf server, by kind.
+/// A frame received from a leaf server.
 pub(super) enum ReceivedFrame<'a> {
-    /// The answer to a part; its content is read by [`answered_part_id`] and [`decode_answer`].
+    /// Answer to a part; its content is read by [`answered_part_id`] and [`decode_answer`].
     Answer(&'a [u8]),
-    /// The leaf server could not read a frame.
+    /// Report that the leaf server could not read a frame.
     Error,
     Unknown,
 }
 
 /// The first frame of a buffer.
 pub(super) enum FirstFrame<'a> {
-    /// It has not arrived in full.
+    /// The frame has not been received completely.
     Incomplete,
     InvalidLength,
     Complete {
         frame: ReceivedFrame<'a>,
-        /// Bytes of the buffer that it takes, with its length.
+        /// Number of bytes that the frame takes in the buffer, including its length field.
         total_bytes: usize,
     },
 }
@@ -161,7 +159,7 @@
     FirstFrame::Complete { frame, total_bytes }
 }
 
-/// The part that an answer names, if it names one.
+/// Returns the id of the part that an answer names, if it names one.
 pub(super) fn answered_part_id(content: &[u8]) -> Option<&str> {
     let id = content
         .split(|byte| *byte == b' ' || *byte == b'\n')
@@ -169,7 +167,8 @@
     std::str::from_utf8(id).ok()
 }
 
-/// Decodes an answer; none where it is malformed. The load report alone may be anything, for nothing else depends on it.
+/// Decodes an answer; returns `None` if it is malformed. A malformed load report is ignored, because nothing else depends
+/// on it.
 pub(super) fn decode_answer(content: &[u8]) -> Option<Answer<'_>> {
     let line_end = content.iter().position(|byte| *byte == b'\n')?;
     let mut fields = content[..line_end].splitn(4, |byte| *byte == b' ');
@@ -199,7 +198,7 @@
     })
 }
 
-/// Whether a text has the form of a load report: pairs `KEY=NUMBER`, separated by commas.
+/// Returns whether a text has the format of a load report: pairs `KEY=NUMBER`, separated by commas.
 fn is_load_report(text: &str) -> bool {
     let is_pair = |pair: &str| {
         let number = pair
--- a/src/net/replica/frames/tests.rs
+++ b/src/net/replica/frames/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the frame protocol: what is decoded, and what is rejected.
+//! Tests of the frame protocol: decoding of frames and answers, and rejection of invalid ones.
 
 use super::*;
 
@@ -21,7 +21,7 @@
         total_bytes,
     } = first_frame(&with_more)
     else {
-        panic!("an answer");
+        panic!("expected an answer frame");
     };
     assert_eq!(content, b"q1.3 served 1 -\nvalue");
     assert_eq!(total_bytes, bytes.len());
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn frames_are_told_apart_by_their_kind() {
+fn received_frames_are_classified_by_kind() {
     let kind_of = |kind| match first_frame(&frame_of(kind, "")) {
         FirstFrame::Complete { frame, .. } => match frame {
             ReceivedFrame::Answer(_) => "answer",
@@ -58,7 +58,7 @@
     );
 }
 
-/// The load report alone may be malformed: then there is none.
+/// A malformed load report is dropped, and does not make the answer malformed.
 #[rstest::rstest]
 #[case::without_load("q1.3 served 0.5 -\nvalue", Some("value"), None)]
 #[case::with_load("q1.3 served 1 a=1,b=2.5\nvalue", Some("value"), Some("a=1,b=2.5"))]
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_result_means_another_outcome_for_a_pre_check() {
+fn a_result_maps_to_a_different_outcome_for_a_pre_check() {
     let outcomes = |result: PartResult| (result.outcome(false), result.outcome(true));
     assert_eq!(
         outcomes(PartResult::Served),
--- a/src/net/replica/mod.rs
+++ b/src/net/replica/mod.rs
@@ -1,6 +1,5 @@
-//! Connections to leaf servers: the pool, sending, receiving, and the frame protocol.
-//!
-//! `routing.rs` alone knows the other subsystems of the loop; the rest of this folder needs the `Runtime` and plain values.
+//! Connections to leaf servers: the pool, sending, receiving, and the frame protocol. Only `routing.rs` accesses the other
+//! subsystems of the event loop; the other modules need only the `Runtime` and plain values.
 
 mod answers;
 pub mod connection;
--- a/src/net/replica/pool.rs
+++ b/src/net/replica/pool.rs
@@ -1,7 +1,6 @@
-//! The connections to leaf servers: which one carries a call, and when another one is opened.
-//!
-//! This file owns the choice of a connection and the count of them; `sending.rs` writes, `events.rs` reads and ends. It must
-//! never choose the leaf server (the decision module does), and never let anything new wait for a draining one.
+//! The pool of connections to leaf servers: selects the connection for a call, and decides when another one is opened.
+//! `sending.rs` writes, `events.rs` reads and closes. The decision module chooses the leaf server. Nothing new may wait in
+//! a queue for a draining leaf server.
 
 use crate::connections::pool;
 use crate::decisions::api::{Outcome, ReplicaId};
@@ -20,13 +19,13 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Bounds on the bytes that may wait to be written on one connection; between them the memory decides.
+/// Bounds of the limit on unwritten bytes on one connection; between them the limit depends on the memory.
 const MIN_WAITING_BYTES: usize = 64 * 1024;
 const MAX_WAITING_BYTES: usize = 512 * 1024;
-/// Of the memory, one byte in so many may wait to be written, over all connections.
+/// Divisor of the memory limit that gives the limit on unwritten bytes over all connections.
 const MEMORY_DIVISOR: usize = 8;
 
-/// A call for which no connection was found, and a new one may be opened.
+/// A call that no connection accepts and for which a new connection may be opened.
 pub(in crate::net) struct UnplacedCall {
     replica: ReplicaId,
     address: SocketAddr,
@@ -35,27 +34,27 @@
 }
 
 impl UnplacedCall {
-    /// Where a connection is to be opened.
+    /// Returns the address to which a connection is to be opened.
     pub(in crate::net) fn address(&self) -> SocketAddr {
         self.address
     }
 }
 
-/// What has become of a call.
+/// Result of placing a call on a connection.
 pub(in crate::net) enum Placement {
-    /// It is on a connection, or its attempts have ended.
+    /// The call is on a connection, or its attempts have ended.
     Done,
-    /// The leaf server takes one part a call: these are to be sent one by one.
+    /// The leaf server accepts one part per call, so the parts have to be sent separately.
     OnePartPerCall(Vec<CallPart>),
-    /// It needs another connection; its parts wait for [`ReplicaConnections::send_on_new`] or
-    /// [`ReplicaConnections::open_failed`].
+    /// The call needs another connection; [`ReplicaConnections::send_on_new`] or [`ReplicaConnections::open_failed`] must
+    /// be called next.
     NeedsConnection(UnplacedCall),
 }
 
-/// What a connection has to satisfy to carry a call.
+/// Conditions that a connection has to satisfy to carry a call.
 struct Requirements {
     address: Option<SocketAddr>,
-    /// Whether the leaf server may get something new later than now.
+    /// Whether new calls may wait in a queue for the leaf server; if not, a call has to be written at once.
     is_ready: bool,
     max_parts: usize,
     silence_s: f64,
@@ -67,19 +66,20 @@
     is_connected: bool,
 }
 
-/// The connections to leaf servers, as a whole. Times are of the loop's clock (seconds).
+/// All connections to leaf servers. Times are those of the event loop's clock (seconds).
 pub(in crate::net) struct ReplicaConnections {
     count: usize,
-    /// The connection on which each attempt is in flight.
+    /// Connection by attempt in flight.
     in_flight: SecondaryMap<AttemptKey, ConnectionKey>,
-    /// Connections whose calls leave in the next turn of the loop.
+    /// Connections whose calls are written in the next iteration of the event loop.
     postponed: Vec<ConnectionKey>,
-    /// Bytes that may wait to be written on one connection, at most.
+    /// Limit on unwritten bytes per connection.
     max_waiting_bytes: usize,
 }
 
 impl ReplicaConnections {
-    /// None yet; the limits are those of the process: memory (bytes), and connections to clients and leaf servers.
+    /// Creates an empty pool; the limits are those of the process: its memory (bytes), and its connections to clients and
+    /// leaf servers.
     pub(in crate::net) fn new(memory_bytes: usize, max_connections: usize) -> ReplicaConnections {
         let max_replica_connections = pool::shares(max_connections, usize::MAX).replicas;
         ReplicaConnections {
@@ -91,37 +91,37 @@
         }
     }
 
-    /// How many connections there are.
+    /// Returns the number of connections.
     pub(in crate::net) fn count(&self) -> usize {
         self.count
     }
 
-    /// Whether calls were held back in this turn of the loop.
+    /// Returns whether writes were postponed in this iteration of the event loop.
     pub(in crate::net) fn has_postponed_writes(&self) -> bool {
         !self.postponed.is_empty()
     }
 
-    /// The calls of a connection leave in the next turn of the loop.
+    /// Postpones writing to a connection to the next iteration of the event loop.
     pub(super) fn postpone_write(&mut self, key: ConnectionKey) {
         self.postponed.push(key);
     }
 
-    /// The connections whose calls were held back, which is none from now on.
+    /// Takes the connections whose writes were postponed.
     pub(in crate::net) fn take_postponed(&mut self) -> Vec<ConnectionKey> {
         std::mem::take(&mut self.postponed)
     }
 
-    /// The connection on which an attempt is in flight.
+    /// Returns the connection on which an attempt is in flight.
     pub(super) fn connection_of(&self, attempt: AttemptKey) -> Option<ConnectionKey> {
         self.in_flight.get(attempt).copied()
     }
 
-    /// An attempt is no longer in flight. Gives the connection on which it was.
-    pub(super) fn forget_attempt(&mut self, attempt: AttemptKey) -> Option<ConnectionKey> {
+    /// Removes an attempt that is no longer in flight. Returns its connection.
+    pub(super) fn remove_attempt(&mut self, attempt: AttemptKey) -> Option<ConnectionKey> {
         self.in_flight.remove(attempt)
     }
 
-    /// Reports to the coordinator how an attempt ended.
+    /// Reports the outcome of an attempt to the coordinator.
     pub(super) fn end_attempt(
         &mut self,
         runtime: &mut Runtime,
@@ -139,7 +139,7 @@
         );
     }
 
-    /// Sends a call on a connection that accepts it. `list_until` is until when the endpoint list may be acted on.
+    /// Sends a call on a connection that accepts it. `list_until` is the time until which the endpoint list may be used.
     pub(in crate::net) fn place_call(
         &mut self,
         runtime: &mut Runtime,
@@ -147,7 +147,7 @@
         mut parts: Vec<CallPart>,
         list_until: f64,
     ) -> Placement {
-        // An attempt that was cancelled since the coordinator wanted it sent never leaves.
+        // An attempt that was cancelled after the coordinator issued the call is not sent.
         parts.retain(|part| runtime.coordinator.is_in_flight(part.attempt));
         if parts.is_empty() {
             return Placement::Done;
@@ -194,8 +194,8 @@
         }
     }
 
-    /// Drops connections on which a part would be lost: silent ones that carry nothing any more, and ones that a loop that
-    /// was held up has left unused for so long that the leaf server may be closing them.
+    /// Drops connections on which a part would be lost: silent ones that carry nothing any more, and ones that a delayed
+    /// event loop has left unused for so long that the leaf server may be closing them.
     fn drop_unusable(
         &mut self,
         runtime: &mut Runtime,
@@ -218,7 +218,7 @@
         });
     }
 
-    /// Queues a call on a connection and writes what can leave now.
+    /// Queues a call on a connection and writes as much as possible now.
     fn send_on(
         &mut self,
         runtime: &mut Runtime,
@@ -236,8 +236,8 @@
         self.flush_or_end(runtime, key, list_until);
     }
 
-    /// Makes sure that there may be another connection, among `max_connections`: the one that has been unused for the
-    /// longest is dropped for it. Says whether it may be opened.
+    /// Makes room for another connection among `max_connections` by closing, if necessary, the connection that has been
+    /// unused for the longest time. Returns whether a connection may be opened.
     pub(in crate::net) fn ensure_capacity(
         &mut self,
         runtime: &mut Runtime,
@@ -303,7 +303,7 @@
         key
     }
 
-    /// No connection could be opened for a call: its attempts end. `error` is why, where the system refused it.
+    /// Ends the attempts of a call for which no connection could be opened. `error` is the reason if the system refused it.
     pub(in crate::net) fn open_failed(
         &mut self,
         runtime: &mut Runtime,
@@ -313,19 +313,19 @@
         if let Some(error) = error {
             runtime.log(&format!("replica {:?}: {error}", call.replica));
         }
-        // A connection is opened only to a leaf server that is ready.
+        // A connection is only opened to a leaf server that is ready.
         end_unsent(runtime, &call.parts, true);
     }
 
-    /// Drops a connection. The attempts in flight on it must have been taken from it before.
+    /// Drops a connection. Its attempts in flight must have been removed before.
     pub(super) fn drop_connection(&mut self, runtime: &mut Runtime, key: ConnectionKey) {
         if let Some(Connection::Replica(connection)) = runtime.connections.remove(key) {
-            self.forget(runtime, key, &connection);
+            self.connection_removed(runtime, key, &connection);
         }
     }
 
-    /// A connection is no longer in the table.
-    pub(in crate::net) fn forget(
+    /// Records that a connection was removed from the table.
+    pub(in crate::net) fn connection_removed(
         &mut self,
         runtime: &mut Runtime,
         key: ConnectionKey,
@@ -345,7 +345,7 @@
         }
     }
 
-    /// Drops the connections to a leaf server that carry nothing.
+    /// Drops the connections to a leaf server that carry no attempt.
     pub(in crate::net) fn close_idle(&mut self, runtime: &mut Runtime, replica: ReplicaId) {
         for key in connections_to(runtime, replica) {
             if matches!(runtime.connections.get(key), Some(Connection::Replica(connection)) if connection.is_unused())
@@ -356,7 +356,7 @@
     }
 }
 
-/// The connections to a leaf server.
+/// Returns the connections to a leaf server.
 pub(super) fn connections_to(runtime: &mut Runtime, replica: ReplicaId) -> Vec<ConnectionKey> {
     runtime
         .directory
@@ -365,7 +365,7 @@
         .unwrap_or_default()
 }
 
-/// A connection that accepts a call; one that is up comes before one that is being established.
+/// Returns a connection that accepts a call; an established connection is preferred to one that is being established.
 fn find_connection(
     runtime: &mut Runtime,
     connections: &[ConnectionKey],
@@ -377,8 +377,8 @@
         let Some(Connection::Replica(connection)) = runtime.connections.get_mut(*key) else {
             continue;
         };
-        // A draining leaf server gets something new for a short while yet, but only at once: a connection that is being
-        // established, or has bytes waiting, could bring it there too late.
+        // A draining leaf server still receives new calls for a short time, but only if they are written at once: a
+        // connection that is being established, or has bytes waiting, could deliver them too late.
         let can_write_now =
             required.is_ready || (connection.is_connected() && connection.has_nothing_to_send());
         if Some(connection.address()) != required.address
@@ -400,8 +400,8 @@
     chosen.map(|chosen| chosen.key)
 }
 
-/// Ends attempts that did not leave, and so never ran. That counts against the leaf server only where something new may go
-/// there.
+/// Ends attempts that were not sent, and so were never executed. The failure counts against the leaf server only if the
+/// server is ready.
 fn end_unsent(runtime: &mut Runtime, parts: &[CallPart], is_ready: bool) {
     let outcome = if is_ready {
         Outcome::ConnectFailed
@@ -419,7 +419,7 @@
     }
 }
 
-/// A connection that is silent for longer is suspect (seconds).
+/// Returns the time of silence after which a connection is suspect (seconds).
 pub(super) fn max_silence_s(runtime: &Runtime) -> f64 {
     let objectives = runtime
         .deployment
@@ -433,8 +433,8 @@
     )
 }
 
-/// How long a connection may stand unused (seconds): the mixer closes it before the leaf server does, so that no part is
-/// lost on one that is being closed there.
+/// Returns the time for which a connection may stay unused (seconds): the mixer closes it before the leaf server does, so
+/// that no part is lost on a connection that the leaf server is closing.
 pub(super) fn max_idle_s(runtime: &Runtime) -> f64 {
     IDLE_SHARE * runtime.deployment.connection_idle_s
 }
--- a/src/net/replica/routing.rs
+++ b/src/net/replica/routing.rs
@@ -1,6 +1,5 @@
-//! The loop's side of the connections to leaf servers: what brings them together with clients, discovery and the handover.
-//!
-//! This file owns no state. It must never decide anything: it calls one subsystem, and leads what that gives to another.
+//! Connects the connections to leaf servers to clients, discovery and the handover. Each method calls one subsystem and
+//! passes its result to the next.
 
 use crate::decisions::api::ReplicaId;
 use crate::net::event_loop::Mixer;
@@ -12,12 +11,12 @@
 use std::net::SocketAddr;
 
 impl Mixer {
-    /// Until when the endpoint list may be acted on.
+    /// Returns the time until which the endpoint list may be used.
     fn list_until(&self) -> f64 {
         self.discovery.list_until(self.runtime.now)
     }
 
-    /// Sends a call on a connection that accepts it, or on a new one.
+    /// Sends a call on a connection that accepts it, or on a new connection.
     pub(in crate::net) fn call(&mut self, replica: ReplicaId, parts: Vec<CallPart>) {
         let list_until = self.list_until();
         match self
@@ -53,8 +52,8 @@
         }
     }
 
-    /// Connects once more after a failure, to a leaf server or to discovery. Where the process has fewer descriptors than
-    /// its limit says, an idle client is evicted before.
+    /// Connects to a leaf server or to discovery again after a failure. If the failure was caused by a lack of file
+    /// descriptors, an idle client connection is closed before.
     pub(in crate::net) fn connect_again(
         &mut self,
         to: SocketAddr,
@@ -67,20 +66,20 @@
         }
     }
 
-    /// A connection to a leaf server can be read or written, or has failed.
+    /// Handles an event of a connection to a leaf server that is readable or writable, or has failed.
     pub(in crate::net) fn replica_event(&mut self, key: ConnectionKey) {
         let list_until = self.list_until();
         self.replicas
             .connection_event(&mut self.runtime, key, list_until);
     }
 
-    /// A deadline of a connection to a leaf server has come.
+    /// Handles a deadline of a connection to a leaf server.
     pub(in crate::net) fn replica_due(&mut self, key: ConnectionKey) {
         self.replicas.connection_due(&mut self.runtime, key);
     }
 
-    /// Writes calls that were held back in the turn before, in which the loop was held up: what discovery wrote and which
-    /// clients have gone is known now.
+    /// Writes calls that were postponed in the previous iteration, in which the event loop was delayed: by now the loop has
+    /// read what discovery wrote and which clients have disconnected.
     pub(in crate::net) fn flush_postponed(&mut self) {
         for key in self.replicas.take_postponed() {
             let list_until = self.list_until();
@@ -96,12 +95,12 @@
         self.replicas.cancel(&mut self.runtime, attempt, list_until);
     }
 
-    /// Withdraws an attempt that no client waits for, unless its call has started to leave.
+    /// Withdraws an attempt that no client waits for, unless writing its call has started.
     pub(in crate::net) fn withdraw_unsent(&mut self, attempt: AttemptKey) {
         self.replicas.withdraw_unsent(&mut self.runtime, attempt);
     }
 
-    /// Drops the connections to a leaf server that carry nothing.
+    /// Drops the connections to a leaf server that carry no attempt.
     pub(in crate::net) fn close_idle(&mut self, replica: ReplicaId) {
         self.replicas.close_idle(&mut self.runtime, replica);
     }
--- a/src/net/replica/send_queue.rs
+++ b/src/net/replica/send_queue.rs
@@ -1,7 +1,5 @@
-//! The calls and cancellations that wait to be written on one connection to a leaf server.
-//!
-//! This file owns their order and how far the first one has left. It must never withdraw a call of which a byte has left,
-//! and never decide by itself that one may leave.
+//! The queue of calls and cancellations that wait to be written on one connection to a leaf server. A call of which a byte
+//! has been written cannot be withdrawn. The caller decides whether a call may be sent.
 
 use crate::net::replica::frames::{EncodedCall, LENGTH_BYTES};
 use crate::requests::coordinator::{AttemptKey, CallPart, Protocol};
@@ -12,41 +10,41 @@
 /// A call that has waited for less than this is sent with its timeouts unchanged (seconds).
 const MIN_TIMEOUT_CHANGE_S: f64 = 0.02;
 
-/// A part of a call, and how many bytes of the call it takes.
+/// A part of a call, with the number of bytes that it takes.
 struct QueuedPart {
     part: CallPart,
     bytes: usize,
 }
 
-/// A call, or a cancellation: that has no parts.
+/// A queued call, or a queued cancellation, which has no parts.
 pub(super) struct QueuedFrame {
     bytes: Vec<u8>,
-    /// In the order of their bytes, which are the last ones of the frame.
+    /// Parts in the order of their bytes, which are the last bytes of the frame.
     parts: Vec<QueuedPart>,
-    /// The timeouts in the bytes count from this time.
+    /// Time from which the encoded timeouts count.
     encoded_at: f64,
-    /// The front whose requests the parts belong to.
+    /// Front of the requests that the parts belong to.
     protocol: Protocol,
-    /// Whether its first byte has left.
+    /// Whether the first byte has been written.
     has_started: bool,
-    /// It must have started to leave by then.
+    /// Latest time at which writing may start.
     send_by: f64,
 }
 
 impl QueuedFrame {
-    /// Whether one of its parts is that attempt.
+    /// Returns whether one of the parts belongs to this attempt.
     pub(super) fn carries(&self, attempt: AttemptKey) -> bool {
         self.parts
             .iter()
             .any(|queued| queued.part.attempt == attempt)
     }
 
-    /// How many attempts it carries.
+    /// Returns the number of attempts in the frame.
     pub(super) fn part_count(&self) -> usize {
         self.parts.len()
     }
 
-    /// The front whose requests the parts belong to.
+    /// Returns the front of the requests that the parts belong to.
     pub(super) fn protocol(&self) -> Protocol {
         self.protocol
     }
@@ -55,12 +53,12 @@
         self.parts.iter().map(|queued| queued.part.attempt)
     }
 
-    /// Whether it is a call that may still be withdrawn.
+    /// Returns whether the frame is a call that may still be withdrawn.
     fn is_unsent_call(&self) -> bool {
         !self.has_started && !self.parts.is_empty()
     }
 
-    /// What the invariants need to know of the call.
+    /// Returns the time limits of the call for the invariants.
     fn times(&self) -> CallTimes {
         let parts = || self.parts.iter().map(|queued| &queued.part);
         let beyond_s = |part: &CallPart| self.encoded_at + part.timeout_s - part.client_deadline;
@@ -73,7 +71,7 @@
         }
     }
 
-    /// Takes a part out of a call of several that has not started to leave. Gives how many bytes that were.
+    /// Removes a part from a call of several parts whose writing has not started. Returns the number of bytes removed.
     fn remove_part(&mut self, attempt: AttemptKey) -> usize {
         let index = self
             .parts
@@ -95,30 +93,30 @@
     }
 }
 
-/// A call whose first bytes have left.
+/// A call whose first bytes have been written.
 #[derive(Clone, Copy, Debug)]
 pub struct StartedCall {
-    /// Its limits in time.
+    /// Time limits of the call.
     pub times: CallTimes,
-    /// It left at this time at the earliest (seconds).
+    /// Earliest time at which the first byte may have been written (seconds).
     pub not_before: f64,
 }
 
-/// What one write did.
+/// Result of one write.
 pub(super) enum WriteStep {
-    /// Nothing waits.
+    /// The queue is empty.
     Empty,
-    /// The socket takes no more.
+    /// The socket accepts no more bytes.
     Blocked,
-    /// A signal interrupted the write: it is to be repeated.
+    /// A signal interrupted the write, which has to be repeated.
     Interrupted,
-    /// The first call was not allowed to leave, and is withdrawn with these attempts.
+    /// The first call must not be sent, and was withdrawn with these attempts.
     Withdrawn(Vec<AttemptKey>),
-    /// Bytes of the first frame have left.
+    /// Bytes of the first frame were written.
     Wrote {
-        /// The call, if these are its first bytes.
+        /// The call, if these were its first bytes.
         started: Option<StartedCall>,
-        /// The frame, if its last byte has left.
+        /// The frame, if its last byte was written.
         complete: Option<QueuedFrame>,
     },
 }
@@ -127,18 +125,18 @@
 #[derive(Default)]
 pub(super) struct SendQueue {
     frames: VecDeque<QueuedFrame>,
-    /// Bytes of the first frame that have left.
+    /// Number of bytes of the first frame that were written.
     sent_bytes: usize,
     waiting_bytes: usize,
 }
 
 impl SendQueue {
-    /// Whether nothing waits.
+    /// Returns whether the queue is empty.
     pub(super) fn is_empty(&self) -> bool {
         self.frames.is_empty()
     }
 
-    /// Bytes that have not left.
+    /// Returns the number of bytes that have not been written.
     pub(super) fn waiting_bytes(&self) -> usize {
         self.waiting_bytes
     }
@@ -163,7 +161,7 @@
         });
     }
 
-    /// Adds a cancellation.
+    /// Adds an encoded cancellation.
     pub(super) fn push_cancel(&mut self, bytes: Vec<u8>) {
         self.waiting_bytes += bytes.len();
         self.frames.push_back(QueuedFrame {
@@ -176,7 +174,7 @@
         });
     }
 
-    /// Encodes calls that have waited once more, with what is left of their timeouts.
+    /// Encodes calls that have waited again, with the time that is left of their timeouts.
     pub(super) fn refresh_timeouts(
         &mut self,
         now: f64,
@@ -203,7 +201,8 @@
         }
     }
 
-    /// Withdraws an attempt, unless its call has started to leave or it does not wait here. Says whether it was withdrawn.
+    /// Withdraws an attempt, unless writing its call has started or the attempt is not queued. Returns whether it was
+    /// withdrawn.
     pub(super) fn withdraw(&mut self, attempt: AttemptKey) -> bool {
         let index = self
             .frames
@@ -221,12 +220,12 @@
         true
     }
 
-    /// Withdraws every call that has not started to leave. Gives its attempts.
+    /// Withdraws every call whose writing has not started. Returns its attempts.
     pub(super) fn withdraw_all(&mut self) -> Vec<AttemptKey> {
         self.withdraw_where(|_| true)
     }
 
-    /// Withdraws the calls that have not started to leave and had to by now. Gives their attempts.
+    /// Withdraws the calls whose writing has not started and should have by now. Returns their attempts.
     pub(super) fn withdraw_late(&mut self, now: f64) -> Vec<AttemptKey> {
         self.withdraw_where(|frame| frame.send_by < now)
     }
@@ -255,14 +254,14 @@
         frame.attempts().collect()
     }
 
-    /// Whether the first call has left in part, and had to begin before `now`.
+    /// Returns whether the first call is partly written and its latest start time is before `now`.
     pub(super) fn is_partly_sent_too_late(&self, now: f64) -> bool {
         self.frames
             .front()
             .is_some_and(|frame| frame.has_started && frame.send_by < now)
     }
 
-    /// Attempts whose calls have not started to leave.
+    /// Returns the attempts whose calls have not begun to be written.
     pub(super) fn unsent_attempts(&self) -> Vec<AttemptKey> {
         self.frames
             .iter()
@@ -271,7 +270,7 @@
             .collect()
     }
 
-    /// Attempts of the call that has left in part, if there is one.
+    /// Returns the attempts of the partly written call, if there is one.
     pub(super) fn partly_sent_attempts(&self) -> Vec<AttemptKey> {
         self.frames
             .front()
@@ -281,7 +280,8 @@
             .collect()
     }
 
-    /// Writes once. `may_start` is asked before the first byte of a call leaves; it gives the time if the call may.
+    /// Writes once. `may_start` is called before the first byte of a call is written, and returns the time if the call may
+    /// be sent.
     pub(super) fn write_once(
         &mut self,
         socket: &mut impl Write,
--- a/src/net/replica/send_queue/tests.rs
+++ b/src/net/replica/send_queue/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the queue: what leaves, in which steps, and what may be withdrawn.
+//! Tests of the send queue: the order and the steps of writing, and the withdrawal of calls.
 
 use super::*;
 use crate::net::replica::frames::{encode_call, encode_cancel};
@@ -6,7 +6,7 @@
 use slotmap::SlotMap;
 use std::rc::Rc;
 
-/// A socket that takes a few bytes at a time, and then none.
+/// A socket that accepts a few bytes per write, up to a capacity.
 struct Socket {
     taken: Vec<u8>,
     capacity: usize,
@@ -70,23 +70,23 @@
     queue.push_call(parts, encode_call(parts), 1.0);
 }
 
-/// Writes until the socket or the queue has no more; gives how many frames have left completely.
+/// Writes until the socket accepts no more or the queue is empty; returns the number of frames written completely.
 fn write_all(queue: &mut SendQueue, socket: &mut Socket) -> usize {
     let mut complete_frames = 0;
     loop {
         match queue
             .write_once(socket, &mut |_| Some(0.0))
-            .expect("no error")
+            .expect("writing to the test socket failed")
         {
             WriteStep::Empty | WriteStep::Blocked => return complete_frames,
             WriteStep::Wrote { complete, .. } => complete_frames += usize::from(complete.is_some()),
-            WriteStep::Interrupted | WriteStep::Withdrawn(_) => panic!("neither happens here"),
+            WriteStep::Interrupted | WriteStep::Withdrawn(_) => panic!("unexpected write step"),
         }
     }
 }
 
 #[test]
-fn a_call_that_has_left_in_part_is_not_withdrawn_and_those_after_it_are() {
+fn a_partly_written_call_is_not_withdrawn_and_later_calls_are() {
     let [first, second] = attempts();
     let mut queue = SendQueue::default();
     push(&mut queue, &[part(first, "q1", 5.0)]);
@@ -95,7 +95,7 @@
     assert_eq!(write_all(&mut queue, &mut socket), 0);
     assert_eq!(queue.partly_sent_attempts(), [first]);
     assert_eq!(queue.unsent_attempts(), [second]);
-    assert!(!queue.withdraw(first), "its first bytes have left");
+    assert!(!queue.withdraw(first), "its first bytes were written");
     assert_eq!(queue.withdraw_all(), [second]);
     assert!(!queue.is_partly_sent_too_late(5.0) && queue.is_partly_sent_too_late(5.1));
     socket.capacity = 1_000;
@@ -103,14 +103,14 @@
     assert_eq!(
         socket.taken,
         encode_call(&[part(first, "q1", 5.0)]).bytes,
-        "the first call, and nothing else"
+        "only the first call is written"
     );
     assert!(queue.is_empty());
     assert_eq!(queue.waiting_bytes(), 0);
 }
 
 #[test]
-fn a_part_that_is_withdrawn_is_cut_out_of_its_call() {
+fn a_withdrawn_part_is_removed_from_its_call() {
     let [first, second, third] = attempts();
     let parts = [
         part(first, "q1", f64::INFINITY),
@@ -120,7 +120,7 @@
     let mut queue = SendQueue::default();
     push(&mut queue, &parts);
     assert!(queue.withdraw(second));
-    assert!(!queue.withdraw(second), "it does not wait any more");
+    assert!(!queue.withdraw(second), "the part is no longer queued");
     let left = [parts[0].clone(), parts[2].clone()];
     let expected = encode_call(&left).bytes;
     assert_eq!(queue.waiting_bytes(), expected.len());
@@ -135,7 +135,10 @@
     let mut queue = SendQueue::default();
     queue.push_cancel(encode_cancel("q0.3"));
     push(&mut queue, &[part(attempt, "q1", 1.5)]);
-    assert!(queue.withdraw_late(1.5).is_empty(), "it may still leave");
+    assert!(
+        queue.withdraw_late(1.5).is_empty(),
+        "the call may still be sent"
+    );
     assert_eq!(queue.withdraw_late(1.6), [attempt]);
     let mut socket = Socket::with_capacity(1_000);
     assert_eq!(write_all(&mut queue, &mut socket), 1);
@@ -143,7 +146,7 @@
 }
 
 #[test]
-fn a_call_that_may_not_begin_is_withdrawn_before_its_first_byte() {
+fn a_call_that_must_not_be_sent_is_withdrawn_before_its_first_byte() {
     let [attempt] = attempts();
     let mut queue = SendQueue::default();
     push(&mut queue, &[part(attempt, "q1", f64::INFINITY)]);
--- a/src/net/replica/sending.rs
+++ b/src/net/replica/sending.rs
@@ -1,7 +1,5 @@
-//! Writing calls to leaf servers, under the invariants.
-//!
-//! This file owns when the bytes of a call may leave, and what has to be withdrawn before. It must never let a call leave
-//! that an invariant forbids, and verifies by the clock what has left.
+//! Writes calls to leaf servers, checks the invariants before the first byte of each call, and verifies them with the clock
+//! after the write.
 
 use crate::decisions::api::{Outcome, ReplicaId};
 use crate::endpoints::directory::ServerState;
@@ -16,16 +14,16 @@
 use crate::requests::invariants::{CallTimes, Destination, Invariant, WriteInterval};
 use std::io;
 
-/// What a write has done.
+/// Result of writing to a connection.
 struct Flushed {
     result: Result<(), ReplicaError>,
-    /// The invariant that kept back a call, the last one if several did.
+    /// The invariant that stopped a call; the last one if several calls were stopped.
     stopped_by: Option<Invariant>,
 }
 
 impl ReplicaConnections {
-    /// Writes what the connection's socket takes and the invariants allow. `list_until` is until when the endpoint list may
-    /// be acted on. An error means that the connection is to be ended, after what it has received is read.
+    /// Writes as much as the connection's socket accepts and the invariants allow. `list_until` is the time until which the
+    /// endpoint list may be used. An error means that the connection is to be closed after the received data has been read.
     pub(super) fn flush(
         &mut self,
         runtime: &mut Runtime,
@@ -38,7 +36,7 @@
         if connection.has_nothing_to_send() {
             return Ok(());
         }
-        // A loop that was held up reads what came meanwhile first: it may forbid the call.
+        // A delayed event loop first reads what was received in the meantime, because it may forbid the call.
         if runtime.is_held_up() {
             self.postpone_write(key);
             return Ok(());
@@ -51,18 +49,18 @@
             let rule = rule.label();
             let count = withdrawn.len();
             runtime.log(&format!(
-                "invariant kept, action stopped: {rule}: {count} parts did not leave, {to:?}"
+                "invariant kept, action stopped: {rule}: {count} parts were not sent, {to:?}"
             ));
         }
         for attempt in withdrawn {
             self.end_attempt(runtime, attempt, Outcome::Superseded, None);
         }
-        // To be called in any case: it counts what it stops.
+        // Must be called even after an error, because the check counts what it stops.
         let unwanted = check_partly_sent(runtime, key);
         result.and(unwanted)
     }
 
-    /// Writes what can leave now. If the connection has failed, what it received before its end still counts.
+    /// Writes as much as possible now. If the connection has failed, data received before the failure is still processed.
     pub(super) fn flush_or_end(
         &mut self,
         runtime: &mut Runtime,
@@ -74,14 +72,14 @@
         }
     }
 
-    /// Cancels an attempt, whose outcome is known to the coordinator.
+    /// Cancels an attempt whose outcome is known to the coordinator.
     pub(in crate::net) fn cancel(
         &mut self,
         runtime: &mut Runtime,
         attempt: AttemptKey,
         list_until: f64,
     ) {
-        let Some(key) = self.forget_attempt(attempt) else {
+        let Some(key) = self.remove_attempt(attempt) else {
             return;
         };
         let silence_s = max_silence_s(runtime);
@@ -94,8 +92,8 @@
         self.flush_or_end(runtime, key, list_until);
     }
 
-    /// Withdraws an attempt that no client waits for, where leaf servers take no cancellations: only what has not started to
-    /// leave can be kept back.
+    /// Withdraws an attempt that no client waits for, where leaf servers accept no cancellations, so that only an attempt
+    /// whose writing has not started can be stopped.
     pub(in crate::net) fn withdraw_unsent(&mut self, runtime: &mut Runtime, attempt: AttemptKey) {
         let Some(key) = self.connection_of(attempt) else {
             return;
@@ -108,8 +106,8 @@
         }
     }
 
-    /// Withdraws all that has not started to leave on a connection to a leaf server that may get nothing new. If the leaf
-    /// server is gone, the connection is dropped once it carries nothing.
+    /// Withdraws all calls whose writing has not started on a connection to a leaf server that must not receive new calls.
+    /// If the leaf server was removed from the list, the connection is dropped once it carries no attempt.
     pub(in crate::net) fn withdraw_all_unsent(
         &mut self,
         runtime: &mut Runtime,
@@ -132,7 +130,7 @@
     }
 }
 
-/// What the invariants need to know of a leaf server before anything leaves for it.
+/// Returns the state of a leaf server that the invariants check before a write.
 fn destination(runtime: &mut Runtime, replica: ReplicaId, list_until: f64) -> Destination {
     let server = runtime
         .directory
@@ -145,8 +143,8 @@
     }
 }
 
-/// Withdraws calls that have not started to leave and that no client waits for any more. The coordinator withdraws each such
-/// attempt itself; one that it missed is stopped here.
+/// Withdraws unwritten calls that no client waits for. The coordinator normally withdraws each such attempt itself; this
+/// check stops any that it missed.
 fn withdraw_unwanted(runtime: &mut Runtime, key: ConnectionKey) -> Vec<AttemptKey> {
     let Some(Connection::Replica(connection)) = runtime.connections.get_mut(key) else {
         return Vec::new();
@@ -161,13 +159,14 @@
             .invariants_mut()
             .stop(Invariant::ClientDisconnected);
         runtime.log(
-            "invariant kept, action stopped: client_gone: a part that no client waits for did not leave",
+            "invariant kept, action stopped: client_gone: a part that no client waits for was not sent",
         );
     }
     unwanted
 }
 
-/// Withdraws what is too late, and writes what the invariants allow. Adds the attempts that do not leave to `withdrawn`.
+/// Withdraws calls that are too late, and writes those that the invariants allow. Adds the attempts that are not sent to
+/// `withdrawn`.
 fn write_calls(
     runtime: &mut Runtime,
     key: ConnectionKey,
@@ -195,9 +194,10 @@
     let invariants = runtime.coordinator.invariants_mut();
     let clock = &runtime.clock;
     let may_start = |call: &CallTimes| {
-        // The process may have been stopped since the turn began, and may yet be before the write.
+        // The process may have been paused since this iteration of the event loop began, and may be paused again before the
+        // write.
         let just_before = clock.now();
-        // Both are checked in any case: each counts what it stops.
+        // Both checks run in any case, because each counts what it stops.
         let destination = invariants.check_destination(just_before, to);
         let verdict = destination.and(invariants.check_call(just_before, call));
         stopped_by = verdict.err().or(stopped_by);
@@ -210,7 +210,7 @@
     }
 }
 
-/// Counts the attempts that have left completely, and verifies the calls that have started to leave.
+/// Counts the attempts that were written completely, and verifies the calls whose writing has started.
 fn count_written(runtime: &mut Runtime, key: ConnectionKey, to: &Destination) {
     let Some(Connection::Replica(connection)) = runtime.connections.get_mut(key) else {
         return;
@@ -223,7 +223,7 @@
     verify_calls(runtime, to, &started_calls);
 }
 
-/// Verifies calls that have started to leave, by the time now that they are written.
+/// Verifies the calls whose writing has started, with the current time as the upper bound of the write.
 fn verify_calls(runtime: &mut Runtime, to: &Destination, calls: &[StartedCall]) {
     if calls.is_empty() {
         return;
@@ -239,18 +239,18 @@
         let Some((finding, rule)) = verification.finding() else {
             continue;
         };
-        let held_up_s = call.not_before - runtime.now;
+        let delay_s = call.not_before - runtime.now;
         let write_s = not_after - call.not_before;
         let rule = rule.label();
         runtime.log(&format!(
-            "invariant {finding}: {rule}: a call left, {to:?}, {:?}, held up for {held_up_s:.3} s, written within {write_s:.3} s",
+            "invariant {finding}: {rule}: a call was sent, {to:?}, {:?}, delayed by {delay_s:.3} s, written within {write_s:.3} s",
             call.times
         ));
     }
 }
 
-/// A call that has left in part and that no client waits for any more must not arrive: only the end of the connection keeps
-/// back its last byte.
+/// Checks that a client still waits for a partly written call. If not, the call must not arrive, and only closing the
+/// connection keeps its last byte from being sent.
 fn check_partly_sent(runtime: &mut Runtime, key: ConnectionKey) -> Result<(), ReplicaError> {
     let partly_sent = match runtime.connections.get(key) {
         Some(Connection::Replica(connection)) => connection.partly_sent_attempts(),
@@ -265,7 +265,7 @@
         .invariants_mut()
         .stop(Invariant::ClientDisconnected);
     runtime.log(
-        "invariant kept, action stopped: client_gone: a partly sent call that no client waits for does not arrive",
+        "invariant kept, action stopped: client_gone: a partly sent call that no client waits for is not completed",
     );
     Err(ReplicaError::PartlySentUnwanted)
 }
--- a/src/requests/invariants/tests.rs
+++ b/src/requests/invariants/tests.rs
@@ -82,7 +82,7 @@
     let found = match invariants.verify_call(written, &to, &call) {
         Verification::Kept => Ok(()),
         Verification::Violated(rule) => Err(rule),
-        Verification::Undecided(rule) => panic!("undecided about {rule:?} at one time"),
+        Verification::Undecided(rule) => panic!("{rule:?} undecided with a single clock reading"),
     };
     assert_eq!(found, expected);
     assert_eq!(
