--- a/src/net/discovery/answers.rs
+++ b/src/net/discovery/answers.rs
@@ -16,10 +16,10 @@
 use miniserde::json::Value;
 
 /// Delay before the next call after an answer without a revision (seconds).
-const NO_VERSION_PAUSE_S: f64 = 0.5;
-/// A watch that was answered within this time without a change did not wait; the next call is made after this time
-/// (seconds).
-const DID_NOT_WAIT_S: f64 = 0.1;
+const NO_REVISION_DELAY_S: f64 = 0.5;
+/// Maximum age of a call for changes at which an answer without a change shows that discovery did not wait; the next call
+/// is made after the same time (seconds).
+const IMMEDIATE_ANSWER_S: f64 = 0.1;
 /// Delay before a failed call to the agent is retried, if lists are pushed (seconds). The delay is short because the
 /// agent's data counts as notified whether or not a watch is open.
 const AGENT_RETRY_S: f64 = 0.15;
@@ -50,7 +50,7 @@
 pub(super) struct NewList {
     pub(super) json: Value,
     /// Whether the list has another revision than the list in use.
-    pub(super) has_new_version: bool,
+    pub(super) has_new_revision: bool,
     /// Hash of the answer that contained the list.
     hash: u64,
 }
@@ -173,15 +173,15 @@
         }
         Ok(AnswerContent::List(NewList {
             json,
-            has_new_version: received.is_some() && received != current,
+            has_new_revision: received.is_some() && received != current,
             hash,
         }))
     }
 
     /// Records that a list was applied from an answer.
-    pub(super) fn list_taken_over(&mut self, list: &NewList) -> ListAnswer {
+    pub(super) fn list_applied(&mut self, list: &NewList) -> ListAnswer {
         self.link.last_answer_hash = Some(list.hash);
-        if list.has_new_version {
+        if list.has_new_revision {
             ListAnswer::Changed
         } else {
             ListAnswer::Unchanged
@@ -361,14 +361,14 @@
             runtime.log("reload: done, the new discovery has sent its list");
         }
         let waits = answered.open.call.is_watch();
-        let is_quick = runtime.now < answered.open.made_at + DID_NOT_WAIT_S;
-        let did_not_wait = waits && is_quick && !answered.has_change();
+        let is_quick = runtime.now < answered.open.made_at + IMMEDIATE_ANSWER_S;
+        let was_immediate = waits && is_quick && !answered.has_change();
         if self.revision.is_none() {
-            let at = runtime.now + NO_VERSION_PAUSE_S;
+            let at = runtime.now + NO_REVISION_DELAY_S;
             runtime.timers.add(at, Deadline::CallDiscovery);
             Step::Wait
-        } else if did_not_wait {
-            let at = runtime.now + DID_NOT_WAIT_S;
+        } else if was_immediate {
+            let at = runtime.now + IMMEDIATE_ANSWER_S;
             runtime.timers.add(at, Deadline::CallDiscovery);
             Step::Wait
         } else if !self.lease.is_in_force(runtime.now) {
--- a/src/net/discovery/calls.rs
+++ b/src/net/discovery/calls.rs
@@ -32,7 +32,8 @@
 /// The purpose of a new connection to discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum ConnectionPurpose {
-    /// Watch. `was_postponed` is set if checks were made until now, so that no other call is needed before the watch.
+    /// Watch. `was_postponed` is set if the watch was postponed and checks were made instead, so that no other call is
+    /// needed before the watch.
     Watch { was_postponed: bool },
     /// Check of a watch, which asks for the changes since a revision.
     Check { since: u64 },
--- a/src/net/discovery/link.rs
+++ b/src/net/discovery/link.rs
@@ -13,9 +13,9 @@
 use crate::net::timer_queue::TIMER_TOLERANCE_S;
 use crate::net::ConnectionKey;
 
-/// Of each series of this many calls to open a watch that time out one after the other, the last one requests the complete
-/// list, in case discovery waits for a change although the call says not to. Other failures do not count: after an outage a
-/// whole fleet would request only complete lists, each of which costs discovery many times as much.
+/// Interval, in consecutive timed-out calls to open a watch, at which such a call requests the complete list instead of the
+/// changes, in case discovery waits for a change although the call says not to. Other failures do not count: after an outage
+/// a whole fleet would request only complete lists, each of which costs discovery many times as much.
 const COMPLETE_LIST_CALL_INTERVAL: u32 = 8;
 
 /// The connections to one discovery, and the history of its answers.
@@ -25,7 +25,7 @@
     pub(super) overdue: OverdueCalls,
     pub(super) check: WatchCheck,
     max_list_bytes: usize,
-    /// Whether a call of the watch has been answered since this discovery is in use.
+    /// Whether this discovery has answered a call of the watch.
     pub(super) has_been_answered: bool,
     /// Number of consecutive failed calls to open a watch.
     pub(super) failed_opens: u32,
@@ -88,8 +88,8 @@
         self.overdue.remove(key);
     }
 
-    /// Moves a connection to the overdue ones: its call stays open, and another call may be made. Returns the connection of
-    /// an overdue call that has to be closed if there are too many.
+    /// Marks a connection as overdue: its call stays open, and another call may be made. Returns the connection of an
+    /// overdue call that has to be closed if there are too many.
     pub(super) fn call_overdue(&mut self, key: ConnectionKey) -> Option<ConnectionKey> {
         self.connection_removed(key);
         self.overdue.add(key)
--- a/src/net/discovery/routing.rs
+++ b/src/net/discovery/routing.rs
@@ -166,7 +166,7 @@
                 if !self.apply_list(&list.json) {
                     return Err(DiscoveryError::NoEndpoints);
                 }
-                Ok(self.discovery.list_taken_over(&list))
+                Ok(self.discovery.list_applied(&list))
             }
         }
     }
--- a/src/requests/coordinator.rs
+++ b/src/requests/coordinator.rs
@@ -73,7 +73,7 @@
     actions: Vec<Action>,
     /// Calls of the current round of decisions.
     calls: CallQueue,
-    /// Indexed by protocol.
+    /// Metrics by protocol.
     metrics: [Metrics; 2],
     phases: Phases,
     /// Recorder of attempts that have not been reported to the successor process.
--- a/src/requests/invariants.rs
+++ b/src/requests/invariants.rs
@@ -1,10 +1,10 @@
 //! Safety invariants, checked where the action happens, whatever the decision module, a queue or a socket did before.
 //!
-//! Nothing is sent by an endpoint list that may not be used, to a server that is draining or removed, or for a client that
-//! disconnected; nothing is repeated outside its window; no connection is closed while a request that was read from it has
-//! no answer; no client is served before there is a list. A `check_` method is called before an action and counts a
-//! forbidden action as stopped. A `verify_` method is called after an action and counts a violation, or counts the action
-//! as undecided if the clock readings do not show whether the limit was kept.
+//! Nothing is sent by an endpoint list that may not be used, to a server that was removed or whose drain grace is over, or
+//! for a client that disconnected; nothing is repeated outside its window; no connection is closed while a request that was
+//! read from it has no answer; no client is served before there is a list. A `check_` method is called before an action and
+//! counts a forbidden action as stopped. A `verify_` method is called after an action and counts a violation, or counts the
+//! action as undecided if the clock readings do not show whether the limit was kept.
 
 use crate::decisions::api::Effect;
 use crate::endpoints::directory::ServerState;
@@ -82,7 +82,7 @@
 pub struct CallTimes {
     /// Latest time at which writing may start; infinite if no part of the call is a retry with a limited window.
     pub send_by: f64,
-    /// Largest excess over the parts of the call of the timeout sent over the remaining time of the client (seconds).
+    /// Excess of the sent timeout over the remaining time of the client (seconds); the maximum over the parts of the call.
     pub sent_beyond_client_s: f64,
     /// Latest deadline of the clients of the call.
     pub client_deadline: f64,
