--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -13,7 +13,7 @@
 
 use crate::net::connection_table::Connection;
 use crate::net::error::NetError;
-use crate::net::event_loop::ACCEPT_AGAIN_S;
+use crate::net::event_loop::ACCEPT_RETRY_S;
 use crate::net::runtime::Runtime;
 use crate::net::socket::listen;
 use crate::net::timer_queue::{Deadline, TIMER_TOLERANCE_S};
@@ -142,7 +142,7 @@
     pub(in crate::net) fn accept_later(&self, runtime: &mut Runtime) {
         runtime
             .timers
-            .add(runtime.now + ACCEPT_AGAIN_S, Deadline::AdminAccept);
+            .add(runtime.now + ACCEPT_RETRY_S, Deadline::AdminAccept);
     }
 
     /// A connection can be read or written, or has failed. Gives the call, once that is complete: [`AdminServer::reply`] is
--- a/src/net/client/routing.rs
+++ b/src/net/client/routing.rs
@@ -11,7 +11,7 @@
 use crate::net::client::pages::Page;
 use crate::net::client::platform;
 use crate::net::client::writing::log_unanswered;
-use crate::net::event_loop::{Mixer, TurnEvents, ACCEPT_AGAIN_S};
+use crate::net::event_loop::{Mixer, PollEvents, ACCEPT_RETRY_S};
 use crate::net::http::{self, Message, Start};
 use crate::net::socket::is_out_of_descriptors;
 use crate::net::timer_queue::Deadline;
@@ -48,7 +48,7 @@
                         self.free_descriptor_after(&error);
                         self.runtime
                             .timers
-                            .add(self.runtime.now + ACCEPT_AGAIN_S, Deadline::Accept);
+                            .add(self.runtime.now + ACCEPT_RETRY_S, Deadline::Accept);
                         return;
                     }
                 },
@@ -149,12 +149,12 @@
             return;
         }
         // It may have come right after the sockets were last polled: its client waits for so much less.
-        let read_at = if self.runtime.is_held_up() {
+        let read_at = if self.runtime.is_delayed() {
             self.runtime.clock.now()
         } else {
             self.runtime.now
         };
-        let max_age_s = read_at - self.runtime.previous_turn_at;
+        let max_age_s = read_at - self.runtime.previous_iteration_at;
         let longest_s = read_at - self.runtime.now + query_request.timeout_s;
         query_request.timeout_s = (query_request.timeout_s - max_age_s).max(0.0);
         query_request.timeout_uncertainty_s = longest_s - query_request.timeout_s;
@@ -210,7 +210,7 @@
     pub(in crate::net) fn close_idle_clients(&mut self, fresh_s: f64) {
         for key in self.clients.keys(&self.runtime) {
             self.end_if_idle(key, fresh_s);
-            self.settle();
+            self.process_commands();
         }
     }
 
@@ -222,8 +222,8 @@
 
     /// Handles the clients that have closed their sides before anything else is done that could be for them: whoever has
     /// gone gets no further attempt, also where one is found to have failed in the same turn. What follows from it is left to
-    /// [`Mixer::settle`], because to cancel an attempt of one client may send what its connection holds for another.
-    pub(in crate::net) fn handle_client_disconnects(&mut self, events: &TurnEvents) {
+    /// [`Mixer::process_commands`], because to cancel an attempt of one client may send what its connection holds for another.
+    pub(in crate::net) fn handle_client_disconnects(&mut self, events: &PollEvents) {
         let is_end = |event: &&mio::event::Event| event.is_read_closed() || event.is_error();
         for event in events.iter().filter(is_end) {
             let key = connection_key(event.token());
--- a/src/net/discovery/answers.rs
+++ b/src/net/discovery/answers.rs
@@ -118,7 +118,7 @@
     /// Reads a connection that has an event.
     pub(super) fn receive(&mut self, runtime: &mut Runtime, key: ConnectionKey) -> Arrival {
         let now = runtime.now;
-        let previous_turn_at = runtime.previous_turn_at;
+        let previous_iteration_at = runtime.previous_iteration_at;
         let Some(connection) = connection_mut(runtime, key) else {
             return Arrival::NotConnected;
         };
@@ -133,7 +133,7 @@
         } else {
             f64::MAX
         };
-        let received = connection.receive(previous_turn_at, now);
+        let received = connection.receive(previous_iteration_at, now);
         let due = connection.due;
         if due != due_before && due < f64::MAX {
             runtime.timers.add(due, Deadline::Connection(key));
@@ -220,7 +220,7 @@
         if list != ListAnswer::Outdated {
             let outcome = CallOutcome::Confirmed {
                 made_at: open.made_at,
-                answer_not_before: runtime.previous_turn_at,
+                answer_not_before: runtime.previous_iteration_at,
             };
             self.call_ended(runtime, outcome, false);
         }
@@ -282,7 +282,7 @@
         let outcome = CallOutcome::Failed {
             began_at: open.made_at,
             end,
-            answer_not_before: runtime.previous_turn_at,
+            answer_not_before: runtime.previous_iteration_at,
         };
         self.call_ended(runtime, outcome, false);
         Some(FailedCall {
@@ -428,7 +428,7 @@
         let end = connection.call_end(&reason);
         let answer_not_before = connection
             .answer_arriving_since()
-            .unwrap_or(runtime.previous_turn_at);
+            .unwrap_or(runtime.previous_iteration_at);
         let failure = if self.link.overdue.contains(key) {
             Failure::EndedOverdue
         } else {
--- a/src/net/discovery/client.rs
+++ b/src/net/discovery/client.rs
@@ -143,7 +143,7 @@
             .update_endpoints(runtime.now, is_full, entries, &mut runtime.commands);
         let notified_since = self
             .lease
-            .notified_since(runtime.now, runtime.previous_turn_at);
+            .notified_since(runtime.now, runtime.previous_iteration_at);
         runtime.directory.date_unready(notified_since);
     }
 
--- a/src/net/discovery/connection.rs
+++ b/src/net/discovery/connection.rs
@@ -242,11 +242,11 @@
         Ok(true)
     }
 
-    /// Reads up to the end of an answer, or of what the socket has. It was received after `previous_turn_at`, when the loop read
+    /// Reads up to the end of an answer, or of what the socket has. It was received after `previous_iteration_at`, when the loop read
     /// the socket before.
-    pub(super) fn receive(&mut self, previous_turn_at: f64, now: f64) -> Received {
+    pub(super) fn receive(&mut self, previous_iteration_at: f64, now: f64) -> Received {
         let length_before = self.received_bytes();
-        let received = self.read_answer(previous_turn_at);
+        let received = self.read_answer(previous_iteration_at);
         let has_more = self.received_bytes() != length_before;
         if let (Received::Nothing, true, Some(open)) = (&received, has_more, self.open_call) {
             self.due = (now + MAX_STALL_S).min(open.made_at + open.timeout_s);
@@ -259,7 +259,7 @@
         self.unread.len() + self.reader.buffered_bytes()
     }
 
-    fn read_answer(&mut self, previous_turn_at: f64) -> Received {
+    fn read_answer(&mut self, previous_iteration_at: f64) -> Received {
         let mut buffer = [0; READ_BUFFER_BYTES];
         loop {
             let count = match self.stream.read(&mut buffer) {
@@ -272,7 +272,7 @@
             };
             self.unread.extend_from_slice(&buffer[..count]);
             if count > 0 && self.open_call.is_some() {
-                self.answer_began_at.get_or_insert(previous_turn_at);
+                self.answer_began_at.get_or_insert(previous_iteration_at);
             }
             match self.reader.read(&mut self.unread, count == 0) {
                 Ok(Some(message)) => return Received::Answer(message),
--- a/src/net/discovery/routing.rs
+++ b/src/net/discovery/routing.rs
@@ -10,7 +10,7 @@
 use crate::net::discovery::calls::{PlannedCall, Step};
 use crate::net::discovery::connection::{Call, DiscoveryError, Role};
 use crate::net::discovery::lease::HELD_UP_S;
-use crate::net::event_loop::{Mixer, TurnEvents};
+use crate::net::event_loop::{Mixer, PollEvents};
 use crate::net::http::Message;
 use crate::net::lifecycle::Phase;
 use crate::net::reload::{self, RereadOutcome};
@@ -97,9 +97,9 @@
 impl Mixer {
     /// Reads from discovery before anything that clients bring: a change counts as notified from the moment it was written, also
     /// if the loop was held up and a request was received first. Gives whose events have been handled. What follows from them
-    /// is left to [`Mixer::settle`].
-    pub(in crate::net) fn receive_from_discovery(&mut self, events: &TurnEvents) -> Vec<Token> {
-        let was_held_up = self.runtime.now > self.runtime.previous_turn_at + HELD_UP_S;
+    /// is left to [`Mixer::process_commands`].
+    pub(in crate::net) fn receive_from_discovery(&mut self, events: &PollEvents) -> Vec<Token> {
+        let was_held_up = self.runtime.now > self.runtime.previous_iteration_at + HELD_UP_S;
         let mut handled = Vec::new();
         for key in self.discovery.connections() {
             let token = token(key);
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -29,14 +29,14 @@
 use std::time::Duration;
 
 /// Events that one wait of the poll takes at most; others come with the next.
-const MAX_EVENTS_PER_TURN: usize = 256;
+const MAX_EVENTS_PER_POLL: usize = 256;
 /// Where an accept failed for want of descriptors it is tried again after this time (seconds).
-pub(super) const ACCEPT_AGAIN_S: f64 = 0.02;
+pub(super) const ACCEPT_RETRY_S: f64 = 0.02;
 /// Of the time after which a replica closes an idle connection, the share after which we do.
-pub(super) const IDLE_SHARE: f64 = 0.8;
+pub(super) const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
 
 /// The events of one turn.
-pub(super) struct TurnEvents {
+pub(super) struct PollEvents {
     /// Of the poll that waited.
     waited_for: Events,
     /// Of a second poll right after it. The process may have been stopped after the first one, and what came meanwhile forbids
@@ -44,9 +44,9 @@
     latest: Events,
 }
 
-impl TurnEvents {
-    fn with_capacity(capacity: usize) -> TurnEvents {
-        TurnEvents {
+impl PollEvents {
+    fn with_capacity(capacity: usize) -> PollEvents {
+        PollEvents {
             waited_for: Events::with_capacity(capacity),
             latest: Events::with_capacity(capacity),
         }
@@ -108,11 +108,11 @@
 
     /// Runs until the process has been told to end and every accepted request has its answer. An error is one of the poll.
     pub fn run(&mut self) -> Result<(), NetError> {
-        let mut events = TurnEvents::with_capacity(MAX_EVENTS_PER_TURN);
+        let mut events = PollEvents::with_capacity(MAX_EVENTS_PER_POLL);
         let mut standstill = StandstillDetector::default();
         while self.lifecycle.phase() != Phase::Stopped {
             if let Some(woke_at) = self.await_events(&mut events, &mut standstill)? {
-                self.turn(woke_at, &events, &mut standstill);
+                self.run_iteration(woke_at, &events, &mut standstill);
             }
         }
         Ok(())
@@ -123,7 +123,7 @@
     /// knows.
     fn await_events(
         &mut self,
-        events: &mut TurnEvents,
+        events: &mut PollEvents,
         standstill: &mut StandstillDetector,
     ) -> Result<Option<f64>, NetError> {
         let runtime = &mut self.runtime;
@@ -148,8 +148,13 @@
     }
 
     /// One turn: handles the events, then the deadlines that have come.
-    fn turn(&mut self, woke_at: f64, events: &TurnEvents, standstill: &mut StandstillDetector) {
-        self.begin_turn(woke_at, standstill);
+    fn run_iteration(
+        &mut self,
+        woke_at: f64,
+        events: &PollEvents,
+        standstill: &mut StandstillDetector,
+    ) {
+        self.begin_iteration(woke_at, standstill);
         // Operators come first: what clients bring must not keep their replies waiting.
         self.handle_admin_events(events);
         self.handle_client_disconnects(events);
@@ -161,32 +166,32 @@
             ));
             self.confirm_after_standstill(since);
         }
-        self.settle();
+        self.process_commands();
         self.flush_held_back();
         for event in events.iter() {
             if !handled.contains(&event.token()) {
                 self.handle_event(event);
             }
-            self.settle();
+            self.process_commands();
         }
         self.advance_to_deadlines(woke_at, standstill);
         while let Some(deadline) = self.runtime.timers.next(self.runtime.now) {
             self.handle_deadline(deadline);
-            self.settle();
+            self.process_commands();
         }
         self.check_end();
     }
 
     /// Sets the time of this turn, and notes whether the process stood still during the wait.
-    fn begin_turn(&mut self, woke_at: f64, standstill: &mut StandstillDetector) {
+    fn begin_iteration(&mut self, woke_at: f64, standstill: &mut StandstillDetector) {
         let runtime = &mut self.runtime;
         runtime.now = woke_at;
-        runtime.previous_turn_at = runtime.turn_began_at;
-        runtime.turn_began_at = runtime.now;
-        let overslept_s = standstill.woke(runtime.now, runtime.previous_turn_at);
+        runtime.previous_iteration_at = runtime.iteration_started_at;
+        runtime.iteration_started_at = runtime.now;
+        let overslept_s = standstill.woke(runtime.now, runtime.previous_iteration_at);
         if overslept_s > lease::HELD_UP_S {
             // A stop comes at the end of a system call: the poll may have looked before it.
-            runtime.turn_began_at = runtime.previous_turn_at;
+            runtime.iteration_started_at = runtime.previous_iteration_at;
         }
     }
 
@@ -194,13 +199,13 @@
     /// when it began: others wait until the sockets have been looked at again.
     fn advance_to_deadlines(&mut self, woke_at: f64, standstill: &mut StandstillDetector) {
         let now = self.runtime.clock.now();
-        standstill.turn_took(now - woke_at, self.runtime.turn_began_at);
+        standstill.turn_took(now - woke_at, self.runtime.iteration_started_at);
         if now <= woke_at + lease::HELD_UP_S {
             self.runtime.now = now;
         }
     }
 
-    fn handle_admin_events(&mut self, events: &TurnEvents) {
+    fn handle_admin_events(&mut self, events: &PollEvents) {
         for event in events.iter() {
             match event.token() {
                 ADMIN => self.admin_accept(),
@@ -230,7 +235,7 @@
     }
 
     /// Carries out the coordinator's commands, and what they lead to, until none is left.
-    pub(super) fn settle(&mut self) {
+    pub(super) fn process_commands(&mut self) {
         while !self.runtime.commands.is_empty() || self.clients.has_resumed() {
             for key in self.clients.take_resumed() {
                 self.read_client(key);
--- a/src/net/replica/pool.rs
+++ b/src/net/replica/pool.rs
@@ -7,7 +7,7 @@
 use crate::decisions::api::{Outcome, ReplicaId};
 use crate::endpoints::directory::WireFormat;
 use crate::net::connection_table::Connection;
-use crate::net::event_loop::IDLE_SHARE;
+use crate::net::event_loop::IDLE_TIMEOUT_FRACTION;
 use crate::net::replica::connection::{ReplicaConnection, ReplicaConnectionSetup};
 use crate::net::runtime::Runtime;
 use crate::net::timer_queue::Deadline;
@@ -436,5 +436,5 @@
 /// How long a connection may stand unused (seconds): the mixer closes it before the leaf server does, so that no part is
 /// lost on one that is being closed there.
 pub(super) fn max_idle_s(runtime: &Runtime) -> f64 {
-    IDLE_SHARE * runtime.deployment.connection_idle_s
+    IDLE_TIMEOUT_FRACTION * runtime.deployment.connection_idle_s
 }
--- a/src/net/replica/routing.rs
+++ b/src/net/replica/routing.rs
@@ -86,7 +86,7 @@
             let list_until = self.list_until();
             self.replicas
                 .flush_or_end(&mut self.runtime, key, list_until);
-            self.settle();
+            self.process_commands();
         }
     }
 
--- a/src/net/replica/sending.rs
+++ b/src/net/replica/sending.rs
@@ -39,7 +39,7 @@
             return Ok(());
         }
         // A loop that was held up reads what came meanwhile first: it may forbid the call.
-        if runtime.is_held_up() {
+        if runtime.is_delayed() {
             self.hold_back(key);
             return Ok(());
         }
--- a/src/net/runtime.rs
+++ b/src/net/runtime.rs
@@ -26,9 +26,9 @@
     pub(in crate::net) clock: Clock,
     /// The time of this turn of the loop.
     pub(in crate::net) now: f64,
-    pub(in crate::net) turn_began_at: f64,
+    pub(in crate::net) iteration_started_at: f64,
     /// When the loop last looked at its sockets before this turn: whatever it finds now came after that.
-    pub(in crate::net) previous_turn_at: f64,
+    pub(in crate::net) previous_iteration_at: f64,
     pub(in crate::net) timers: TimerQueue,
     pub(in crate::net) log: Log,
     /// For jitter that keeps a fleet out of step.
@@ -45,7 +45,7 @@
 
 impl Runtime {
     /// Whether the loop has been held up since this turn began, so that sockets have not been read since.
-    pub(in crate::net) fn is_held_up(&self) -> bool {
+    pub(in crate::net) fn is_delayed(&self) -> bool {
         self.clock.now() > self.now + HELD_UP_S
     }
 
--- a/src/net/standstill.rs
+++ b/src/net/standstill.rs
@@ -29,18 +29,18 @@
     }
 
     /// The wait is over. Returns how much later than expected (seconds; negative where an event came first).
-    pub(super) fn woke(&mut self, now: f64, previous_turn_at: f64) -> f64 {
+    pub(super) fn woke(&mut self, now: f64, previous_iteration_at: f64) -> f64 {
         let overslept_s = now - std::mem::replace(&mut self.wake_at, f64::INFINITY);
         if overslept_s > STANDSTILL_S {
-            self.beginning.get_or_insert(previous_turn_at);
+            self.beginning.get_or_insert(previous_iteration_at);
         }
         overslept_s
     }
 
     /// Handling the events of a turn took so long (seconds); the turn began at that time.
-    pub(super) fn turn_took(&mut self, turn_s: f64, turn_began_at: f64) {
+    pub(super) fn turn_took(&mut self, turn_s: f64, iteration_started_at: f64) {
         if turn_s > STANDSTILL_S {
-            self.beginning = Some(turn_began_at);
+            self.beginning = Some(iteration_started_at);
         }
     }
 
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -71,7 +71,7 @@
     runtime
         .coordinator
         .start(runtime.now, &mut runtime.commands);
-    mixer.settle();
+    mixer.process_commands();
     Ok(mixer)
 }
 
@@ -141,8 +141,8 @@
         name: setup.name,
         clock,
         now,
-        turn_began_at: now,
-        previous_turn_at: now,
+        iteration_started_at: now,
+        previous_iteration_at: now,
         timers: TimerQueue::default(),
         log: Log::new(now),
         rng: oorandom::Rand64::new(u128::from(setup.seed) + 1),
