--- a/crates/wharfhub-testbed/src/experiments/soak.rs
+++ b/crates/wharfhub-testbed/src/experiments/soak.rs
@@ -21,7 +21,11 @@
 /// Lines of the mixers' logs that are printed of a soak with broken rules.
 const MAX_PRINTED_LOG_LINES: usize = 40;
 /// What such a line contains: what a mixer found of its own acts, and when it was stopped.
-const PRINTED_LOG_TEXTS: [&str; 3] = ["invariant violated", "invariant undecided", "stood still"];
+const PRINTED_LOG_TEXTS: [&str; 3] = [
+    "invariant violated",
+    "invariant undecided",
+    "process was stalled",
+];
 
 fn row(plan: &Plan, outcome: &Outcome) -> Vec<String> {
     let counts = outcome.requests;
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -16,7 +16,7 @@
 use crate::net::reload::Reload;
 use crate::net::replica::pool::ReplicaConnections;
 use crate::net::runtime::Runtime;
-use crate::net::standstill::StandstillDetector;
+use crate::net::stall_detector::StallDetector;
 use crate::net::timer_queue::{Deadline, TIMER_TOLERANCE_S};
 use crate::net::tokens::{connection_key, ADMIN, PROTOCOLS, REREAD, SIGNALS, STORE, VRRP};
 use crate::net::{admin, handover, startup, store_peers, vrrp_socket};
@@ -109,10 +109,10 @@
     /// Runs until the process has been told to end and every accepted request has its answer. An error is one of the poll.
     pub fn run(&mut self) -> Result<(), NetError> {
         let mut events = PollEvents::with_capacity(MAX_EVENTS_PER_POLL);
-        let mut standstill = StandstillDetector::default();
+        let mut stall_detector = StallDetector::default();
         while self.lifecycle.phase() != Phase::Stopped {
-            if let Some(woke_at) = self.await_events(&mut events, &mut standstill)? {
-                self.run_iteration(woke_at, &events, &mut standstill);
+            if let Some(woke_at) = self.await_events(&mut events, &mut stall_detector)? {
+                self.run_iteration(woke_at, &events, &mut stall_detector);
             }
         }
         Ok(())
@@ -124,7 +124,7 @@
     fn await_events(
         &mut self,
         events: &mut PollEvents,
-        standstill: &mut StandstillDetector,
+        stall_detector: &mut StallDetector,
     ) -> Result<Option<f64>, NetError> {
         let runtime = &mut self.runtime;
         let polled_at = runtime.clock.now();
@@ -134,7 +134,7 @@
             runtime.timers.wait(polled_at)
         };
         if let Some(timeout) = timeout {
-            standstill.expect_wake_at(polled_at + timeout.as_secs_f64());
+            stall_detector.expect_wake_at(polled_at + timeout.as_secs_f64());
         }
         events.latest.clear();
         if !poll(runtime, &mut events.waited_for, timeout)? {
@@ -152,17 +152,17 @@
         &mut self,
         woke_at: f64,
         events: &PollEvents,
-        standstill: &mut StandstillDetector,
+        stall_detector: &mut StallDetector,
     ) {
-        self.begin_iteration(woke_at, standstill);
+        self.begin_iteration(woke_at, stall_detector);
         // Operators come first: what clients bring must not keep their replies waiting.
         self.handle_admin_events(events);
         self.handle_client_disconnects(events);
         let handled = self.receive_from_discovery(events);
-        if let Some(since) = standstill.take_beginning() {
-            let stood_still_s = self.runtime.now - since;
+        if let Some(since) = stall_detector.take_stall_start() {
+            let stalled_for_s = self.runtime.now - since;
             self.runtime.log(&format!(
-                "loop: the process stood still for up to {stood_still_s:.3} s"
+                "loop: the process was stalled for up to {stalled_for_s:.3} s"
             ));
             self.confirm_after_standstill(since);
         }
@@ -174,7 +174,7 @@
             }
             self.process_commands();
         }
-        self.advance_to_deadlines(woke_at, standstill);
+        self.advance_to_deadlines(woke_at, stall_detector);
         while let Some(deadline) = self.runtime.timers.next(self.runtime.now) {
             self.handle_deadline(deadline);
             self.process_commands();
@@ -183,13 +183,13 @@
     }
 
     /// Sets the time of this turn, and notes whether the process stood still during the wait.
-    fn begin_iteration(&mut self, woke_at: f64, standstill: &mut StandstillDetector) {
+    fn begin_iteration(&mut self, woke_at: f64, stall_detector: &mut StallDetector) {
         let runtime = &mut self.runtime;
         runtime.now = woke_at;
         runtime.previous_iteration_at = runtime.iteration_started_at;
         runtime.iteration_started_at = runtime.now;
-        let overslept_s = standstill.woke(runtime.now, runtime.previous_iteration_at);
-        if overslept_s > lease::HELD_UP_S {
+        let wake_delay_s = stall_detector.record_wake(runtime.now, runtime.previous_iteration_at);
+        if wake_delay_s > lease::HELD_UP_S {
             // A stop comes at the end of a system call: the poll may have looked before it.
             runtime.iteration_started_at = runtime.previous_iteration_at;
         }
@@ -197,9 +197,9 @@
 
     /// Reads the clock for the deadlines of this turn. Where handling the events took long, its deadlines are those that had come
     /// when it began: others wait until the sockets have been looked at again.
-    fn advance_to_deadlines(&mut self, woke_at: f64, standstill: &mut StandstillDetector) {
+    fn advance_to_deadlines(&mut self, woke_at: f64, stall_detector: &mut StallDetector) {
         let now = self.runtime.clock.now();
-        standstill.turn_took(now - woke_at, self.runtime.iteration_started_at);
+        stall_detector.record_iteration(now - woke_at, self.runtime.iteration_started_at);
         if now <= woke_at + lease::HELD_UP_S {
             self.runtime.now = now;
         }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -18,7 +18,7 @@
 pub mod replica;
 mod runtime;
 mod socket;
-mod standstill;
+mod stall_detector;
 mod startup;
 mod store_peers;
 mod timer_queue;
--- a/src/net/standstill.rs
+++ b/src/net/stall_detector.rs
@@ -5,23 +5,23 @@
 use crate::net::discovery::lease::STANDSTILL_S;
 
 /// What the loop knows of its own wake-ups. Times are of the loop's clock (seconds).
-pub(super) struct StandstillDetector {
+pub(super) struct StallDetector {
     /// When the present wait was to end.
     wake_at: f64,
     /// Since when the process may have stood still, until the loop has dealt with it.
-    beginning: Option<f64>,
+    stalled_since: Option<f64>,
 }
 
-impl Default for StandstillDetector {
-    fn default() -> StandstillDetector {
-        StandstillDetector {
+impl Default for StallDetector {
+    fn default() -> StallDetector {
+        StallDetector {
             wake_at: f64::INFINITY,
-            beginning: None,
+            stalled_since: None,
         }
     }
 }
 
-impl StandstillDetector {
+impl StallDetector {
     /// The loop is about to wait until that time. A signal that ends the wait, as the one after a stop does, does not move an
     /// earlier time that was expected before it.
     pub(super) fn expect_wake_at(&mut self, at: f64) {
@@ -29,23 +29,23 @@
     }
 
     /// The wait is over. Returns how much later than expected (seconds; negative where an event came first).
-    pub(super) fn woke(&mut self, now: f64, previous_iteration_at: f64) -> f64 {
-        let overslept_s = now - std::mem::replace(&mut self.wake_at, f64::INFINITY);
-        if overslept_s > STANDSTILL_S {
-            self.beginning.get_or_insert(previous_iteration_at);
+    pub(super) fn record_wake(&mut self, now: f64, previous_iteration_at: f64) -> f64 {
+        let wake_delay_s = now - std::mem::replace(&mut self.wake_at, f64::INFINITY);
+        if wake_delay_s > STANDSTILL_S {
+            self.stalled_since.get_or_insert(previous_iteration_at);
         }
-        overslept_s
+        wake_delay_s
     }
 
     /// Handling the events of a turn took so long (seconds); the turn began at that time.
-    pub(super) fn turn_took(&mut self, turn_s: f64, iteration_started_at: f64) {
-        if turn_s > STANDSTILL_S {
-            self.beginning = Some(iteration_started_at);
+    pub(super) fn record_iteration(&mut self, duration_s: f64, iteration_started_at: f64) {
+        if duration_s > STANDSTILL_S {
+            self.stalled_since = Some(iteration_started_at);
         }
     }
 
     /// Since when the process may have stood still; once only.
-    pub(super) fn take_beginning(&mut self) -> Option<f64> {
-        self.beginning.take()
+    pub(super) fn take_stall_start(&mut self) -> Option<f64> {
+        self.stalled_since.take()
     }
 }
