--- a/crates/wharfhub-testbed/src/fleet/mixer.rs
+++ b/crates/wharfhub-testbed/src/fleet/mixer.rs
@@ -14,7 +14,7 @@
 use std::thread::JoinHandle;
 use thiserror::Error;
 use wharfhub::config::{Config, SettingsError};
-use wharfhub::net::{ListInForce, Mixer, NetError, Signals};
+use wharfhub::net::{EndpointListInUse, Mixer, NetError, Signals};
 
 /// Stack of a mixer's thread: its deepest calls need a tenth of it.
 const STACK_BYTES: usize = 512 * 1024;
@@ -85,7 +85,7 @@
 }
 
 impl Record {
-    fn note(&mut self, list: &ListInForce) {
+    fn note(&mut self, list: &EndpointListInUse) {
         let revision = list.revision.unwrap_or(0);
         self.servers = list.servers as u64;
         if revision == self.revision {
@@ -137,10 +137,10 @@
             let _ = reported_cpu.send(ThreadCpu::of_this_thread());
             let signals = Signals {
                 stop: stopped,
-                reread: rereads,
-                config: "hollow".into(),
+                reload: rereads,
+                config_path: "hollow".into(),
             };
-            let observer = move |list: ListInForce| lock(&thread_record).note(&list);
+            let observer = move |list: EndpointListInUse| lock(&thread_record).note(&list);
             let result = Mixer::new(options, signals).and_then(|mut mixer| {
                 mixer.observe_lists(Box::new(observer));
                 mixer.run()
--- a/src/main.rs
+++ b/src/main.rs
@@ -97,10 +97,10 @@
 fn serve(path: Option<String>) -> Result<(), Failure> {
     // Before anything else: a signal that comes early must not end the program.
     let (stop, stop_sender) = UnixStream::pair()?;
-    let (reread, reread_sender) = UnixStream::pair()?;
+    let (reload, reload_sender) = UnixStream::pair()?;
     signal_hook::low_level::pipe::register(SIGTERM, stop_sender.try_clone()?)?;
     signal_hook::low_level::pipe::register(SIGINT, stop_sender.try_clone()?)?;
-    signal_hook::low_level::pipe::register(SIGHUP, reread_sender.try_clone()?)?;
+    signal_hook::low_level::pipe::register(SIGHUP, reload_sender.try_clone()?)?;
     let listener = handover::inherited()?;
     let path = configuration_path(path)?;
     let mut options = read_configuration(&path)?.options()?;
@@ -111,8 +111,8 @@
     });
     let signals = Signals {
         stop,
-        reread,
-        config: path.into(),
+        reload,
+        config_path: path.into(),
     };
     Mixer::new(options, signals)?.run()?;
     Ok(())
--- a/src/net/discovery/client.rs
+++ b/src/net/discovery/client.rs
@@ -9,7 +9,7 @@
 use crate::net::discovery::lease::LeasePublisher;
 use crate::net::discovery::link::DiscoveryLink;
 use crate::net::discovery::list;
-use crate::net::event_loop::{ListInForce, ListObserver};
+use crate::net::event_loop::{EndpointListInUse, EndpointListObserver};
 use crate::net::runtime::Runtime;
 use crate::net::ConnectionKey;
 use miniserde::json::Value;
@@ -28,7 +28,7 @@
     pub(super) lease_publisher: LeasePublisher,
     /// Whether another discovery was configured that has not answered yet: the old list is in use until it has.
     pub(super) is_moving: bool,
-    list_observer: Option<ListObserver>,
+    list_observer: Option<EndpointListObserver>,
 }
 
 impl DiscoveryClient {
@@ -98,14 +98,14 @@
     }
 
     /// Notifies the observer of each list that comes into force from now on.
-    pub(in crate::net) fn observe_lists(&mut self, observer: ListObserver) {
+    pub(in crate::net) fn observe_lists(&mut self, observer: EndpointListObserver) {
         self.list_observer = Some(observer);
     }
 
     /// Notifies the observer that the directory has come into force.
     pub(super) fn notify_observer(&mut self, runtime: &Runtime) {
         if let Some(observer) = &mut self.list_observer {
-            observer(ListInForce {
+            observer(EndpointListInUse {
                 revision: self.revision,
                 servers: runtime.directory.count(),
             });
--- a/src/net/discovery/routing.rs
+++ b/src/net/discovery/routing.rs
@@ -13,7 +13,7 @@
 use crate::net::event_loop::{Mixer, PollEvents};
 use crate::net::http::Message;
 use crate::net::lifecycle::Phase;
-use crate::net::reload::{self, RereadOutcome};
+use crate::net::reload::{self, ReloadOutcome};
 use crate::net::tokens::token;
 use crate::net::ConnectionKey;
 use miniserde::json::Value;
@@ -325,7 +325,7 @@
 
     /// SIGHUP: reads the configuration again. Requests and connections stay as they are; an invalid file changes nothing.
     pub(in crate::net) fn reload_requested(&mut self) {
-        let RereadOutcome::Accepted {
+        let ReloadOutcome::Accepted {
             deployment,
             discovery,
         } = self.reload.reread(&mut self.runtime)
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -18,7 +18,7 @@
 use crate::net::runtime::Runtime;
 use crate::net::stall_detector::StallDetector;
 use crate::net::timer_queue::{Deadline, TIMER_TOLERANCE_S};
-use crate::net::tokens::{connection_key, ADMIN, PROTOCOLS, REREAD, SIGNALS, STORE, VRRP};
+use crate::net::tokens::{connection_key, ADMIN, PROTOCOLS, RELOAD, SIGNALS, STORE, VRRP};
 use crate::net::{admin, handover, startup, store_peers, vrrp_socket};
 use crate::requests::coordinator::Command;
 use mio::event::Event;
@@ -63,14 +63,14 @@
     /// Becomes readable when the process is to end.
     pub stop: std::os::unix::net::UnixStream,
     /// Becomes readable when the configuration is to be read again.
-    pub reread: std::os::unix::net::UnixStream,
+    pub reload: std::os::unix::net::UnixStream,
     /// The configuration's file.
-    pub config: PathBuf,
+    pub config_path: PathBuf,
 }
 
 /// An endpoint list that has come into force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ListInForce {
+pub struct EndpointListInUse {
     /// Its version, where it has one.
     pub revision: Option<u64>,
     /// Leaf servers that are known now.
@@ -78,7 +78,7 @@
 }
 
 /// Called with each endpoint list on the loop's thread; it must not block.
-pub type ListObserver = Box<dyn FnMut(ListInForce)>;
+pub type EndpointListObserver = Box<dyn FnMut(EndpointListInUse)>;
 
 /// The mixer on its sockets: the subsystems, and the loop that leads events to them.
 pub struct Mixer {
@@ -102,7 +102,7 @@
     }
 
     /// Calls the observer for each endpoint list that comes into force from now on.
-    pub fn observe_lists(&mut self, observer: ListObserver) {
+    pub fn observe_lists(&mut self, observer: EndpointListObserver) {
         self.discovery.observe_lists(observer);
     }
 
@@ -219,7 +219,7 @@
         match event.token() {
             Token(protocol) if protocol < PROTOCOLS.len() => self.accept(PROTOCOLS[protocol]),
             SIGNALS => self.stop_requested(),
-            REREAD => self.reload_requested(),
+            RELOAD => self.reload_requested(),
             STORE => self.store_accept(),
             VRRP => self.vrrp_event(),
             ADMIN => {}
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -28,4 +28,4 @@
 pub use crate::endpoints::directory::ConnectionKey;
 pub use clock::Clock;
 pub use error::NetError;
-pub use event_loop::{ListInForce, ListObserver, Mixer, Signals};
+pub use event_loop::{EndpointListInUse, EndpointListObserver, Mixer, Signals};
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -33,7 +33,7 @@
 }
 
 /// What reading the configuration again has brought.
-pub(super) enum RereadOutcome {
+pub(super) enum ReloadOutcome {
     /// The file is invalid; the old configuration stays in use.
     Rejected,
     /// The file is valid.
@@ -75,7 +75,7 @@
     }
 
     /// Reads the configuration again after one or more signals.
-    pub(super) fn reread(&mut self, runtime: &mut Runtime) -> RereadOutcome {
+    pub(super) fn reread(&mut self, runtime: &mut Runtime) -> ReloadOutcome {
         self.consume_signals();
         let reread = match Config::reread(&self.config, &self.shape) {
             Ok(reread) => reread,
@@ -84,7 +84,7 @@
                 runtime.log(&format!(
                     "reload: rejected, the old configuration stays in use: {error}"
                 ));
-                return RereadOutcome::Rejected;
+                return ReloadOutcome::Rejected;
             }
         };
         self.accepted += 1;
@@ -94,7 +94,7 @@
             .discovery
             .filter(|address| Some(*address) != self.file_discovery);
         self.file_discovery = discovery.or(self.file_discovery);
-        RereadOutcome::Accepted {
+        ReloadOutcome::Accepted {
             deployment: Box::new(reread.deployment),
             discovery,
         }
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -17,7 +17,7 @@
 use crate::net::runtime::Runtime;
 use crate::net::socket::listen;
 use crate::net::timer_queue::TimerQueue;
-use crate::net::tokens::{LISTENERS, PROTOCOLS, REREAD, SIGNALS};
+use crate::net::tokens::{LISTENERS, PROTOCOLS, RELOAD, SIGNALS};
 use crate::net::{admin, handover};
 use crate::requests::coordinator::Coordinator;
 use mio::net::{TcpListener, UnixStream};
@@ -89,7 +89,7 @@
     ];
     let open = open_listeners(poll.registry(), addresses, is_listening)?;
     let stop = watch_pipe(poll.registry(), signals.stop, SIGNALS)?;
-    let reread = watch_pipe(poll.registry(), signals.reread, REREAD)?;
+    let reload = watch_pipe(poll.registry(), signals.reload, RELOAD)?;
     let max_connections = max_connections(options.sockets, is_inheriting);
     let setup = RuntimeSetup {
         name: options.name,
@@ -112,8 +112,8 @@
         discovery,
         lifecycle: Lifecycle::new(stop, options.drain_s),
         reload: Reload::new(
-            reread,
-            signals.config,
+            reload,
+            signals.config_path,
             options.key_paths,
             options.file_discovery,
         ),
--- a/src/net/tokens.rs
+++ b/src/net/tokens.rs
@@ -9,7 +9,7 @@
 pub(super) const SIGNALS: Token = Token(2);
 pub(super) const STORE: Token = Token(3);
 pub(super) const VRRP: Token = Token(4);
-pub(super) const REREAD: Token = Token(5);
+pub(super) const RELOAD: Token = Token(5);
 pub(super) const ADMIN: Token = Token(6);
 pub(super) const PROTOCOLS: [Protocol; 2] = [Protocol::Platform, Protocol::Search];
 
