--- a/src/main.rs
+++ b/src/main.rs
@@ -101,7 +101,7 @@
     signal_hook::low_level::pipe::register(SIGTERM, stop_sender.try_clone()?)?;
     signal_hook::low_level::pipe::register(SIGINT, stop_sender.try_clone()?)?;
     signal_hook::low_level::pipe::register(SIGHUP, reload_sender.try_clone()?)?;
-    let listener = handover::inherited()?;
+    let listener = handover::inherited_listener()?;
     let path = configuration_path(path)?;
     let mut options = read_configuration(&path)?.options()?;
     let rendezvous_path = handover::rendezvous_path(&std::env::temp_dir(), &options.name);
--- a/src/net/client/reading.rs
+++ b/src/net/client/reading.rs
@@ -238,7 +238,7 @@
         let clock = &runtime.clock;
         loop {
             self.last_search_number += 1;
-            let started_ms = clock.wall_now_ms(clock.started_at());
+            let started_ms = clock.unix_ms(clock.started_at());
             let id = format!("s{started_ms:x}-{:x}", self.last_search_number);
             if !runtime.coordinator.is_open(&id) {
                 return id;
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -35,12 +35,12 @@
     }
 
     /// How long it has run at that time (seconds).
-    pub fn since_start(&self, now: f64) -> f64 {
+    pub fn elapsed_s(&self, now: f64) -> f64 {
         now - self.start_s
     }
 
     /// A time of this clock as a Unix time in milliseconds.
-    pub fn wall_now_ms(&self, now: f64) -> u64 {
+    pub fn unix_ms(&self, now: f64) -> u64 {
         (now * 1000.0).max(0.0) as u64
     }
 }
--- a/src/net/discovery/connection.rs
+++ b/src/net/discovery/connection.rs
@@ -5,7 +5,7 @@
 
 use crate::endpoints::missing_answers::{CallEnd, PROMPT_S};
 use crate::net::http::{HttpError, Message, Reader};
-use crate::net::socket::{came_up, write_available};
+use crate::net::socket::{is_connected, write_available};
 use mio::net::TcpStream;
 use std::io::{self, Read};
 
@@ -229,7 +229,7 @@
     /// Writes what waits for the connection to be established, if it is. Says whether it is.
     pub(super) fn finish_connecting(&mut self) -> io::Result<bool> {
         if !self.is_connected {
-            self.is_connected = came_up(&self.stream)?;
+            self.is_connected = is_connected(&self.stream)?;
             if !self.is_connected {
                 return Ok(false);
             }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -16,7 +16,7 @@
 
 pub(in crate::net) use link::Received;
 pub(in crate::net) use messages::{ConnectionCounts, HandoverError, StateMessage};
-pub use rendezvous::{inherited, rendezvous_path};
+pub use rendezvous::{inherited_listener, rendezvous_path};
 
 use crate::config::InheritedListener;
 use crate::connections::pool;
--- a/src/net/handover/rendezvous.rs
+++ b/src/net/handover/rendezvous.rs
@@ -12,7 +12,7 @@
 /// The listener that the platform holds for all processes of this mixer, where `LB_LISTEN_FD` names one. An error: the
 /// variable holds no descriptor, or not that of a listener. It is to be called before any other thread is started, since it
 /// talks to `listenfd` through the environment.
-pub fn inherited() -> Result<Option<std::net::TcpListener>, NetError> {
+pub fn inherited_listener() -> Result<Option<std::net::TcpListener>, NetError> {
     let Ok(number) = std::env::var("LB_LISTEN_FD") else {
         return Ok(None);
     };
--- a/src/net/replica/connection.rs
+++ b/src/net/replica/connection.rs
@@ -11,7 +11,7 @@
 use crate::net::replica::error::ReplicaError;
 use crate::net::replica::frames::{self, EncodedCall};
 use crate::net::replica::send_queue::{BegunCall, QueuedFrame, SendQueue, WriteStep};
-use crate::net::socket::came_up;
+use crate::net::socket::is_connected;
 use crate::requests::coordinator::{AttemptKey, CallPart};
 use crate::requests::invariants::CallTimes;
 use mio::net::TcpStream;
@@ -193,7 +193,7 @@
 
     /// Whether its socket is connected by now; an error says why it never will be.
     pub(super) fn is_connected(&self) -> io::Result<bool> {
-        came_up(&self.stream)
+        is_connected(&self.stream)
     }
 
     /// When a call was last queued or an answer came.
--- a/src/net/runtime.rs
+++ b/src/net/runtime.rs
@@ -52,13 +52,13 @@
     /// Writes a line about the mixer as a whole, within the limit on such lines.
     pub(in crate::net) fn log(&mut self, line: &str) {
         self.log
-            .write(self.now, self.clock.since_start(self.now), line);
+            .write(self.now, self.clock.elapsed_s(self.now), line);
     }
 
     /// Writes a line about one request, which `line` makes where the limit on such lines allows it.
     pub(in crate::net) fn log_request(&mut self, line: impl FnOnce() -> String) {
         self.log
-            .write_request(self.now, self.clock.since_start(self.now), line);
+            .write_request(self.now, self.clock.elapsed_s(self.now), line);
     }
 
     /// Asks the poll to watch a connection, again a little later where the system refuses it.
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -23,7 +23,7 @@
 
 /// Opens a socket at the start of the process, before its loop runs: again for a while where the system is short of descriptors or
 /// memory. Any other error is returned at once.
-pub(super) fn open_at_start<S>(mut open: impl FnMut() -> io::Result<S>) -> io::Result<S> {
+pub(super) fn open_with_retries<S>(mut open: impl FnMut() -> io::Result<S>) -> io::Result<S> {
     for _ in 0..MAX_START_RETRIES {
         match open() {
             Err(error) if is_transient(&error) => std::thread::sleep(START_RETRY_INTERVAL),
@@ -52,14 +52,14 @@
     address: SocketAddr,
     token: Token,
 ) -> Result<TcpListener, NetError> {
-    let mut listener = open_at_start(|| TcpListener::bind(address))
+    let mut listener = open_with_retries(|| TcpListener::bind(address))
         .map_err(|error| NetError::Listen { address, error })?;
     registry.register(&mut listener, token, Interest::READABLE)?;
     Ok(listener)
 }
 
 /// Whether a connection has come up; an error says why it never will.
-pub(super) fn came_up(stream: &TcpStream) -> io::Result<bool> {
+pub(super) fn is_connected(stream: &TcpStream) -> io::Result<bool> {
     if let Some(error) = stream.take_error()? {
         return Err(error);
     }
--- a/src/net/socket/tests.rs
+++ b/src/net/socket/tests.rs
@@ -18,7 +18,7 @@
     #[case] is_opened: bool,
 ) {
     let mut attempts = 0;
-    let result = open_at_start(|| {
+    let result = open_with_retries(|| {
         attempts += 1;
         if attempts <= failures {
             Err(io::Error::from_raw_os_error(error))
@@ -32,7 +32,7 @@
 
 #[test]
 fn a_socket_that_is_refused_for_long_is_an_error() {
-    let result = open_at_start(|| Err::<(), _>(io::Error::from_raw_os_error(ENOBUFS)));
+    let result = open_with_retries(|| Err::<(), _>(io::Error::from_raw_os_error(ENOBUFS)));
     assert_eq!(
         result.map_err(|error| error.raw_os_error()),
         Err(Some(ENOBUFS))
--- a/src/net/store_peers.rs
+++ b/src/net/store_peers.rs
@@ -232,7 +232,7 @@
             id: self.last_operation,
             node: self.setup.node,
             node_count: self.setup.peers.len() + 1,
-            min_counter: runtime.clock.wall_now_ms(runtime.now),
+            min_counter: runtime.clock.unix_ms(runtime.now),
         };
         let (operation, message) = Operation::begin(setup, &next.key, next.value);
         self.running = Some(RunningOperation {
--- a/src/net/store_peers/connection.rs
+++ b/src/net/store_peers/connection.rs
@@ -2,7 +2,7 @@
 //!
 //! This file owns the socket and its buffers. It must never know what a message means.
 
-use crate::net::socket::{came_up, write_available};
+use crate::net::socket::{is_connected, write_available};
 use crate::store::{Message, MAX_MESSAGE_BYTES};
 use mio::net::TcpStream;
 use std::io::{self, Read};
@@ -78,7 +78,7 @@
     /// Writes and reads what the socket takes and has, and adds what was received to `received`. An error ends the
     /// connection.
     pub(super) fn exchange(&mut self, received: &mut Vec<Message>) -> io::Result<()> {
-        if !self.is_up && !came_up(&self.stream)? {
+        if !self.is_up && !is_connected(&self.stream)? {
             return Ok(());
         }
         self.is_up = true;
--- a/src/net/vrrp_socket.rs
+++ b/src/net/vrrp_socket.rs
@@ -6,7 +6,7 @@
 use crate::config::VrrpSetup;
 use crate::net::error::NetError;
 use crate::net::runtime::Runtime;
-use crate::net::socket::open_at_start;
+use crate::net::socket::open_with_retries;
 use crate::net::timer_queue::Deadline;
 use crate::net::tokens::VRRP;
 use crate::vrrp::{Advertisement, Event, Router, State};
@@ -41,7 +41,7 @@
         setup: VrrpSetup,
     ) -> Result<VrrpSocket, NetError> {
         let address = setup.listen;
-        let mut socket = open_at_start(|| UdpSocket::bind(address))
+        let mut socket = open_with_retries(|| UdpSocket::bind(address))
             .map_err(|error| NetError::Listen { address, error })?;
         runtime
             .poll
