--- a/src/net/admin/call.rs
+++ b/src/net/admin/call.rs
@@ -45,7 +45,7 @@
         Phase::Starting => "starting",
         Phase::Serving => "serving",
         Phase::Paused => "paused",
-        Phase::Leaving => "handed over",
+        Phase::HandedOver => "handed over",
         Phase::Draining { .. } | Phase::Closing { .. } | Phase::Stopped => "ending",
     }
 }
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -284,11 +284,11 @@
             Deadline::DiscoveryRetry => self.discovery_retry_due(),
             Deadline::Heartbeat => self.heartbeat_due(),
             Deadline::ListLease => self.lease_due(),
-            Deadline::Settings => self.apply_pending_settings(),
-            Deadline::Listen => self.open_listeners(),
-            Deadline::Vrrp => self.handle_vrrp_event(crate::vrrp::Event::Timer),
-            Deadline::Refresh => self.refresh(),
-            Deadline::Operation(id) => self.operation_due(id),
+            Deadline::ApplySettings => self.apply_pending_settings(),
+            Deadline::OpenListeners => self.open_listeners(),
+            Deadline::VrrpTimer => self.handle_vrrp_event(crate::vrrp::Event::Timer),
+            Deadline::StoreRefresh => self.refresh(),
+            Deadline::StoreOperation(id) => self.operation_due(id),
             Deadline::Phase => self.phase_due(),
         }
     }
--- a/src/net/lifecycle.rs
+++ b/src/net/lifecycle.rs
@@ -14,7 +14,7 @@
 const LAST_RESPONSE_LINGER_S: f64 = 0.2;
 /// After a pause clients are served as usual for so long: whoever routes clients to this process has to notice first. From
 /// then on a response is the last one on its connection (seconds).
-const PAUSE_LAST_RESPONSES_S: f64 = 0.4;
+const PAUSE_CLOSE_AFTER_RESPONSE_S: f64 = 0.4;
 /// After this time of a pause idle connections are closed (seconds).
 const PAUSE_CLOSE_IDLE_S: f64 = 0.7;
 /// Idle connections are closed again at this interval, for clients that still connect (seconds).
@@ -23,7 +23,7 @@
 const FRESH_CLIENT_S: f64 = CLOSE_IDLE_INTERVAL_S / 2.0;
 /// Responses are the last ones on their connections for this last share of the time for which clients are served after
 /// SIGTERM.
-const LAST_RESPONSES_SHARE: f64 = 0.2;
+const CLOSE_AFTER_RESPONSE_FRACTION: f64 = 0.2;
 /// After the listeners are closed, requests are awaited for the longest deadline of a class, and at least for this time
 /// (seconds).
 const MIN_CLOSING_S: f64 = 3.0;
@@ -40,7 +40,7 @@
     /// The operators have had clients sent to other mixers: not ready, still accepting.
     Paused,
     /// A successor has taken over: not accepting, closing connections with their responses until SIGTERM.
-    Leaving,
+    HandedOver,
     /// After SIGTERM: not ready, still accepting until that time.
     Draining { until: f64 },
     /// The listeners are closed; open requests are answered until none is left, or that time.
@@ -72,9 +72,9 @@
 pub(super) struct Lifecycle {
     phase: Phase,
     /// When idle clients are closed next, in phases that close them.
-    close_idle_at: f64,
+    next_idle_close_at: f64,
     /// From then on a response is the last one on its connection.
-    last_responses_at: f64,
+    close_after_response_at: f64,
     /// After SIGTERM clients are served for so long before the listeners close (seconds).
     drain_s: f64,
     /// Becomes readable on SIGTERM and SIGINT.
@@ -86,8 +86,8 @@
     pub(super) fn new(signals: UnixStream, drain_s: f64) -> Lifecycle {
         Lifecycle {
             phase: Phase::Starting,
-            close_idle_at: 0.0,
-            last_responses_at: f64::MAX,
+            next_idle_close_at: 0.0,
+            close_after_response_at: f64::MAX,
             drain_s,
             signals,
         }
@@ -113,8 +113,8 @@
 
     /// Whether a response is the last one on its connection by the phase. After SIGTERM that is so only near the end: clients
     /// that are closed before another mixer is ready would have nowhere to go.
-    pub(super) fn has_last_responses(&self, now: f64) -> bool {
-        now >= self.last_responses_at
+    pub(super) fn closes_after_response(&self, now: f64) -> bool {
+        now >= self.close_after_response_at
     }
 
     /// Waits for a predecessor to hand over.
@@ -140,8 +140,8 @@
             return false;
         }
         self.phase = Phase::Paused;
-        self.last_responses_at = runtime.now + PAUSE_LAST_RESPONSES_S;
-        self.close_idle_at(runtime.now + PAUSE_CLOSE_IDLE_S, runtime);
+        self.close_after_response_at = runtime.now + PAUSE_CLOSE_AFTER_RESPONSE_S;
+        self.set_next_idle_close(runtime.now + PAUSE_CLOSE_IDLE_S, runtime);
         runtime.log("pause: not ready, closing client connections");
         true
     }
@@ -152,35 +152,36 @@
             return false;
         }
         self.phase = Phase::Starting;
-        self.last_responses_at = f64::MAX;
+        self.close_after_response_at = f64::MAX;
         true
     }
 
     /// A successor serves: clients are closed with their responses, idle ones at once. Not for a process that has had SIGTERM.
-    pub(super) fn begin_leaving(&mut self, runtime: &mut Runtime) {
-        self.phase = Phase::Leaving;
-        self.last_responses_at = runtime.now;
-        self.close_idle_at(runtime.now, runtime);
+    pub(super) fn begin_handed_over(&mut self, runtime: &mut Runtime) {
+        self.phase = Phase::HandedOver;
+        self.close_after_response_at = runtime.now;
+        self.set_next_idle_close(runtime.now, runtime);
     }
 
     /// A successor is gone: this process starts to serve again.
-    pub(super) fn return_from_leaving(&mut self) {
+    pub(super) fn resume_from_handed_over(&mut self) {
         self.phase = Phase::Starting;
-        self.last_responses_at = f64::MAX;
+        self.close_after_response_at = f64::MAX;
     }
 
     /// SIGTERM has come.
     pub(super) fn stop(&mut self, runtime: &mut Runtime) -> StopAction {
         let mut buffer = [0; 64];
         while matches!(self.signals.read(&mut buffer), Ok(count) if count > 0) {}
-        if matches!(self.phase, Phase::Inheriting | Phase::Leaving) {
+        if matches!(self.phase, Phase::Inheriting | Phase::HandedOver) {
             return StopAction::CloseListeners;
         }
         if !self.is_ending() {
             let until = runtime.now + self.drain_s;
-            let last_responses_at = until - LAST_RESPONSES_SHARE * self.drain_s;
+            let close_after_response_at = until - CLOSE_AFTER_RESPONSE_FRACTION * self.drain_s;
             self.phase = Phase::Draining { until };
-            self.last_responses_at = self.last_responses_at.min(last_responses_at);
+            self.close_after_response_at =
+                self.close_after_response_at.min(close_after_response_at);
             runtime.timers.add(until, Deadline::Phase);
             runtime.log("shutdown: draining, not ready, still serving");
         }
@@ -193,7 +194,7 @@
         let deadlines_s = classes.map(|class| class.deadline_s);
         let until = runtime.now + deadlines_s.fold(MIN_CLOSING_S, f64::max);
         self.phase = Phase::Closing { until };
-        self.last_responses_at = runtime.now;
+        self.close_after_response_at = runtime.now;
         runtime.timers.add(until, Deadline::Phase);
     }
 
@@ -203,10 +204,10 @@
         match self.phase {
             Phase::Draining { until } if now >= until => Some(PhaseAction::CloseListeners),
             // Of several timers, set by pauses in a row, only the latest counts.
-            Phase::Paused if now >= self.close_idle_at => Some(PhaseAction::CloseIdle {
+            Phase::Paused if now >= self.next_idle_close_at => Some(PhaseAction::CloseIdle {
                 fresh_s: FRESH_CLIENT_S,
             }),
-            Phase::Leaving if now >= self.close_idle_at => {
+            Phase::HandedOver if now >= self.next_idle_close_at => {
                 Some(PhaseAction::CloseIdle { fresh_s: 0.0 })
             }
             _ => None,
@@ -215,11 +216,11 @@
 
     /// Idle clients have been closed: sets the time of the next round.
     pub(super) fn schedule_close_idle(&mut self, runtime: &mut Runtime) {
-        self.close_idle_at(runtime.now + CLOSE_IDLE_INTERVAL_S, runtime);
+        self.set_next_idle_close(runtime.now + CLOSE_IDLE_INTERVAL_S, runtime);
     }
 
-    fn close_idle_at(&mut self, at: f64, runtime: &mut Runtime) {
-        self.close_idle_at = at;
+    fn set_next_idle_close(&mut self, at: f64, runtime: &mut Runtime) {
+        self.next_idle_close_at = at;
         runtime.timers.add(at, Deadline::Phase);
     }
 
--- a/src/net/lifecycle_routing.rs
+++ b/src/net/lifecycle_routing.rs
@@ -31,7 +31,7 @@
     /// Whether a response is the last one on its connection: by the phase, or because there are so many clients that the next
     /// one could open no connection if each kept its own.
     pub(super) fn closes_after_response(&self) -> bool {
-        self.lifecycle.has_last_responses(self.runtime.now) || self.clients.is_crowded()
+        self.lifecycle.closes_after_response(self.runtime.now) || self.clients.is_crowded()
     }
 
     /// Checks the invariant of each start: clients may be served by the list in use.
@@ -354,7 +354,7 @@
         match self.lifecycle.phase() {
             Phase::Draining { .. } => self.close_listener(),
             Phase::Closing { .. } | Phase::Stopped => {}
-            _ => self.lifecycle.begin_leaving(&mut self.runtime),
+            _ => self.lifecycle.begin_handed_over(&mut self.runtime),
         }
     }
 
@@ -362,8 +362,8 @@
     fn take_back(&mut self) {
         match self.lifecycle.phase() {
             Phase::Closing { .. } | Phase::Stopped => return,
-            Phase::Leaving => {
-                self.lifecycle.return_from_leaving();
+            Phase::HandedOver => {
+                self.lifecycle.resume_from_handed_over();
                 self.check_readiness();
                 self.listen_for_successor();
                 self.open_listeners();
--- a/src/net/listeners.rs
+++ b/src/net/listeners.rs
@@ -64,7 +64,7 @@
                 Err(error) => {
                     runtime.log(&format!("cannot listen on {address} yet: {error}"));
                     let retry_at = runtime.now + BIND_RETRY_S;
-                    return runtime.timers.add(retry_at, Deadline::Listen);
+                    return runtime.timers.add(retry_at, Deadline::OpenListeners);
                 }
             }
         }
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -112,7 +112,7 @@
         if is_new {
             runtime
                 .timers
-                .add(runtime.now + APPLY_AFTER_S, Deadline::Settings);
+                .add(runtime.now + APPLY_AFTER_S, Deadline::ApplySettings);
             runtime.log("reload: new settings accepted; they are applied in 1 s");
         }
     }
--- a/src/net/store_peers.rs
+++ b/src/net/store_peers.rs
@@ -148,7 +148,7 @@
             listener.local_addr()?
         );
         runtime.log(&line);
-        runtime.timers.add(runtime.now, Deadline::Refresh);
+        runtime.timers.add(runtime.now, Deadline::StoreRefresh);
         Ok(StorePeers {
             setup,
             listener,
@@ -188,7 +188,7 @@
         }
         runtime
             .timers
-            .add(runtime.now + REFRESH_INTERVAL_S, Deadline::Refresh);
+            .add(runtime.now + REFRESH_INTERVAL_S, Deadline::StoreRefresh);
     }
 
     /// Queues a client's request: GET reads a key, PUT writes it. [`StorePeers::begin_next`] is to follow.
@@ -241,7 +241,7 @@
         });
         runtime.timers.add(
             runtime.now + OPERATION_TIMEOUT_S,
-            Deadline::Operation(self.last_operation),
+            Deadline::StoreOperation(self.last_operation),
         );
         self.send(&message);
     }
--- a/src/net/timer_queue.rs
+++ b/src/net/timer_queue.rs
@@ -38,15 +38,15 @@
     /// The next step of the present phase of the process.
     Phase,
     /// Accepted settings are applied.
-    Settings,
+    ApplySettings,
     /// Listeners that could not be opened are tried again.
-    Listen,
+    OpenListeners,
     /// A timer of VRRP.
-    Vrrp,
+    VrrpTimer,
     /// The keys of the store that matter to the mixer are read.
-    Refresh,
+    StoreRefresh,
     /// The timeout of an operation of the store.
-    Operation(u64),
+    StoreOperation(u64),
 }
 
 /// Every deadline of the program, in order of time. A deadline is never removed early: whoever handles one that is no longer
--- a/src/net/vrrp_socket.rs
+++ b/src/net/vrrp_socket.rs
@@ -109,7 +109,7 @@
         }
         let state = self.router.state();
         if let Some(at) = self.router.timer_at() {
-            runtime.timers.add(at, Deadline::Vrrp);
+            runtime.timers.add(at, Deadline::VrrpTimer);
         }
         if state == before {
             return None;
