--- a/src/bin/wharfhub-adapter.rs
+++ b/src/bin/wharfhub-adapter.rs
@@ -46,7 +46,7 @@
                             .for_each(|action| encode(instance, action, &mut reply));
                     }
                 }
-                Record::Nothing => {}
+                Record::NoEvent => {}
             }
         }
         write_reply(&mut output, &reply)?;
--- a/src/main.rs
+++ b/src/main.rs
@@ -70,22 +70,22 @@
 }
 
 /// What ends the program, as it is shown to operators.
-type Failure = Box<dyn std::error::Error>;
+type CommandError = Box<dyn std::error::Error>;
 
-fn configuration_path(path: Option<String>) -> Result<String, Failure> {
+fn configuration_path(path: Option<String>) -> Result<String, CommandError> {
     let path = path.or_else(|| std::env::var("LB_CONFIG").ok());
     path.ok_or_else(|| "no configuration: give --config or LB_CONFIG".into())
 }
 
 /// Reads the configuration, with the variables of the environment in place of its keys.
-fn read_configuration(path: &str) -> Result<Config, Failure> {
+fn read_configuration(path: &str) -> Result<Config, CommandError> {
     let mut config = Config::read(path.as_ref()).map_err(|error| format!("{path}: {error}"))?;
     config.override_by(|name| std::env::var(name).ok());
     Ok(config)
 }
 
 /// Reads all that a start would read, and listens on nothing.
-fn check_configuration(path: Option<String>) -> Result<(), Failure> {
+fn check_configuration(path: Option<String>) -> Result<(), CommandError> {
     let config = read_configuration(&configuration_path(path)?)?;
     let summary = config.summary();
     config.options()?;
@@ -94,7 +94,7 @@
 }
 
 /// Serves clients until the program is to end.
-fn serve(path: Option<String>) -> Result<(), Failure> {
+fn serve(path: Option<String>) -> Result<(), CommandError> {
     // Before anything else: a signal that comes early must not end the program.
     let (stop, stop_sender) = UnixStream::pair()?;
     let (reload, reload_sender) = UnixStream::pair()?;
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -38,7 +38,7 @@
 pub(super) const PREDECESSOR: Token = Token(8);
 pub(super) const SUCCESSOR: Token = Token(9);
 /// Descriptors that the handover takes of the process's limit.
-pub(super) const DESCRIPTORS: usize = 24;
+pub(super) const RESERVED_DESCRIPTORS: usize = 24;
 /// The successor waits so long for discovery before it requests the state (seconds).
 const LIST_TIMEOUT_S: f64 = 0.8;
 /// The successor waits so long for each message of the predecessor (seconds).
@@ -132,7 +132,7 @@
     path: PathBuf,
     rendezvous: Option<UnixListener>,
     /// The inherited listener, while nothing is accepted from it.
-    queue: Option<TcpListener>,
+    listener: Option<TcpListener>,
     predecessor: Option<Link>,
     successor: Option<Link>,
     /// When this process starts alone, if the predecessor has not committed.
@@ -152,7 +152,7 @@
         Ok(Handover {
             path: rendezvous_path,
             rendezvous: None,
-            queue: Some(TcpListener::from_std(listener)),
+            listener: Some(TcpListener::from_std(listener)),
             predecessor: None,
             successor: None,
             takeover_ends_at: now + TAKEOVER_TIMEOUT_S,
@@ -244,7 +244,7 @@
     /// Gives the takeover up: the predecessor goes on. The inherited listener is closed here.
     pub(super) fn abandon(&mut self) {
         self.predecessor = None;
-        self.queue = None;
+        self.listener = None;
     }
 
     // ---- the predecessor's side
@@ -352,14 +352,14 @@
     // ---- both sides
 
     /// Takes the inherited listener, to accept from it.
-    pub(super) fn take_queue(&mut self) -> Option<TcpListener> {
-        self.queue.take()
+    pub(super) fn take_listener(&mut self) -> Option<TcpListener> {
+        self.listener.take()
     }
 
     /// Keeps the inherited listener while nothing is accepted from it. The platform keeps it open, so closing our copy would
     /// not end the poll's interest in it.
-    pub(super) fn keep_queue(&mut self, queue: TcpListener) {
-        self.queue = Some(queue);
+    pub(super) fn keep_listener(&mut self, listener: TcpListener) {
+        self.listener = Some(listener);
     }
 
     /// Whether another process of this mixer runs, with one of the two committed.
--- a/src/net/handover/link.rs
+++ b/src/net/handover/link.rs
@@ -34,8 +34,8 @@
     pub(super) stage: Stage,
     /// When the stage ends without a message.
     pub(super) due: f64,
-    inbuf: Vec<u8>,
-    out: Vec<u8>,
+    read_buffer: Vec<u8>,
+    write_buffer: Vec<u8>,
 }
 
 /// What a connection has brought.
@@ -52,40 +52,40 @@
             stream,
             stage,
             due,
-            inbuf: Vec::new(),
-            out: Vec::new(),
+            read_buffer: Vec::new(),
+            write_buffer: Vec::new(),
         }
     }
 
     /// Whether a line has not been written completely.
     pub(super) fn has_unsent(&self) -> bool {
-        !self.out.is_empty()
+        !self.write_buffer.is_empty()
     }
 
     /// Sends a line, now as far as the socket takes it.
     pub(super) fn send(&mut self, line: &str) -> Result<(), HandoverError> {
-        self.out.extend_from_slice(line.as_bytes());
+        self.write_buffer.extend_from_slice(line.as_bytes());
         self.flush()
     }
 
     /// Writes what the socket takes, then reads all that has come.
     pub(super) fn receive(&mut self) -> Received {
         let flushed = self.flush();
-        let unended = self.inbuf.len(); // what was here before holds no end of a line
+        let unended = self.read_buffer.len(); // what was here before holds no end of a line
         let result = self.read().and(flushed);
         let mut lines = Vec::new();
-        let end = self.inbuf[unended..]
+        let end = self.read_buffer[unended..]
             .iter()
             .rposition(|byte| *byte == b'\n');
         if let Some(end) = end {
-            let complete: Vec<u8> = self.inbuf.drain(..=unended + end).collect();
+            let complete: Vec<u8> = self.read_buffer.drain(..=unended + end).collect();
             lines.extend(String::from_utf8_lossy(&complete).lines().map(String::from));
         }
         Received { lines, result }
     }
 
     fn flush(&mut self) -> Result<(), HandoverError> {
-        Ok(write_available(&mut self.stream, &mut self.out)?)
+        Ok(write_available(&mut self.stream, &mut self.write_buffer)?)
     }
 
     /// Reads into the buffer until nothing more is there.
@@ -94,12 +94,12 @@
         loop {
             match self.stream.read(&mut buffer) {
                 Ok(0) => return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into()),
-                Ok(count) => self.inbuf.extend_from_slice(&buffer[..count]),
+                Ok(count) => self.read_buffer.extend_from_slice(&buffer[..count]),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => return Err(error.into()),
             }
-            if self.inbuf.len() > MAX_LINE_BYTES {
+            if self.read_buffer.len() > MAX_LINE_BYTES {
                 return Err(HandoverError::LineTooLong);
             }
         }
--- a/src/net/lifecycle_routing.rs
+++ b/src/net/lifecycle_routing.rs
@@ -118,7 +118,7 @@
     /// Empties the accept queues, closes the listeners and idle clients. An inherited listener stays open with its queue for
     /// the next process.
     pub(super) fn close_listener(&mut self) {
-        self.release_queue();
+        self.release_inherited_listener();
         self.accept_all();
         self.listeners.close();
         self.handle_vrrp_event(VrrpEvent::Shutdown);
@@ -138,23 +138,23 @@
     }
 
     /// Begins to accept from the inherited listener.
-    fn adopt_queue(&mut self) {
-        let queue = self.handover.as_mut().and_then(Handover::take_queue);
-        let Some(queue) = queue else {
+    fn adopt_inherited_listener(&mut self) {
+        let listener = self.handover.as_mut().and_then(Handover::take_listener);
+        let Some(listener) = listener else {
             return;
         };
-        self.listeners.adopt(queue, &mut self.runtime);
+        self.listeners.adopt(listener, &mut self.runtime);
         // The poll may not report what waits in the queue already.
         self.accept(Protocol::Platform);
     }
 
     /// Stops accepting from an inherited listener.
-    fn release_queue(&mut self) {
+    fn release_inherited_listener(&mut self) {
         let Some(handover) = &mut self.handover else {
             return;
         };
-        if let Some(queue) = self.listeners.release(&self.runtime) {
-            handover.keep_queue(queue);
+        if let Some(listener) = self.listeners.release(&self.runtime) {
+            handover.keep_listener(listener);
         }
     }
 }
@@ -254,10 +254,10 @@
     fn route_handover(&mut self, event: Option<HandoverEvent>) {
         match event {
             Some(HandoverEvent::Start(kind)) => self.start_serving(kind),
-            Some(HandoverEvent::StateRequested) => self.hand_over(),
-            Some(HandoverEvent::StateReceived(state)) => self.inherit(*state),
-            Some(HandoverEvent::StateAccepted) => self.leave(),
-            Some(HandoverEvent::SuccessorLost) => self.take_back(),
+            Some(HandoverEvent::StateRequested) => self.send_state_to_successor(),
+            Some(HandoverEvent::StateReceived(state)) => self.inherit_state(*state),
+            Some(HandoverEvent::StateAccepted) => self.commit_handover(),
+            Some(HandoverEvent::SuccessorLost) => self.resume_after_successor_loss(),
             None => {}
         }
     }
@@ -269,7 +269,7 @@
         self.runtime.log(&line);
         self.check_readiness();
         self.open_listeners();
-        self.adopt_queue();
+        self.adopt_inherited_listener();
         self.listen_for_successor();
     }
 
@@ -280,7 +280,7 @@
     }
 
     /// Sends the state to the successor, and stops accepting from the inherited listener before that.
-    fn hand_over(&mut self) {
+    fn send_state_to_successor(&mut self) {
         let connections = self.connection_counts();
         let facts = DiscoveryFacts {
             address: self.discovery.address(),
@@ -291,7 +291,7 @@
             return;
         };
         let line = handover.state_line(&mut self.runtime, facts, connections);
-        self.release_queue();
+        self.release_inherited_listener();
         if let Some(handover) = &mut self.handover {
             let event = handover.send_state(&mut self.runtime, &line);
             self.route_handover(event);
@@ -306,7 +306,7 @@
     }
 
     /// Takes over the predecessor's state, and accepts it.
-    fn inherit(&mut self, state: StateMessage) {
+    fn inherit_state(&mut self, state: StateMessage) {
         self.inherit_list(&state);
         if let Some(lease) = state.lease {
             self.discovery.inherit_lease(self.runtime.now, lease);
@@ -337,7 +337,7 @@
     }
 
     /// Commits: the successor accepts clients from now on; here connections are closed with their responses.
-    fn leave(&mut self) {
+    fn commit_handover(&mut self) {
         let Some(handover) = &mut self.handover else {
             return;
         };
@@ -359,7 +359,7 @@
     }
 
     /// The successor is gone: this process serves on.
-    fn take_back(&mut self) {
+    fn resume_after_successor_loss(&mut self) {
         match self.lifecycle.phase() {
             Phase::Closing { .. } | Phase::Stopped => return,
             Phase::HandedOver => {
@@ -370,6 +370,6 @@
             }
             _ => {}
         }
-        self.adopt_queue();
+        self.adopt_inherited_listener();
     }
 }
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -158,7 +158,7 @@
 /// Connections to clients and replicas that the limit on descriptors allows.
 fn max_connections(max_descriptors: usize, is_inheriting: bool) -> usize {
     let handover = if is_inheriting {
-        handover::DESCRIPTORS
+        handover::RESERVED_DESCRIPTORS
     } else {
         0
     };
--- a/src/net/store_peers.rs
+++ b/src/net/store_peers.rs
@@ -389,8 +389,8 @@
             };
             let bytes = answer.map(|answer| answer.encode()).unwrap_or_default();
             peer.queue_answer(bytes);
-            let is_overfull = peer.is_overfull();
-            if peer.exchange(&mut Vec::new()).is_err() || is_overfull {
+            let is_write_buffer_full = peer.is_write_buffer_full();
+            if peer.exchange(&mut Vec::new()).is_err() || is_write_buffer_full {
                 return self.drop_connection(runtime, key);
             }
         }
--- a/src/net/store_peers/connection.rs
+++ b/src/net/store_peers/connection.rs
@@ -25,9 +25,9 @@
 pub(in crate::net) struct PeerConnection {
     stream: TcpStream,
     direction: Direction,
-    is_up: bool,
-    inbuf: Vec<u8>,
-    out: Vec<u8>,
+    is_connected: bool,
+    read_buffer: Vec<u8>,
+    write_buffer: Vec<u8>,
 }
 
 impl PeerConnection {
@@ -36,9 +36,9 @@
         PeerConnection {
             stream,
             direction: Direction::To(node),
-            is_up: false,
-            inbuf: Vec::new(),
-            out: Vec::new(),
+            is_connected: false,
+            read_buffer: Vec::new(),
+            write_buffer: Vec::new(),
         }
     }
 
@@ -47,9 +47,9 @@
         PeerConnection {
             stream,
             direction: Direction::FromPeer,
-            is_up: true,
-            inbuf: Vec::new(),
-            out: Vec::new(),
+            is_connected: true,
+            read_buffer: Vec::new(),
+            write_buffer: Vec::new(),
         }
     }
 
@@ -60,29 +60,29 @@
 
     /// Queues a request, unless too much waits already: then it is lost, and the operation has one answer less.
     pub(super) fn queue_request(&mut self, bytes: &[u8]) {
-        if self.out.len() < MAX_WAITING_BYTES {
-            self.out.extend(bytes);
+        if self.write_buffer.len() < MAX_WAITING_BYTES {
+            self.write_buffer.extend(bytes);
         }
     }
 
     /// Queues an answer.
     pub(super) fn queue_answer(&mut self, bytes: Vec<u8>) {
-        self.out.extend(bytes);
+        self.write_buffer.extend(bytes);
     }
 
     /// Whether the peer reads too slowly for what is written to it.
-    pub(super) fn is_overfull(&self) -> bool {
-        self.out.len() > MAX_WAITING_BYTES
+    pub(super) fn is_write_buffer_full(&self) -> bool {
+        self.write_buffer.len() > MAX_WAITING_BYTES
     }
 
     /// Writes and reads what the socket takes and has, and adds what was received to `received`. An error ends the
     /// connection.
     pub(super) fn exchange(&mut self, received: &mut Vec<Message>) -> io::Result<()> {
-        if !self.is_up && !is_connected(&self.stream)? {
+        if !self.is_connected && !is_connected(&self.stream)? {
             return Ok(());
         }
-        self.is_up = true;
-        write_available(&mut self.stream, &mut self.out)?;
+        self.is_connected = true;
+        write_available(&mut self.stream, &mut self.write_buffer)?;
         self.read(received)
     }
 
@@ -91,12 +91,14 @@
         loop {
             match self.stream.read(&mut buffer) {
                 Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
-                Ok(count) => self.inbuf.extend_from_slice(&buffer[..count]),
+                Ok(count) => self.read_buffer.extend_from_slice(&buffer[..count]),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => return Err(error),
             }
-            while let Some(message) = Message::decode(&mut self.inbuf).map_err(io::Error::other)? {
+            while let Some(message) =
+                Message::decode(&mut self.read_buffer).map_err(io::Error::other)?
+            {
                 received.push(message);
             }
         }
--- a/src/simulator/pipe/batch.rs
+++ b/src/simulator/pipe/batch.rs
@@ -17,9 +17,9 @@
 /// Bytes of a stream's start after its instance.
 const STREAM_START_BYTES: usize = 17;
 /// The client gave an estimate of the work.
-const FLAG_HINT: u16 = 1;
+const FLAG_COST_HINT: u16 = 1;
 /// The client marked the query as a retry of its own.
-const FLAG_REPEAT: u16 = 2;
+const FLAG_CLIENT_RETRY: u16 = 2;
 
 /// The codes of the records.
 mod code {
@@ -79,7 +79,7 @@
         event: Event,
     },
     /// A record without an event for the module: a numbered list, a stream's start, a peer's message.
-    Nothing,
+    NoEvent,
 }
 
 /// A decoded batch.
@@ -104,21 +104,21 @@
         let count = cursor.u32()?;
         let now = cursor.f64()?;
         if !now.is_finite() {
-            return Err(cursor.bad(FieldError::ClockNotFinite));
+            return Err(cursor.invalid(FieldError::ClockNotFinite));
         }
         let mut records = Vec::new();
         for record in 0..count {
             cursor.record = record;
             records.push(self.record(&mut cursor)?);
         }
-        match cursor.left() {
+        match cursor.remaining() {
             0 => Ok(Batch { now, records }),
-            left => Err(WireError::Leftover(left)),
+            left => Err(WireError::TrailingBytes(left)),
         }
     }
 
     fn record(&mut self, cursor: &mut Cursor) -> Result<Record, WireError> {
-        let at = cursor.at();
+        let at = cursor.offset();
         cursor.name = "code";
         let code = cursor.u8()?;
         let record = cursor.record;
@@ -129,7 +129,7 @@
         cursor.name = name;
         if code == code::CATALOG {
             self.define_list(cursor)?;
-            return Ok(Record::Nothing);
+            return Ok(Record::NoEvent);
         }
         let instance = cursor.u32()?;
         let event = match code {
@@ -137,18 +137,18 @@
             code::CRASH_NOW => return Ok(Record::Crash { instance }),
             code::FIRST => {
                 cursor.take(STREAM_START_BYTES)?;
-                return Ok(Record::Nothing);
+                return Ok(Record::NoEvent);
             }
             code::DATAGRAM => {
                 skip_datagram(cursor)?;
-                return Ok(Record::Nothing);
+                return Ok(Record::NoEvent);
             }
             code::ENDPOINTS => self.endpoints(cursor)?,
-            code::INGRESS => ingress(cursor)?,
-            code::DONE => done(cursor)?,
+            code::INGRESS => query_or_part(cursor)?,
+            code::DONE => attempt_ended(cursor)?,
             code::TIMED_OUT_CLIENT => Event::ClientLeft(QueryId(cursor.u32()?)),
             code::DEADLINE_HIT => Event::Timer(cursor.u64()?),
-            code::PING_RESULT => probed(cursor)?,
+            code::PING_RESULT => probe_ended(cursor)?,
             _ => return Err(unknown_code),
         };
         Ok(Record::Event { instance, event })
@@ -160,11 +160,11 @@
         let count = cursor.u32()? as usize;
         if number >= MAX_LISTS {
             let max = MAX_LISTS - 1;
-            return Err(cursor.bad(FieldError::ListNumberTooLarge { number, max }));
+            return Err(cursor.invalid(FieldError::ListNumberTooLarge { number, max }));
         }
         let bytes = count
             .checked_mul(LIST_ENTRY_BYTES)
-            .ok_or_else(|| cursor.bad(FieldError::TooManyEntries))?;
+            .ok_or_else(|| cursor.invalid(FieldError::TooManyEntries))?;
         let bytes = cursor.take(bytes)?;
         let mut entries = Vec::new();
         let mut inner = Cursor::new(bytes, 0, cursor.record, cursor.name);
@@ -184,14 +184,14 @@
             2 => return Ok(Event::ListFailed),
             0 | 4 => true,
             3 => false,
-            other => return Err(cursor.bad(FieldError::UnknownListKind(other))),
+            other => return Err(cursor.invalid(FieldError::UnknownListKind(other))),
         };
         match self.lists.get(number) {
             Some(Some(entries)) => Ok(Event::List {
                 full,
                 entries: entries.clone(),
             }),
-            _ => Err(cursor.bad(FieldError::UndefinedList(number))),
+            _ => Err(cursor.invalid(FieldError::UndefinedList(number))),
         }
     }
 }
@@ -200,7 +200,7 @@
     let seed = cursor.u64()?;
     let length = cursor.u32()? as usize;
     let text = cursor.take(length)?;
-    let deployment = config::decode(text).map_err(|error| cursor.bad(error.into()))?;
+    let deployment = config::decode(text).map_err(|error| cursor.invalid(error.into()))?;
     Ok(Record::Init {
         instance,
         seed,
@@ -208,11 +208,11 @@
     })
 }
 
-fn probed(cursor: &mut Cursor) -> Result<Event, WireError> {
+fn probe_ended(cursor: &mut Cursor) -> Result<Event, WireError> {
     let replica = ReplicaId(cursor.u32()?);
     let outcome = outcome(cursor)?;
     let took_s = cursor.f64()?;
-    cursor.skip_report()?;
+    cursor.skip_load_report()?;
     Ok(Event::Probed {
         replica,
         outcome,
@@ -237,7 +237,7 @@
         0 => Lifecycle::Gone,
         1 => Lifecycle::Ready,
         2 => Lifecycle::Draining,
-        other => return Err(cursor.bad(FieldError::UnknownReplicaState(other))),
+        other => return Err(cursor.invalid(FieldError::UnknownReplicaState(other))),
     };
     cursor.f32()?; // not used
     let started_at = cursor.f64()?;
@@ -251,7 +251,7 @@
     })
 }
 
-fn ingress(cursor: &mut Cursor) -> Result<Event, WireError> {
+fn query_or_part(cursor: &mut Cursor) -> Result<Event, WireError> {
     let id = cursor.u32()?;
     let class = cursor.u16()?;
     let tenant = cursor.u32()?;
@@ -271,7 +271,7 @@
             tenant,
             deadline,
             parts: amount as u32,
-            repeat: flags & FLAG_REPEAT != 0,
+            repeat: flags & FLAG_CLIENT_RETRY != 0,
             key,
             pre_check: None,
         }));
@@ -281,18 +281,18 @@
         query_number: number,
         shard: shard as u32,
         weight: f64::from(amount),
-        cost_hint_s: (flags & FLAG_HINT != 0).then_some(hint),
+        cost_hint_s: (flags & FLAG_COST_HINT != 0).then_some(hint),
     }))
 }
 
-fn done(cursor: &mut Cursor) -> Result<Event, WireError> {
+fn attempt_ended(cursor: &mut Cursor) -> Result<Event, WireError> {
     let part = PartId(cursor.u32()?);
     let took_s = cursor.f64()?;
     let replica = ReplicaId(cursor.u32()?);
     let attempt = cursor.u8()?;
     let outcome = outcome(cursor)?;
     cursor.u8()?; // not used
-    cursor.skip_report()?;
+    cursor.skip_load_report()?;
     Ok(Event::AttemptEnded(AttemptEnd {
         part,
         attempt,
@@ -312,6 +312,6 @@
         104 => Outcome::Reset,
         125 => Outcome::Cancelled,
         114 => Outcome::Superseded,
-        other => return Err(cursor.bad(FieldError::UnknownOutcome(other))),
+        other => return Err(cursor.invalid(FieldError::UnknownOutcome(other))),
     })
 }
--- a/src/simulator/pipe/cursor.rs
+++ b/src/simulator/pipe/cursor.rs
@@ -7,7 +7,7 @@
 /// Reads fields from a frame.
 pub(super) struct Cursor<'a> {
     bytes: &'a [u8],
-    at: usize,
+    offset: usize,
     /// The index of the record that is read, for errors.
     pub(super) record: u32,
     /// The kind of the record that is read, for errors.
@@ -19,37 +19,37 @@
     pub(super) fn new(bytes: &'a [u8], at: usize, record: u32, name: &'static str) -> Cursor<'a> {
         Cursor {
             bytes,
-            at,
+            offset: at,
             record,
             name,
         }
     }
 
     /// The next byte's index.
-    pub(super) fn at(&self) -> usize {
-        self.at
+    pub(super) fn offset(&self) -> usize {
+        self.offset
     }
 
     /// Bytes that have not been read.
-    pub(super) fn left(&self) -> usize {
-        self.bytes.len() - self.at
+    pub(super) fn remaining(&self) -> usize {
+        self.bytes.len() - self.offset
     }
 
     /// Reads that many bytes; an error where there are fewer.
     pub(super) fn take(&mut self, count: usize) -> Result<&'a [u8], WireError> {
         let end = self
-            .at
+            .offset
             .checked_add(count)
             .filter(|end| *end <= self.bytes.len());
         let Some(end) = end else {
-            return Err(WireError::Short {
+            return Err(WireError::TruncatedRecord {
                 record: self.record,
                 name: self.name,
                 at: self.bytes.len(),
             });
         };
-        let taken = &self.bytes[self.at..end];
-        self.at = end;
+        let taken = &self.bytes[self.offset..end];
+        self.offset = end;
         Ok(taken)
     }
 
@@ -84,14 +84,14 @@
     }
 
     /// Skips a load report, of which the decision module has no use.
-    pub(super) fn skip_report(&mut self) -> Result<(), WireError> {
+    pub(super) fn skip_load_report(&mut self) -> Result<(), WireError> {
         let count = usize::from(self.u8()?);
         self.take(count * 4).map(|_| ())
     }
 
     /// The error of a value in this record that has no meaning.
-    pub(super) fn bad(&self, error: FieldError) -> WireError {
-        WireError::BadValue {
+    pub(super) fn invalid(&self, error: FieldError) -> WireError {
+        WireError::InvalidValue {
             record: self.record,
             name: self.name,
             error,
--- a/src/simulator/pipe/error.rs
+++ b/src/simulator/pipe/error.rs
@@ -14,7 +14,7 @@
     Io(#[from] io::Error),
     /// The input ended inside a frame.
     #[error("input ended inside a frame: {got} of {want} bytes")]
-    CutOff {
+    TruncatedFrame {
         /// Bytes that were read.
         got: u64,
         /// Bytes that the length announced.
@@ -22,10 +22,10 @@
     },
     /// The frame's length is under that of its header.
     #[error("frame length {0} is shorter than its header")]
-    BadLength(u32),
+    LengthTooSmall(u32),
     /// A record runs past the end of its frame.
     #[error("record {record} ({name}) runs past the end of the frame at byte {at}")]
-    Short {
+    TruncatedRecord {
         /// Its index in the frame.
         record: u32,
         /// Its kind.
@@ -35,7 +35,7 @@
     },
     /// Bytes are left after the last record.
     #[error("{0} bytes left after the last record")]
-    Leftover(usize),
+    TrailingBytes(usize),
     /// No event has this code.
     #[error("record {record}: unknown event code {code} at byte {at}")]
     UnknownCode {
@@ -48,7 +48,7 @@
     },
     /// A field holds a value that has no meaning.
     #[error("record {record} ({name}): {error}")]
-    BadValue {
+    InvalidValue {
         /// Its index in the frame.
         record: u32,
         /// Its kind.
--- a/src/simulator/pipe/frame.rs
+++ b/src/simulator/pipe/frame.rs
@@ -22,7 +22,7 @@
         return if got == 0 {
             Ok(None)
         } else {
-            Err(WireError::CutOff {
+            Err(WireError::TruncatedFrame {
                 got,
                 want: LENGTH_BYTES as u64,
             })
@@ -30,7 +30,7 @@
     };
     let length = u32::from_le_bytes(length);
     if (length as usize) < BATCH_HEADER_BYTES {
-        return Err(WireError::BadLength(length));
+        return Err(WireError::LengthTooSmall(length));
     }
     input
         .by_ref()
@@ -38,7 +38,7 @@
         .read_to_end(&mut frame)?;
     let got = frame.len() as u64;
     if got < u64::from(length) {
-        return Err(WireError::CutOff {
+        return Err(WireError::TruncatedFrame {
             got,
             want: u64::from(length),
         });
