--- a/src/net/discovery/client.rs
+++ b/src/net/discovery/client.rs
@@ -7,7 +7,7 @@
 use crate::net::discovery::lease::LeasePublisher;
 use crate::net::discovery::link::DiscoveryLink;
 use crate::net::discovery::list;
-use crate::net::event_loop::{ListInForce, ListObserver};
+use crate::net::event_loop::{EndpointListInUse, EndpointListObserver};
 use crate::net::runtime::Runtime;
 use crate::net::ConnectionKey;
 use miniserde::json::Value;
@@ -26,7 +26,7 @@
     pub(super) lease_publisher: LeasePublisher,
     /// Whether another discovery was configured that has not answered yet; the old list stays in use until then.
     pub(super) is_switching: bool,
-    list_observer: Option<ListObserver>,
+    list_observer: Option<EndpointListObserver>,
 }
 
 impl DiscoveryClient {
@@ -96,14 +96,14 @@
     }
 
     /// Sets the observer that is notified of each list that is applied from now on.
-    pub(in crate::net) fn observe_lists(&mut self, observer: ListObserver) {
+    pub(in crate::net) fn observe_lists(&mut self, observer: EndpointListObserver) {
         self.list_observer = Some(observer);
     }
 
     /// Notifies the observer that the directory was updated by a list.
     pub(super) fn notify_observer(&mut self, runtime: &Runtime) {
         if let Some(observer) = &mut self.list_observer {
-            observer(ListInForce {
+            observer(EndpointListInUse {
                 revision: self.revision,
                 servers: runtime.directory.count(),
             });
@@ -142,7 +142,7 @@
             .update_endpoints(runtime.now, is_full, entries, &mut runtime.commands);
         let notified_since = self
             .lease
-            .notified_since(runtime.now, runtime.previous_turn_at);
+            .notified_since(runtime.now, runtime.previous_iteration_at);
         runtime.directory.date_unready(notified_since);
     }
 
--- a/src/net/discovery/connection.rs
+++ b/src/net/discovery/connection.rs
@@ -2,7 +2,7 @@
 
 use crate::endpoints::missing_answers::{CallEnd, PROMPT_S};
 use crate::net::http::{HttpError, Message, Reader};
-use crate::net::socket::{came_up, write_available};
+use crate::net::socket::{is_connected, write_available};
 use mio::net::TcpStream;
 use std::io::{self, Read};
 
@@ -227,7 +227,7 @@
     /// established.
     pub(super) fn finish_connecting(&mut self) -> io::Result<bool> {
         if !self.is_connected {
-            self.is_connected = came_up(&self.stream)?;
+            self.is_connected = is_connected(&self.stream)?;
             if !self.is_connected {
                 return Ok(false);
             }
@@ -241,10 +241,10 @@
     }
 
     /// Reads up to the end of an answer or until the socket has no more data. The data was received after
-    /// `previous_turn_at`, the previous time at which the event loop read the socket.
-    pub(super) fn receive(&mut self, previous_turn_at: f64, now: f64) -> Received {
+    /// `previous_iteration_at`, the previous time at which the event loop read the socket.
+    pub(super) fn receive(&mut self, previous_iteration_at: f64, now: f64) -> Received {
         let length_before = self.received_bytes();
-        let received = self.read_answer(previous_turn_at);
+        let received = self.read_answer(previous_iteration_at);
         let has_more = self.received_bytes() != length_before;
         if let (Received::Nothing, true, Some(open)) = (&received, has_more, self.open_call) {
             self.due = (now + MAX_STALL_S).min(open.made_at + open.timeout_s);
@@ -257,7 +257,7 @@
         self.unread.len() + self.reader.buffered_bytes()
     }
 
-    fn read_answer(&mut self, previous_turn_at: f64) -> Received {
+    fn read_answer(&mut self, previous_iteration_at: f64) -> Received {
         let mut buffer = [0; READ_BUFFER_BYTES];
         loop {
             let count = match self.stream.read(&mut buffer) {
@@ -270,7 +270,7 @@
             };
             self.unread.extend_from_slice(&buffer[..count]);
             if count > 0 && self.open_call.is_some() {
-                self.answer_began_at.get_or_insert(previous_turn_at);
+                self.answer_began_at.get_or_insert(previous_iteration_at);
             }
             match self.reader.read(&mut self.unread, count == 0) {
                 Ok(Some(message)) => return Received::Answer(message),
