--- a/crates/wharfhub-testbed/src/fleet/discovery.rs
+++ b/crates/wharfhub-testbed/src/fleet/discovery.rs
@@ -18,7 +18,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use wharfhub::net::http::{self, Message, Reader, Start};
+use wharfhub::net::http::{self, Message, MessageReader, StartLine};
 
 const WAKER: Token = Token(usize::MAX);
 /// Bytes that may wait for one watcher that does not read; beyond that its connection is closed.
@@ -218,7 +218,7 @@
 struct Connection {
     stream: TcpStream,
     region: usize,
-    reader: Reader,
+    reader: MessageReader,
     inbuf: Vec<u8>,
     out: VecDeque<(Rc<[u8]>, usize)>, // texts, and how much of each is written
     unsent: usize,
@@ -383,7 +383,7 @@
             }
             let _ = stream.set_nodelay(true);
             let registry = self.poll.registry();
-            let reader = Reader::requests(MAX_CALL_BYTES);
+            let reader = MessageReader::requests(MAX_CALL_BYTES);
             let key = self.connections.insert_with_key(|key| {
                 let both = Interest::READABLE | Interest::WRITABLE;
                 let _ = registry.register(&mut stream, Token(key.data().as_ffi() as usize), both);
@@ -522,7 +522,7 @@
 
 /// What a message asks: the complete list, or a watch from `index` on that waits for `wait` milliseconds.
 fn call_of(message: &Message) -> Option<Call> {
-    let Start::Request { target, .. } = &message.start else {
+    let StartLine::Request { target, .. } = &message.start else {
         return None;
     };
     let query = match target.strip_prefix("/api/targets")? {
@@ -551,7 +551,7 @@
         Answer::Changes { since } => (200, catalog.changes_since(since, layout)),
         Answer::Overloaded => (503, "{}".into()),
     };
-    http::response(status, &[], &body, false).into()
+    http::json_response(status, &[], &body, false).into()
 }
 
 fn count_answer(counters: &mut Counters, answer: Answer, revision: u64, bytes: usize) {
--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -5,7 +5,7 @@
 //! does. All times are seconds of the loop's clock.
 
 use crate::net::client::opensearch::SearchContext;
-use crate::net::http::{HttpError, Message, Reader};
+use crate::net::http::{HttpError, Message, MessageReader};
 use crate::requests::coordinator::{Protocol, RequestKey};
 use mio::net::TcpStream;
 use std::io::{self, Read, Write};
@@ -72,7 +72,7 @@
     pub(super) state: ClientState,
     /// When `state` began; while reading, when the request began to come.
     pub(super) state_since: f64,
-    pub(super) reader: Reader,
+    pub(super) reader: MessageReader,
     /// What was read from the socket and not yet taken by `reader`.
     pub(super) input: Vec<u8>,
     /// The response that is being written.
@@ -98,7 +98,7 @@
     pub(super) fn new(
         stream: TcpStream,
         protocol: Protocol,
-        reader: Reader,
+        reader: MessageReader,
         now: f64,
     ) -> ClientConnection {
         ClientConnection {
--- a/src/net/client/connections.rs
+++ b/src/net/client/connections.rs
@@ -11,7 +11,7 @@
 use crate::net::client::opensearch::SearchContext;
 use crate::net::client::pages::STORE_PREFIX;
 use crate::net::connection_table::Connection;
-use crate::net::http::{Message, Reader};
+use crate::net::http::{Message, MessageReader};
 use crate::net::runtime::Runtime;
 use crate::net::timer_queue::{Deadline, TIMER_TOLERANCE_S};
 use crate::net::ConnectionKey;
@@ -143,7 +143,7 @@
 
     /// Whether there are so many clients that each response has to end its connection: where each sends one request and
     /// then keeps its connection, the next client could open none until the idle ones are closed.
-    pub(in crate::net) fn is_crowded(&self) -> bool {
+    pub(in crate::net) fn is_near_capacity(&self) -> bool {
         self.count > self.crowded_above
     }
 
@@ -172,7 +172,7 @@
     ) -> ConnectionKey {
         // Only latency would suffer.
         let _ = stream.set_nodelay(true);
-        let mut reader = Reader::requests(MAX_QUERY_BYTES);
+        let mut reader = MessageReader::requests(MAX_QUERY_BYTES);
         if conditions.has_store {
             reader = reader.with_larger_bodies(STORE_PREFIX, MAX_VALUE_BYTES);
         }
--- a/src/net/client/eviction/tests.rs
+++ b/src/net/client/eviction/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the order in which clients are evicted.
 
 use super::*;
-use crate::net::http::Reader;
+use crate::net::http::MessageReader;
 use crate::requests::coordinator::Protocol;
 use std::net::TcpListener;
 
@@ -15,7 +15,7 @@
 fn client(setup: &Setup, listener: &TcpListener) -> Connection {
     let address = listener.local_addr().unwrap();
     let stream = mio::net::TcpStream::connect(address).unwrap();
-    let reader = Reader::requests(100);
+    let reader = MessageReader::requests(100);
     let mut client = ClientConnection::new(stream, Protocol::Platform, reader, 0.0);
     client.enter(setup.state, setup.state_since);
     if setup.has_had_response {
--- a/src/net/client/opensearch/leaf.rs
+++ b/src/net/client/opensearch/leaf.rs
@@ -8,7 +8,7 @@
     as_count, count, object, parse_object, query_string, string,
 };
 use crate::net::client::opensearch::shard_routing::routing_to;
-use crate::net::http::{Message, Start};
+use crate::net::http::{Message, StartLine};
 use crate::requests::coordinator::{CallPart, QueryRequest};
 use miniserde::json::{self, Array, Object, Value};
 use std::net::SocketAddr;
@@ -146,7 +146,7 @@
 
 /// The outcome of an answer and the value that it brings, without its load report.
 fn parse_outcome(message: &Message, pre_check: bool) -> LeafAnswer {
-    let Start::Response { status } = message.start else {
+    let StartLine::Response { status } = message.start else {
         return LeafAnswer::without_value(Outcome::Error);
     };
     let object = std::str::from_utf8(&message.body)
--- a/src/net/client/opensearch/request.rs
+++ b/src/net/client/opensearch/request.rs
@@ -8,7 +8,7 @@
 use crate::net::client::opensearch::json_value::parse_object;
 use crate::net::client::opensearch::options::RequestOptions;
 use crate::net::client::request_fields::{is_idempotency_key, route_key, tenant_index};
-use crate::net::http::{Message, Start};
+use crate::net::http::{Message, StartLine};
 use crate::requests::coordinator::{PartRequest, Protocol, QueryRequest};
 
 /// Longest `X-Opaque-Id` that is passed on and given back; a longer one is left out.
@@ -100,7 +100,7 @@
     id: String,
     default_tenant: Option<&str>,
 ) -> Result<SearchRequest, SearchError> {
-    let Start::Request { method, target } = &message.start else {
+    let StartLine::Request { method, target } = &message.start else {
         return Err(SearchError::NotARequest);
     };
     let (path, parameters) = target.split_once('?').unwrap_or((target, ""));
--- a/src/net/client/opensearch/response.rs
+++ b/src/net/client/opensearch/response.rs
@@ -33,7 +33,7 @@
         let opaque = self.opaque.map(|text| ("X-Opaque-Id", text.to_string()));
         let retry_after = retry_after.map(|text| ("Retry-After", text));
         let headers: Vec<_> = opaque.into_iter().chain(retry_after).collect();
-        http::response(status, &headers, &json::to_string(body), self.close)
+        http::json_response(status, &headers, &json::to_string(body), self.close)
     }
 }
 
@@ -159,7 +159,7 @@
     } else {
         retry_after_s
     };
-    let retry_after = (retry_after_s > 0.0).then(|| http::seconds(advice_s));
+    let retry_after = (retry_after_s > 0.0).then(|| http::format_seconds(advice_s));
     envelope.render(429, &body, retry_after)
 }
 
--- a/src/net/client/platform.rs
+++ b/src/net/client/platform.rs
@@ -7,7 +7,7 @@
 use crate::decisions::api::{ClassSettings, Effect};
 use crate::endpoints::directory::Endpoint;
 use crate::net::client::request_fields::{is_field, is_idempotency_key, route_key, tenant_index};
-use crate::net::http::{self, Message, Start};
+use crate::net::http::{self, Message, StartLine};
 use crate::requests::coordinator::{FinalAnswer, PartRequest, Protocol, QueryRequest, Reason};
 use miniserde::{json, Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -150,7 +150,7 @@
     message: &Message,
     deployment: &Deployment,
 ) -> Result<PlatformRequest, PlatformError> {
-    let Start::Request { method, target } = &message.start else {
+    let StartLine::Request { method, target } = &message.start else {
         return Err(PlatformError::NotARequest);
     };
     let path = target.split('?').next().unwrap_or_default();
@@ -298,7 +298,7 @@
     close: bool,
 ) -> Vec<u8> {
     let body = json::to_string(&ErrorJson { error: reason });
-    http::response(status, headers, &body, close)
+    http::json_response(status, headers, &body, close)
 }
 
 /// The bytes of a final answer in the platform's protocol; `close` announces that the connection ends after it.
@@ -315,7 +315,7 @@
                 is_complete: complete,
                 values: part_values(query_request, &values),
             };
-            http::response(200, &[], &json::to_string(&body), close)
+            http::json_response(200, &[], &json::to_string(&body), close)
         }
         FinalAnswer::Rejected {
             reason,
@@ -323,7 +323,7 @@
         } => {
             let status = if reason == Reason::Held { 503 } else { 429 };
             let has_advice = retry_after_s > 0.0;
-            let advice = has_advice.then(|| ("Retry-After", http::seconds(retry_after_s)));
+            let advice = has_advice.then(|| ("Retry-After", http::format_seconds(retry_after_s)));
             let text = "refused: asking again does no harm";
             render_error(status, text, advice.as_slice(), close)
         }
--- a/src/net/client/routing.rs
+++ b/src/net/client/routing.rs
@@ -12,7 +12,7 @@
 use crate::net::client::platform;
 use crate::net::client::writing::log_unanswered;
 use crate::net::event_loop::{Mixer, TurnEvents, ACCEPT_AGAIN_S};
-use crate::net::http::{self, Message, Start};
+use crate::net::http::{self, Message, StartLine};
 use crate::net::socket::is_out_of_descriptors;
 use crate::net::timer_queue::Deadline;
 use crate::net::tokens::{connection_key, token};
@@ -107,7 +107,11 @@
 
     /// Handles an event of a client's socket. `is_disconnected` says that the client has closed its side, or that the
     /// connection has failed.
-    pub(in crate::net) fn client_event(&mut self, key: ConnectionKey, is_disconnected: bool) {
+    pub(in crate::net) fn handle_client_event(
+        &mut self,
+        key: ConnectionKey,
+        is_disconnected: bool,
+    ) {
         let conditions = self.serving_conditions();
         let runtime = &mut self.runtime;
         let event = self
@@ -117,7 +121,7 @@
     }
 
     /// Handles a timer of a client's connection.
-    pub(in crate::net) fn client_due(&mut self, key: ConnectionKey) {
+    pub(in crate::net) fn handle_client_timer(&mut self, key: ConnectionKey) {
         let event = self.clients.handle_timer(&mut self.runtime, key);
         self.route_client_event(key, event);
     }
@@ -165,7 +169,7 @@
 
     /// Serves one of the pages for operators and load balancers.
     fn serve_page(&mut self, key: ConnectionKey, message: &Message) {
-        let Start::Request { method, target } = &message.start else {
+        let StartLine::Request { method, target } = &message.start else {
             return;
         };
         let (status, body) = match Page::from_target(target, self.store.is_some()) {
@@ -181,7 +185,7 @@
             Page::Unknown => (404, r#"{"error":"no such page"}"#.to_string()),
         };
         let closes = self.closes_after_response() || !message.keep_alive;
-        self.respond(key, http::response(status, &[], &body, closes), closes);
+        self.respond(key, http::json_response(status, &[], &body, closes), closes);
     }
 
     /// Begins to write a response to a client, after which its connection ends where `closes` says so.
@@ -230,7 +234,7 @@
             // The token of a listener makes a key too, but not the other way round.
             let is_connection = token(key) == event.token();
             if is_connection && self.clients.has_request(&self.runtime, key) {
-                self.client_event(key, true);
+                self.handle_client_event(key, true);
             }
         }
     }
--- a/src/net/discovery/connection.rs
+++ b/src/net/discovery/connection.rs
@@ -4,7 +4,7 @@
 //! when a call is made, and never take over a list.
 
 use crate::endpoints::missing_answers::{CallEnd, PROMPT_S};
-use crate::net::http::{HttpError, Message, Reader};
+use crate::net::http::{HttpError, Message, MessageReader};
 use crate::net::socket::{came_up, write_available};
 use mio::net::TcpStream;
 use std::io::{self, Read};
@@ -94,7 +94,7 @@
     unsent: Vec<u8>,
     /// Bytes that were read and do not make up an answer yet.
     unread: Vec<u8>,
-    reader: Reader,
+    reader: MessageReader,
     pub(super) is_connected: bool,
     pub(super) open_call: Option<OpenCall>,
     /// Since when the call's answer has been arriving.
@@ -158,7 +158,7 @@
             role,
             unsent: Vec::new(),
             unread: Vec::new(),
-            reader: Reader::responses(max_list_bytes),
+            reader: MessageReader::responses(max_list_bytes),
             is_connected: false,
             open_call: None,
             answer_began_at: None,
@@ -195,7 +195,7 @@
 
     /// Since when an incomplete answer has been arriving that may be a list.
     pub(super) fn answer_arriving_since(&self) -> Option<f64> {
-        let status = self.reader.begun_status(&self.unread);
+        let status = self.reader.pending_status(&self.unread);
         self.answer_began_at
             .filter(|_| status.is_none_or(|status| status == STATUS_OK))
     }
--- a/src/net/discovery/list.rs
+++ b/src/net/discovery/list.rs
@@ -3,7 +3,7 @@
 //! This file owns the limits on an answer and its decoding. It must never take over a list.
 
 use crate::net::discovery::connection::DiscoveryError;
-use crate::net::http::{Message, Start};
+use crate::net::http::{Message, StartLine};
 use miniserde::json::Value;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -22,15 +22,15 @@
 
 /// Whether discovery answered with a body that may be a list.
 pub(super) fn is_ok(message: &Message) -> bool {
-    message.start == (Start::Response { status: 200 })
+    message.start == (StartLine::Response { status: 200 })
 }
 
 /// The JSON of an answer.
 pub(super) fn decode(message: &Message) -> Result<Value, DiscoveryError> {
     match message.start {
-        Start::Response { status: 200 } => {}
-        Start::Response { status } => return Err(DiscoveryError::Status(status)),
-        Start::Request { .. } => return Err(DiscoveryError::NoAnswer),
+        StartLine::Response { status: 200 } => {}
+        StartLine::Response { status } => return Err(DiscoveryError::Status(status)),
+        StartLine::Request { .. } => return Err(DiscoveryError::NoAnswer),
     }
     let text = std::str::from_utf8(&message.body).map_err(|_| DiscoveryError::NotUtf8)?;
     miniserde::json::from_str(text).map_err(|_| DiscoveryError::NotJson)
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -203,8 +203,8 @@
     fn handle_admin_events(&mut self, events: &TurnEvents) {
         for event in events.iter() {
             match event.token() {
-                ADMIN => self.admin_accept(),
-                token => self.admin_event(connection_key(token)),
+                ADMIN => self.accept_admin_connections(),
+                token => self.handle_admin_event(connection_key(token)),
             }
         }
     }
@@ -215,8 +215,8 @@
             Token(protocol) if protocol < PROTOCOLS.len() => self.accept(PROTOCOLS[protocol]),
             SIGNALS => self.stop_requested(),
             REREAD => self.reload_requested(),
-            STORE => self.store_accept(),
-            VRRP => self.vrrp_event(),
+            STORE => self.accept_store_peers(),
+            VRRP => self.handle_vrrp_socket_event(),
             ADMIN => {}
             handover::RENDEZVOUS => self.rendezvous_event(),
             handover::PREDECESSOR => self.link_event(handover::Side::Predecessor),
@@ -271,7 +271,7 @@
             Deadline::Connection(key) => self.connection_due(key),
             Deadline::Register(key) => self.runtime.register(key),
             Deadline::Handover => self.handover_due(),
-            Deadline::AdminAccept => self.admin_accept(),
+            Deadline::AdminAccept => self.accept_admin_connections(),
             Deadline::Accept => PROTOCOLS
                 .into_iter()
                 .for_each(|protocol| self.accept(protocol)),
@@ -282,8 +282,8 @@
             Deadline::Settings => self.apply_pending_settings(),
             Deadline::Listen => self.open_listeners(),
             Deadline::Vrrp => self.handle_vrrp_event(crate::vrrp::Event::Timer),
-            Deadline::Refresh => self.refresh(),
-            Deadline::Operation(id) => self.operation_due(id),
+            Deadline::Refresh => self.refresh_from_store(),
+            Deadline::Operation(id) => self.handle_store_operation_timeout(id),
             Deadline::Phase => self.phase_due(),
         }
     }
@@ -306,10 +306,10 @@
 impl Mixer {
     fn connection_event(&mut self, key: ConnectionKey, gone: bool, read_closed: bool) {
         match self.runtime.connections.get(key) {
-            Some(Connection::Client(_)) => self.client_event(key, gone || read_closed),
+            Some(Connection::Client(_)) => self.handle_client_event(key, gone || read_closed),
             Some(Connection::Replica(_)) => self.replica_event(key),
             Some(Connection::Discovery(_)) => self.discovery_event(key),
-            Some(Connection::Peer(_)) => self.peer_event(key),
+            Some(Connection::Peer(_)) => self.handle_store_peer_event(key),
             Some(Connection::Admin(_)) => {} // served before all others
             None => {}                       // an event for a connection that is closed
         }
@@ -317,14 +317,14 @@
 
     fn connection_due(&mut self, key: ConnectionKey) {
         match self.runtime.connections.get(key) {
-            Some(Connection::Client(_)) => self.client_due(key),
+            Some(Connection::Client(_)) => self.handle_client_timer(key),
             Some(Connection::Replica(_)) => self.replica_due(key),
             Some(Connection::Discovery(connection))
                 if self.runtime.now + TIMER_TOLERANCE_S >= connection.due =>
             {
                 self.discovery_timed_out(key);
             }
-            Some(Connection::Admin(_)) => self.admin_due(key),
+            Some(Connection::Admin(_)) => self.handle_admin_timer(key),
             Some(Connection::Discovery(_) | Connection::Peer(_)) | None => {}
         }
     }
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -24,7 +24,7 @@
     Malformed,
     /// The length of its body is given twice, or in a form that is not known.
     #[error("unclear length of body")]
-    UnclearLength,
+    AmbiguousLength,
     /// Its body is longer than allowed.
     #[error("body too large ({bytes} bytes or more, {limit} are read)")]
     BodyTooLarge {
@@ -38,7 +38,7 @@
     HeadTooLarge,
     /// The connection ended before the message did.
     #[error("message cut off")]
-    CutOff,
+    Truncated,
 }
 
 impl HttpError {
@@ -47,14 +47,14 @@
         match self {
             HttpError::BodyTooLarge { .. } => 413,
             HttpError::HeadTooLarge => 431,
-            HttpError::Malformed | HttpError::UnclearLength | HttpError::CutOff => 400,
+            HttpError::Malformed | HttpError::AmbiguousLength | HttpError::Truncated => 400,
         }
     }
 }
 
 /// The start line of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Start {
+pub enum StartLine {
     /// A request.
     Request {
         /// Its method.
@@ -73,7 +73,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
     /// Its start line.
-    pub start: Start,
+    pub start: StartLine,
     /// Its headers, in order.
     pub headers: Vec<(String, String)>,
     /// Its body.
@@ -135,26 +135,26 @@
 }
 
 /// Reads messages one after the other from a buffer that grows.
-pub struct Reader {
+pub struct MessageReader {
     kind: MessageKind,
     default_max_body_bytes: usize,
     larger_bodies: Option<LargerBodies>,
     partial: Option<PartialMessage>,
 }
 
-impl Reader {
+impl MessageReader {
     /// A reader of requests with bodies of at most so many bytes.
-    pub fn requests(max_body_bytes: usize) -> Reader {
-        Reader::new(MessageKind::Request, max_body_bytes)
+    pub fn requests(max_body_bytes: usize) -> MessageReader {
+        MessageReader::new(MessageKind::Request, max_body_bytes)
     }
 
     /// A reader of responses with bodies of at most so many bytes.
-    pub fn responses(max_body_bytes: usize) -> Reader {
-        Reader::new(MessageKind::Response, max_body_bytes)
+    pub fn responses(max_body_bytes: usize) -> MessageReader {
+        MessageReader::new(MessageKind::Response, max_body_bytes)
     }
 
-    fn new(kind: MessageKind, default_max_body_bytes: usize) -> Reader {
-        Reader {
+    fn new(kind: MessageKind, default_max_body_bytes: usize) -> MessageReader {
+        MessageReader {
             kind,
             default_max_body_bytes,
             larger_bodies: None,
@@ -163,7 +163,11 @@
     }
 
     /// Allows longer bodies, of at most so many bytes, to requests whose target begins with a prefix.
-    pub fn with_larger_bodies(mut self, target_prefix: &'static str, max_bytes: usize) -> Reader {
+    pub fn with_larger_bodies(
+        mut self,
+        target_prefix: &'static str,
+        max_bytes: usize,
+    ) -> MessageReader {
         self.larger_bodies = Some(LargerBodies {
             target_prefix,
             max_bytes,
@@ -172,8 +176,8 @@
     }
 
     /// The longest body that a message with this start line may have.
-    fn max_body_bytes(&self, start: &Start) -> usize {
-        let Start::Request { target, .. } = start else {
+    fn max_body_bytes(&self, start: &StartLine) -> usize {
+        let StartLine::Request { target, .. } = start else {
             return self.default_max_body_bytes;
         };
         self.larger_bodies
@@ -188,9 +192,9 @@
 
     /// The status of the response that is being read, once its start line is there; `buffer` holds what has not been
     /// read.
-    pub fn begun_status(&self, buffer: &[u8]) -> Option<u16> {
+    pub fn pending_status(&self, buffer: &[u8]) -> Option<u16> {
         let start = self.partial.as_ref().map(|partial| &partial.message.start);
-        if let Some(Start::Response { status }) = start {
+        if let Some(StartLine::Response { status }) = start {
             return Some(*status);
         }
         let line = buffer.split(|byte| *byte == b'\r').next()?;
@@ -216,11 +220,11 @@
     }
 
     /// Takes from the front of the buffer what belongs to the next message, and gives that once it is complete.
-    /// `has_ended` says that nothing more comes on the connection. After an error the connection can't be read on.
+    /// `is_end_of_stream` says that nothing more comes on the connection. After an error the connection can't be read on.
     pub fn read(
         &mut self,
         buffer: &mut Vec<u8>,
-        has_ended: bool,
+        is_end_of_stream: bool,
     ) -> Result<Option<Message>, HttpError> {
         if self.partial.is_none() {
             self.partial = self.read_head(buffer)?;
@@ -230,8 +234,8 @@
             .as_ref()
             .map_or(0, |partial| self.max_body_bytes(&partial.message.start));
         let Some(PartialMessage { message, framing }) = &mut self.partial else {
-            if has_ended && !buffer.is_empty() {
-                return Err(HttpError::CutOff);
+            if is_end_of_stream && !buffer.is_empty() {
+                return Err(HttpError::Truncated);
             }
             return Ok(None);
         };
@@ -246,16 +250,16 @@
             BodyFraming::UntilClose => {
                 body.append(buffer);
                 if body.len() > max_body_bytes {
-                    return Err(too_large(body.len(), max_body_bytes));
+                    return Err(body_too_large(body.len(), max_body_bytes));
                 }
-                has_ended
+                is_end_of_stream
             }
         };
         if is_complete {
             return Ok(self.partial.take().map(|partial| partial.message));
         }
-        if has_ended {
-            return Err(HttpError::CutOff);
+        if is_end_of_stream {
+            return Err(HttpError::Truncated);
         }
         Ok(None)
     }
@@ -292,13 +296,13 @@
         if let Some(coding) = codings.next() {
             let is_chunked = coding.eq_ignore_ascii_case("chunked");
             if !is_chunked || codings.next().is_some() || lengths.next().is_some() {
-                return Err(HttpError::UnclearLength);
+                return Err(HttpError::AmbiguousLength);
             }
             return Ok(BodyFraming::Chunked(ChunkedBody::default()));
         }
         let has_no_body = match message.start {
-            Start::Response { status } => status < 200 || status == 204 || status == 304,
-            Start::Request { .. } => false,
+            StartLine::Response { status } => status < 200 || status == 204 || status == 304,
+            StartLine::Request { .. } => false,
         };
         let Some(length) = lengths.next() else {
             return Ok(match self.kind {
@@ -308,21 +312,21 @@
         };
         let is_number = !length.is_empty() && length.bytes().all(|byte| byte.is_ascii_digit());
         if !is_number || lengths.next().is_some() {
-            return Err(HttpError::UnclearLength);
+            return Err(HttpError::AmbiguousLength);
         }
         // Digits alone that are no number are too many of them.
         let length = length.parse::<usize>().unwrap_or(usize::MAX);
         let limit = self.max_body_bytes(&message.start);
         if length > limit {
-            return Err(too_large(length, limit));
+            return Err(body_too_large(length, limit));
         }
         Ok(BodyFraming::Length(if has_no_body { 0 } else { length }))
     }
 }
 
-/// Start line and headers of a message, and how many bytes of the buffer they take.
+/// StartLine line and headers of a message, and how many bytes of the buffer they take.
 struct Head {
-    start: Start,
+    start: StartLine,
     headers: Vec<(String, String)>,
     is_http_1_1: bool,
     length_bytes: usize,
@@ -336,7 +340,7 @@
             MessageKind::Response => {
                 let mut response = httparse::Response::new(&mut headers);
                 let parsed = response.parse(buffer).map_err(head_error)?;
-                let start = || Start::Response {
+                let start = || StartLine::Response {
                     status: response.code.unwrap_or(0),
                 };
                 Head::new(parsed, buffer, start, response.version, response.headers)
@@ -344,7 +348,7 @@
             MessageKind::Request => {
                 let mut request = httparse::Request::new(&mut headers);
                 let parsed = request.parse(buffer).map_err(head_error)?;
-                let start = || Start::Request {
+                let start = || StartLine::Request {
                     method: request.method.unwrap_or_default().to_string(),
                     target: request.path.unwrap_or_default().to_string(),
                 };
@@ -356,7 +360,7 @@
     fn new(
         parsed: httparse::Status<usize>,
         buffer: &[u8],
-        start: impl FnOnce() -> Start,
+        start: impl FnOnce() -> StartLine,
         minor_version: Option<u8>,
         headers: &[httparse::Header],
     ) -> Result<Option<Head>, HttpError> {
@@ -396,7 +400,7 @@
         .map(|(_, value)| value.trim())
 }
 
-fn too_large(bytes: usize, limit: usize) -> HttpError {
+fn body_too_large(bytes: usize, limit: usize) -> HttpError {
     HttpError::BodyTooLarge { bytes, limit }
 }
 
@@ -474,7 +478,7 @@
                 let size = usize::try_from(size).unwrap_or(usize::MAX);
                 if size > max_body_bytes.saturating_sub(body_bytes) {
                     let total_bytes = body_bytes.saturating_add(size);
-                    return Err(too_large(total_bytes, max_body_bytes));
+                    return Err(body_too_large(total_bytes, max_body_bytes));
                 }
                 self.is_in_trailers = size == 0;
                 self.remaining_bytes = if size == 0 { 0 } else { size + CRLF.len() };
@@ -520,12 +524,12 @@
 }
 
 /// The bytes of a response with a JSON body; `close` announces that the connection ends after it.
-pub fn response(status: u16, headers: &[(&str, String)], body: &str, close: bool) -> Vec<u8> {
-    typed(status, "application/json", headers, body, close)
+pub fn json_response(status: u16, headers: &[(&str, String)], body: &str, close: bool) -> Vec<u8> {
+    response_with_content_type(status, "application/json", headers, body, close)
 }
 
 /// The bytes of a response with a body of a content type; `close` announces that the connection ends after it.
-pub fn typed(
+pub fn response_with_content_type(
     status: u16,
     content_type: &str,
     headers: &[(&str, String)],
@@ -549,7 +553,7 @@
 }
 
 /// Seconds as text for `Retry-After`: rounded down to milliseconds, so that no bound is passed.
-pub fn seconds(time_s: f64) -> String {
+pub fn format_seconds(time_s: f64) -> String {
     let text = format!("{:.3}", (time_s.max(0.0) * 1000.0).floor() / 1000.0);
     text.trim_end_matches('0').trim_end_matches('.').to_string()
 }
--- a/src/net/lifecycle_routing.rs
+++ b/src/net/lifecycle_routing.rs
@@ -31,7 +31,7 @@
     /// Whether a response is the last one on its connection: by the phase, or because there are so many clients that the next
     /// one could open no connection if each kept its own.
     pub(super) fn closes_after_response(&self) -> bool {
-        self.lifecycle.has_last_responses(self.runtime.now) || self.clients.is_crowded()
+        self.lifecycle.has_last_responses(self.runtime.now) || self.clients.is_near_capacity()
     }
 
     /// Checks the invariant of each start: clients may be served by the list in use.
--- a/src/net/operator_routing.rs
+++ b/src/net/operator_routing.rs
@@ -33,11 +33,11 @@
     }
 
     /// Accepts the operators who have connected, some in each turn, and reads at once what they have sent.
-    pub(super) fn admin_accept(&mut self) {
+    pub(super) fn accept_admin_connections(&mut self) {
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             let Some(admin) = &self.admin else { return };
             match admin.accept(&mut self.runtime) {
-                Accepted::Connection(key) => self.admin_event(key),
+                Accepted::Connection(key) => self.handle_admin_event(key),
                 Accepted::NobodyWaits => return,
                 Accepted::Aborted => {}
                 Accepted::Refused(error) => {
@@ -55,7 +55,7 @@
     }
 
     /// Something came on a connection of an operator, or more can be written to it.
-    pub(super) fn admin_event(&mut self, key: ConnectionKey) {
+    pub(super) fn handle_admin_event(&mut self, key: ConnectionKey) {
         let call = self
             .admin
             .as_ref()
@@ -68,7 +68,7 @@
     }
 
     /// A deadline of a connection of an operator has come.
-    pub(super) fn admin_due(&mut self, key: ConnectionKey) {
+    pub(super) fn handle_admin_timer(&mut self, key: ConnectionKey) {
         if let Some(admin) = &self.admin {
             admin.connection_due(&mut self.runtime, key);
         }
@@ -112,7 +112,8 @@
     pub(super) fn metrics_page(&mut self, key: ConnectionKey, target: &str, close: bool) {
         let text = self.metrics_sources().page(target);
         let close = self.closes_after_response() || close;
-        let response = http::typed(200, "text/plain; version=0.0.4", &[], &text, close);
+        let response =
+            http::response_with_content_type(200, "text/plain; version=0.0.4", &[], &text, close);
         self.respond(key, response, close);
     }
 }
@@ -126,7 +127,7 @@
     }
 
     /// Accepts the peers that have connected.
-    pub(super) fn store_accept(&mut self) {
+    pub(super) fn accept_store_peers(&mut self) {
         while let Some(store) = &mut self.store {
             if !store.accept(&mut self.runtime) {
                 return;
@@ -136,14 +137,14 @@
     }
 
     /// A connection of a peer can be read or written, or has failed.
-    pub(super) fn peer_event(&mut self, key: ConnectionKey) {
+    pub(super) fn handle_store_peer_event(&mut self, key: ConnectionKey) {
         let Some(store) = &mut self.store else { return };
         store.connection_event(&mut self.runtime, key);
         self.complete_store_operations();
     }
 
     /// The time has come to read the keys that matter to the mixer.
-    pub(super) fn refresh(&mut self) {
+    pub(super) fn refresh_from_store(&mut self) {
         let Some(store) = &mut self.store else { return };
         store.refresh(&mut self.runtime);
         self.next_store_operation();
@@ -161,7 +162,7 @@
     }
 
     /// The timeout of an operation has come.
-    pub(super) fn operation_due(&mut self, id: u64) {
+    pub(super) fn handle_store_operation_timeout(&mut self, id: u64) {
         let Some(store) = &mut self.store else { return };
         match store.operation_due(id) {
             None => return,
@@ -223,7 +224,7 @@
 
     fn respond_from_store(&mut self, key: ConnectionKey, status: u16, body: &str) {
         let close = self.closes_after_response();
-        self.respond(key, http::response(status, &[], body, close), close);
+        self.respond(key, http::json_response(status, &[], body, close), close);
     }
 
     fn apply_stored(&mut self, change: StoredChange) {
@@ -263,7 +264,7 @@
     }
 
     /// Messages have come on VRRP's socket.
-    pub(super) fn vrrp_event(&mut self) {
+    pub(super) fn handle_vrrp_socket_event(&mut self) {
         while let Some(event) = self
             .vrrp
             .as_ref()
--- a/src/net/replica/answers.rs
+++ b/src/net/replica/answers.rs
@@ -63,7 +63,7 @@
                 self.answer_began_at = has_begun.then(|| self.answer_began_at.unwrap_or(now));
                 return Ok(());
             }
-            Err(error @ HttpError::CutOff) => return Err(error.into()),
+            Err(error @ HttpError::Truncated) => return Err(error.into()),
             Err(_) => return Err(self.reject_answer(None, ReplicaError::MalformedAnswer)),
         };
         self.answer_began_at = None;
--- a/src/net/replica/connection.rs
+++ b/src/net/replica/connection.rs
@@ -7,7 +7,7 @@
 use crate::decisions::api::{Outcome, ReplicaId};
 use crate::endpoints::directory::WireFormat;
 use crate::net::client::opensearch;
-use crate::net::http::Reader;
+use crate::net::http::MessageReader;
 use crate::net::replica::error::ReplicaError;
 use crate::net::replica::frames::{self, EncodedCall};
 use crate::net::replica::send_queue::{BegunCall, QueuedFrame, SendQueue, WriteStep};
@@ -141,7 +141,7 @@
     pub(super) parts: Vec<PartInFlight>,
     pub(super) recent: VecDeque<RecentPart>,
     pub(super) inbuf: Vec<u8>,
-    pub(super) reader: Reader,
+    pub(super) reader: MessageReader,
     /// Since when a part of an answer is there.
     pub(super) answer_began_at: Option<f64>,
     /// Since when something is in flight and nothing was received.
@@ -164,7 +164,7 @@
             parts: Vec::new(),
             recent: VecDeque::new(),
             inbuf: Vec::new(),
-            reader: Reader::responses(frames::MAX_FRAME_BYTES),
+            reader: MessageReader::responses(frames::MAX_FRAME_BYTES),
             answer_began_at: None,
             silent_since: None,
             local_close: None,
