--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,13 +1,13 @@
-//! The admin interface: one line in, one reply out.
+//! Admin interface for operators. Each connection carries one call of one line, and one reply.
 //!
-//! This file owns the listener for operators and the deadlines of their connections. It must never let a connection that
-//! sends nothing keep out one that does, never use a descriptor that clients may use, and never carry out a call itself.
+//! [`AdminServer`] accepts the connections and enforces their timeouts; `operator_routing` executes the calls. The interface
+//! has its own descriptors, so that operators can connect when clients use all of theirs.
 
 mod call;
 mod connection;
 mod metrics_text;
 
-pub(in crate::net) use call::{describe, AdminCall, UNKNOWN_CALL_REPLY};
+pub(in crate::net) use call::{phase_text, AdminCall, UNKNOWN_CALL_REPLY};
 pub(in crate::net) use connection::AdminConnection;
 pub(in crate::net) use metrics_text::MetricsSources;
 
@@ -24,45 +24,45 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Connections of operators at a time; for one more, another is dropped.
+/// Limit on open admin connections. At the limit, a new connection replaces an existing one.
 const MAX_CONNECTIONS: usize = 12;
-/// Descriptors that are kept for the admin interface: its listener, its connections, and one that is just being accepted.
+/// Descriptors reserved for the admin interface: the listener, its connections, and one connection that is being accepted.
 pub(super) const DESCRIPTORS: usize = MAX_CONNECTIONS + 2;
-/// Connections accepted in one turn of the loop, at most.
-pub(super) const MAX_ACCEPTS_PER_TURN: usize = 32;
-/// After that many, the others are accepted after this time at the latest (seconds).
+/// Limit on the connections that are accepted in one iteration of the event loop.
+pub(super) const MAX_ACCEPTS_PER_ITERATION: usize = 32;
+/// Delay before accepting continues after `MAX_ACCEPTS_PER_ITERATION` connections (seconds).
 const NEXT_ACCEPT_DELAY_S: f64 = 0.001;
-/// A call has to come within this time (seconds).
+/// Time from the accept to a complete call (seconds).
 const CALL_TIMEOUT_S: f64 = 3.0;
-/// A reply has to be read within this time (seconds).
+/// Time for the operator to read a reply (seconds).
 const REPLY_TIMEOUT_S: f64 = 2.0;
 
-/// What became of an attempt to accept a connection.
-pub(in crate::net) enum Accepted {
-    /// There is a connection; its call may have come already.
+/// Result of accepting one connection.
+pub(in crate::net) enum AcceptResult {
+    /// Accepted connection, whose call may already have arrived.
     Connection(ConnectionKey),
-    /// Nobody waits.
-    NobodyWaits,
-    /// This one failed by itself: the next may be tried.
+    /// No pending connection.
+    NonePending,
+    /// Aborted connection or interrupted system call; the next attempt may succeed.
     Aborted,
-    /// The system refuses, probably for want of descriptors.
-    Refused(io::Error),
+    /// Failed system call, probably because the process is out of descriptors.
+    Failed(io::Error),
 }
 
-/// A connection that may be dropped for another one.
+/// Connection that may be dropped for a new one.
 struct EvictionCandidate {
     key: ConnectionKey,
     is_answered: bool,
     received_at: f64,
 }
 
-/// The admin interface. Its connections stand in the runtime's table.
+/// Listener of the admin interface. The connections are stored in the connection table of the runtime.
 pub(in crate::net) struct AdminServer {
     listener: TcpListener,
 }
 
 impl AdminServer {
-    /// Listens for operators.
+    /// Opens the listener.
     pub(in crate::net) fn open(
         runtime: &mut Runtime,
         address: SocketAddr,
@@ -76,16 +76,18 @@
         Ok(AdminServer { listener })
     }
 
-    /// Accepts one connection.
-    pub(in crate::net) fn accept(&self, runtime: &mut Runtime) -> Accepted {
+    /// Accepts one connection, if one is pending.
+    pub(in crate::net) fn accept(&self, runtime: &mut Runtime) -> AcceptResult {
         match self.listener.accept() {
-            Ok((stream, _)) => Accepted::Connection(self.add(runtime, stream)),
+            Ok((stream, _)) => AcceptResult::Connection(self.add(runtime, stream)),
             Err(error) => match error.kind() {
-                io::ErrorKind::WouldBlock => Accepted::NobodyWaits,
-                io::ErrorKind::Interrupted | io::ErrorKind::ConnectionAborted => Accepted::Aborted,
+                io::ErrorKind::WouldBlock => AcceptResult::NonePending,
+                io::ErrorKind::Interrupted | io::ErrorKind::ConnectionAborted => {
+                    AcceptResult::Aborted
+                }
                 _ => {
                     runtime.log(&format!("admin: accept: {error}"));
-                    Accepted::Refused(error)
+                    AcceptResult::Failed(error)
                 }
             },
         }
@@ -94,18 +96,18 @@
     fn add(&self, runtime: &mut Runtime, stream: TcpStream) -> ConnectionKey {
         let _ = stream.set_nodelay(true);
         self.evict_if_full(runtime);
-        let due_at = runtime.now + CALL_TIMEOUT_S;
-        let connection = AdminConnection::new(stream, runtime.now, due_at);
+        let deadline = runtime.now + CALL_TIMEOUT_S;
+        let connection = AdminConnection::new(stream, runtime.now, deadline);
         let key = runtime
             .connections
             .insert(Connection::Admin(Box::new(connection)));
         runtime.register(key);
-        runtime.timers.add(due_at, Deadline::Connection(key));
+        runtime.timers.add(deadline, Deadline::Connection(key));
         key
     }
 
-    /// Operators who connect and send nothing must not keep out the next one: at the limit a connection is dropped, first one
-    /// that has its reply, and of several the one that has been silent for the longest.
+    /// Drops a connection if the limit is reached, so that connections that send nothing cannot block new ones. Connections
+    /// whose reply is written are dropped first, then the one that has been silent for the longest time.
     fn evict_if_full(&self, runtime: &mut Runtime) {
         let candidates: Vec<EvictionCandidate> = runtime
             .connections
@@ -131,23 +133,23 @@
         }
     }
 
-    /// More may wait than were accepted in this turn.
-    pub(in crate::net) fn accept_next_turn(&self, runtime: &mut Runtime) {
+    /// Schedules the next round of accepting, because more connections may be pending than one iteration accepts.
+    pub(in crate::net) fn schedule_next_accept(&self, runtime: &mut Runtime) {
         runtime
             .timers
             .add(runtime.now + NEXT_ACCEPT_DELAY_S, Deadline::AdminAccept);
     }
 
-    /// The system refused a connection: accepting is tried again a little later.
-    pub(in crate::net) fn accept_later(&self, runtime: &mut Runtime) {
+    /// Schedules a retry of accepting after a failed system call.
+    pub(in crate::net) fn schedule_accept_retry(&self, runtime: &mut Runtime) {
         runtime
             .timers
             .add(runtime.now + ACCEPT_AGAIN_S, Deadline::AdminAccept);
     }
 
-    /// A connection can be read or written, or has failed. Gives the call, once that is complete: [`AdminServer::reply`] is
-    /// to follow. A key of another kind of connection changes nothing.
-    pub(in crate::net) fn connection_event(
+    /// Handles a readiness event of a connection. Returns the call once it is complete, after which the caller must call
+    /// [`AdminServer::reply`]. Keys of other kinds of connections are ignored.
+    pub(in crate::net) fn handle_connection_event(
         &self,
         runtime: &mut Runtime,
         key: ConnectionKey,
@@ -156,7 +158,7 @@
             return None;
         };
         match connection.read(runtime.now) {
-            Ok(Some(line)) => return Some(AdminCall::decode(&line)),
+            Ok(Some(line)) => return Some(AdminCall::parse(&line)),
             Ok(None) => {
                 if connection.write().is_err() {
                     drop_connection(runtime, key);
@@ -167,32 +169,37 @@
         None
     }
 
-    /// Replies to a call.
+    /// Sends the reply to a call.
     pub(in crate::net) fn reply(&self, runtime: &mut Runtime, key: ConnectionKey, reply: String) {
         let Some(Connection::Admin(connection)) = runtime.connections.get_mut(key) else {
             return;
         };
-        let due_at = runtime.now + REPLY_TIMEOUT_S;
-        connection.set_reply(reply, due_at);
-        runtime.timers.add(due_at, Deadline::Connection(key));
-        // What came after the line must be read too, or closing would destroy the reply.
+        let deadline = runtime.now + REPLY_TIMEOUT_S;
+        connection.start_reply(reply, deadline);
+        runtime.timers.add(deadline, Deadline::Connection(key));
+        // Input after the call must be read, because a close with unread input resets the connection and the operator could
+        // lose the reply.
         let written = connection.write();
         if written.is_err() || connection.read(runtime.now).is_err() {
             drop_connection(runtime, key);
         }
     }
 
-    /// The deadline of a connection has come: without a call it gets a reply that says so; a reply that was not read in time
-    /// is cut off.
-    pub(in crate::net) fn connection_due(&self, runtime: &mut Runtime, key: ConnectionKey) {
+    /// Drops a connection whose deadline has passed. A connection without a call gets an error reply first; a reply that was
+    /// not delivered in time is truncated.
+    pub(in crate::net) fn handle_connection_timer(
+        &self,
+        runtime: &mut Runtime,
+        key: ConnectionKey,
+    ) {
         let Some(Connection::Admin(connection)) = runtime.connections.get_mut(key) else {
             return;
         };
-        if runtime.now + TIMER_TOLERANCE_S < connection.due_at() {
+        if runtime.now + TIMER_TOLERANCE_S < connection.deadline() {
             return;
         }
-        if connection.has_no_call() {
-            connection.write_last(NO_CALL_REPLY);
+        if connection.is_awaiting_call() {
+            connection.write_final_reply(NO_CALL_REPLY);
         }
         drop_connection(runtime, key);
     }
--- a/src/net/admin/call.rs
+++ b/src/net/admin/call.rs
@@ -1,33 +1,31 @@
-//! The calls of the admin interface, and the replies that need nothing but the phase.
-//!
-//! This file owns the words of both. It must never carry out a call.
+//! Calls of the admin interface, and fixed texts of its replies.
 
 use crate::net::lifecycle::Phase;
 
-/// The reply to a connection on which no call came in time.
+/// Reply on a connection that did not receive a call in time.
 pub(super) const NO_CALL_REPLY: &str = "fail no call came\n";
-/// The reply to a line that is no call.
+/// Reply to an unknown call.
 pub(in crate::net) const UNKNOWN_CALL_REPLY: &str =
     "fail unknown call: STATUS, METRICS, PAUSE or RESUME\n";
 
-/// What operators can call for.
+/// Call of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::net) enum AdminCall {
-    /// Whether the mixer is ready.
+    /// Query of the readiness of the mixer.
     Status,
-    /// The metrics as text.
+    /// Query of the metrics in Prometheus text format.
     Metrics,
-    /// Send clients away, until [`AdminCall::Resume`].
+    /// Stop serving clients until [`AdminCall::Resume`].
     Pause,
-    /// Serve clients again.
+    /// Serve clients again after [`AdminCall::Pause`].
     Resume,
-    /// A line that is none of these.
+    /// Any other line.
     Unknown,
 }
 
 impl AdminCall {
-    /// Decodes a line.
-    pub(super) fn decode(line: &str) -> AdminCall {
+    /// Parses the line of a call.
+    pub(super) fn parse(line: &str) -> AdminCall {
         match line.trim() {
             "STATUS" => AdminCall::Status,
             "METRICS" => AdminCall::Metrics,
@@ -38,8 +36,8 @@
     }
 }
 
-/// What the process is doing, for people.
-pub(in crate::net) fn describe(phase: Phase) -> &'static str {
+/// Returns the text for a lifecycle phase in replies.
+pub(in crate::net) fn phase_text(phase: Phase) -> &'static str {
     match phase {
         Phase::Inheriting => "taking over",
         Phase::Starting => "starting",
--- a/src/net/admin/connection.rs
+++ b/src/net/admin/connection.rs
@@ -1,81 +1,79 @@
-//! One connection of an operator, from its first byte to the end of the reply.
-//!
-//! This file owns the socket and its buffers. It must never know what a call means.
+//! Socket, buffers and deadline of one admin connection.
 
 use crate::net::socket::write_available;
 use mio::net::TcpStream;
 use std::io::{self, Read, Write};
 use thiserror::Error;
 
-/// Longest line of a call.
+/// Limit on the line of a call.
 const MAX_LINE_BYTES: usize = 256;
-/// Bytes that are read and discarded after the line, at most.
+/// Limit on the input that is discarded after the line.
 const MAX_DISCARDED_BYTES: usize = 64 * 1024;
-/// Bytes read from the socket at a time.
+/// Buffer size for one read from the socket.
 const READ_BUFFER_BYTES: usize = 1024;
 
-/// Why a connection of an operator ends before its reply does.
+/// Error that ends an admin connection.
 #[derive(Debug, Error)]
 pub(super) enum AdminConnectionError {
-    /// The socket failed, or the operator closed it.
+    /// Failed socket, or connection closed by the operator.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// More came after the line than is discarded.
+    /// Input after the line above the limit on discarded input.
     #[error("too many bytes after the call")]
     TooManyBytes,
 }
 
-/// A connection of an operator. Times are of the loop's clock (seconds).
+/// Admin connection. Times are in seconds of the event loop's clock.
 pub(in crate::net) struct AdminConnection {
     stream: TcpStream,
     line: Vec<u8>,
-    /// What is left of the reply; none while the line is incomplete.
+    /// Unwritten rest of the reply; `None` until the reply is set.
     reply: Option<Vec<u8>>,
     discarded_bytes: usize,
     received_at: f64,
-    due_at: f64,
+    deadline: f64,
 }
 
 impl AdminConnection {
-    /// A connection that was accepted now; its line has to be complete at `due_at`.
-    pub(super) fn new(stream: TcpStream, now: f64, due_at: f64) -> AdminConnection {
+    /// Returns the state of a connection that was accepted at `now`. The line must be complete by `deadline`.
+    pub(super) fn new(stream: TcpStream, now: f64, deadline: f64) -> AdminConnection {
         AdminConnection {
             stream,
             line: Vec::new(),
             reply: None,
             discarded_bytes: 0,
             received_at: now,
-            due_at,
+            deadline,
         }
     }
 
-    /// When a part of the line came last, or the connection was accepted.
+    /// Returns the time of the latest input for the line, or of the accept if there was no input.
     pub(super) fn received_at(&self) -> f64 {
         self.received_at
     }
 
-    /// When the line has to be complete, or the reply read.
-    pub(super) fn due_at(&self) -> f64 {
-        self.due_at
+    /// Returns the time by which the line must be complete, or the reply delivered.
+    pub(super) fn deadline(&self) -> f64 {
+        self.deadline
     }
 
-    /// Whether its line is incomplete.
-    pub(super) fn has_no_call(&self) -> bool {
+    /// Returns whether the connection has not received a complete call yet.
+    pub(super) fn is_awaiting_call(&self) -> bool {
         self.reply.is_none()
     }
 
-    /// Whether its reply has left completely.
+    /// Returns whether the reply is written completely.
     pub(super) fn is_answered(&self) -> bool {
         self.reply.as_ref().is_some_and(Vec::is_empty)
     }
 
-    /// Its socket, for the poll.
+    /// Returns the socket, for registration with the poll.
     pub(in crate::net) fn stream_mut(&mut self) -> &mut TcpStream {
         &mut self.stream
     }
 
-    /// Reads until the line is complete, and gives it. Once there is a reply, what comes is discarded. An error ends the
-    /// connection.
+    /// Reads input and returns the line once it is complete. After the reply is set, further input is discarded. The caller
+    /// must drop the connection after an error.
     pub(super) fn read(&mut self, now: f64) -> Result<Option<String>, AdminConnectionError> {
         let mut buffer = [0; READ_BUFFER_BYTES];
         loop {
@@ -97,13 +95,14 @@
             self.line.extend_from_slice(&buffer[..count]);
             let end = self.line.iter().position(|byte| *byte == b'\n');
             if end.is_some() || self.line.len() > MAX_LINE_BYTES {
-                self.line.truncate(end.unwrap_or(0)); // a line that is too long is no call
+                self.line.truncate(end.unwrap_or(0)); // an overlong line becomes empty, which is an unknown call
                 return Ok(Some(self.line_text()));
             }
         }
     }
 
-    /// The operator has closed its side, which ends the line. It may have closed that side only: a reply still leaves.
+    /// Handles the end of the input, which also ends the line. A pending reply is still written, because the operator may
+    /// have closed only the write side.
     fn end_of_input(&self) -> Result<Option<String>, AdminConnectionError> {
         match &self.reply {
             None if !self.line.is_empty() => Ok(Some(self.line_text())),
@@ -116,13 +115,13 @@
         String::from_utf8_lossy(&self.line).into_owned()
     }
 
-    /// Takes the reply, which has to be read by `due_at`.
-    pub(super) fn set_reply(&mut self, reply: String, due_at: f64) {
+    /// Sets the reply, which must be delivered by `deadline`.
+    pub(super) fn start_reply(&mut self, reply: String, deadline: f64) {
         self.reply = Some(reply.into_bytes());
-        self.due_at = due_at;
+        self.deadline = deadline;
     }
 
-    /// Writes what the socket takes of the reply; after its last byte this side of the connection is closed.
+    /// Writes as much of the reply as the socket accepts, and shuts down the write side after the last byte.
     pub(super) fn write(&mut self) -> io::Result<()> {
         let Some(reply) = self.reply.as_mut().filter(|reply| !reply.is_empty()) else {
             return Ok(());
@@ -134,8 +133,8 @@
         self.stream.shutdown(std::net::Shutdown::Write)
     }
 
-    /// Writes a last reply as far as the socket takes it at once.
-    pub(super) fn write_last(&mut self, reply: &str) {
+    /// Writes a reply without waiting if the socket does not accept all of it. The connection is dropped afterwards.
+    pub(super) fn write_final_reply(&mut self, reply: &str) {
         let _ = self.stream.write(reply.as_bytes());
     }
 }
--- a/src/net/admin/metrics_text.rs
+++ b/src/net/admin/metrics_text.rs
@@ -1,7 +1,4 @@
-//! The metrics as text, a line each, in Prometheus' form.
-//!
-//! This file owns the names of the metrics, their labels and the order of the lines. It must never count: every value is
-//! taken from the subsystem that counts it.
+//! Rendering of the metrics in Prometheus text format.
 
 use crate::net::client::connections::CloseReason;
 use crate::net::tokens::PROTOCOLS;
@@ -11,33 +8,34 @@
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-/// The names of the fronts in `?style=NAME`, in the order of [`PROTOCOLS`].
+/// Values of the parameter `style` for the client protocols, in the order of [`PROTOCOLS`].
 const STYLES: [&str; 2] = ["platform", "search"];
 
-/// Where the values come from.
+/// Sources of the metric values.
 pub(in crate::net) struct MetricsSources<'a> {
     pub(in crate::net) coordinator: &'a Coordinator,
-    /// Endpoints in the list.
+    /// Number of endpoints in the current endpoint list.
     pub(in crate::net) listed_endpoints: usize,
-    /// Configurations that were accepted and rejected at SIGHUP.
+    /// Number of configurations that were accepted on SIGHUP.
     pub(in crate::net) accepted_configurations: u64,
+    /// Number of configurations that were rejected on SIGHUP.
     pub(in crate::net) rejected_configurations: u64,
-    /// Answers of discovery that went missing.
+    /// Number of discovery answers that were lost.
     pub(in crate::net) missing_answers: u64,
-    /// Connections of clients that ended, by reason.
+    /// Number of closed client connections, by reason.
     pub(in crate::net) closed_clients: &'a BTreeMap<CloseReason, u64>,
 }
 
 impl MetricsSources<'_> {
-    /// The text for the admin interface.
+    /// Returns the text for the admin interface.
     pub(in crate::net) fn summary(&self) -> String {
         let mut out = String::new();
         self.write_summary(&self.metrics_of(None), &mut out);
         out
     }
 
-    /// The text of the page, with some more on each class. `target` is that of the request: with `?style=platform` or
-    /// `?style=search` it is of that front alone.
+    /// Returns the text of the metrics page, which contains more metrics than [`MetricsSources::summary`]. `target` is the
+    /// request target: `?style=platform` or `?style=search` restricts the request metrics to that client protocol.
     pub(in crate::net) fn page(&self, target: &str) -> String {
         let style = target.split_once("?style=").map(|(_, style)| style);
         let metrics = self.metrics_of(style);
@@ -49,7 +47,7 @@
         out
     }
 
-    /// The counters of the fronts, or of one.
+    /// Returns the sum of the request metrics of all client protocols, or those of one.
     fn metrics_of(&self, style: Option<&str>) -> Metrics {
         let mut metrics = Metrics::default();
         for (protocol, name) in PROTOCOLS.into_iter().zip(STYLES) {
@@ -79,7 +77,7 @@
             .coordinator
             .avoided_replicas()
             .min(self.listed_endpoints);
-        let plain = [
+        let unlabelled = [
             ("sends_total", metrics.sends),
             ("current", self.coordinator.open_requests() as u64),
             ("cluster_size", self.listed_endpoints as u64),
@@ -87,12 +85,13 @@
             ("conf_loaded_total", self.accepted_configurations),
             ("conf_invalid_total", self.rejected_configurations),
         ];
-        for (name, value) in plain {
+        for (name, value) in unlabelled {
             let _ = writeln!(out, "svc_{name} {value}");
         }
     }
 
-    /// Why requests were rejected or failed, attempts ended or were repeated, and connections of clients closed.
+    /// Writes the counters by reason of rejected and failed requests, ended and repeated attempts, invariants, lost discovery
+    /// answers and closed client connections.
     fn write_reasons(&self, metrics: &Metrics, out: &mut String) {
         let mut line = |name: &str, label: &str, value: &str, count: u64| {
             let _ = writeln!(out, "svc_{name}_total{{{label}=\"{value}\"}} {count}");
@@ -126,7 +125,7 @@
         }
     }
 
-    /// How queries in two phases fared, by class.
+    /// Writes the counters of two-phase queries, by class.
     fn write_phases(&self, out: &mut String) {
         for (learned, metrics) in self.coordinator.phases().classes() {
             let group = escaped(&learned.class);
@@ -154,7 +153,7 @@
     }
 }
 
-/// More on the requests of each class.
+/// Writes further request counters of each class.
 fn write_class_details(metrics: &Metrics, out: &mut String) {
     for (class, counts) in &metrics.classes {
         let group = escaped(class);
@@ -169,7 +168,7 @@
     }
 }
 
-/// The value of a label, escaped.
+/// Escapes the value of a label.
 fn escaped(text: &str) -> String {
     text.replace('\\', "\\\\")
         .replace('"', "\\\"")
--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -1,8 +1,7 @@
-//! One client's connection: its state, its buffers and its time limits.
+//! State, buffers and timeouts of one client connection.
 //!
-//! This file owns what one connection is doing and how long it may. It must never know other connections, never decide
-//! about a request, and never close itself: [`ClientConnections`](crate::net::client::connections::ClientConnections)
-//! does. All times are seconds of the loop's clock.
+//! [`ClientConnections`](crate::net::client::connections::ClientConnections) drives and closes the connections. All times
+//! are in seconds of the event loop's clock.
 
 use crate::net::client::opensearch::SearchContext;
 use crate::net::http::{HttpError, Message, MessageReader};
@@ -10,91 +9,91 @@
 use mio::net::TcpStream;
 use std::io::{self, Read, Write};
 
-/// Bytes that are read from a socket at once.
+/// Buffer size for one read from a socket.
 pub(super) const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// Bytes that a client may send while its request is in flight; more stays in the socket.
+/// Limit on the input that is read while a request is in flight. Further input stays in the socket.
 const MAX_READ_AHEAD_BYTES: usize = 4 * 1024;
-/// Input that is discarded after the last response; more stays in the socket.
+/// Limit on the input that is discarded after the last response. Further input stays in the socket.
 const MAX_DISCARDED_BYTES: usize = 256 * 1024;
-/// From the first byte of a request to its last.
+/// Timeout from the first to the last byte of a request.
 const REQUEST_TIMEOUT_S: f64 = 2.0;
-/// Between two requests.
+/// Timeout for a connection without a request.
 const IDLE_TIMEOUT_S: f64 = 2.2;
-/// From connecting to the end of the first request: a client that sends nothing, or very slowly, must not keep its
-/// descriptor for longer than 3 s.
+/// Timeout from connecting to the end of the first request. A client that sends nothing, or sends very slowly, must not
+/// hold its descriptor for longer than 3 s.
 const FIRST_REQUEST_TIMEOUT_S: f64 = 2.5;
-/// From the begin of a response until the client has taken all of it.
+/// Timeout from the start of a response until the socket has accepted all of it.
 const WRITE_TIMEOUT_S: f64 = 5.0;
-/// From the last response until the client has closed its side.
+/// Timeout from the last response until the client closes its side.
 const LINGER_TIMEOUT_S: f64 = 1.0;
 
-/// What a client's connection is doing.
+/// State of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum ClientState {
-    /// Between requests, or in the middle of reading one.
+    /// Idle, or reading a request.
     Reading,
-    /// Its request is with the request coordinator.
+    /// Request in flight with the request coordinator.
     InFlight(RequestKey),
-    /// Its request waits for an operation of the store.
+    /// Request waiting for a store operation.
     AwaitingStore,
-    /// A response is being written.
+    /// Response being written.
     Writing,
-    /// The last response is written and our side is shut down; what still comes is discarded.
+    /// Last response written and write side shut down, while further input is discarded.
     Lingering,
 }
 
-/// What one attempt to read from the socket gave.
+/// Result of one read from the socket.
 pub(super) enum SocketRead {
-    /// That many bytes, at least one.
+    /// Number of bytes read, at least one.
     Bytes(usize),
-    /// Nothing for now.
+    /// No available input.
     Blocked,
-    /// The client has closed its side.
+    /// End of the stream from the client.
     Closed,
-    /// The connection was reset, or cannot be read.
+    /// Reset connection or failed read.
     Failed,
 }
 
-/// How far the response got.
+/// Progress of writing a response.
 pub(super) enum WriteProgress {
-    /// All of it is written.
+    /// Response written completely.
     Complete,
-    /// The socket takes no more for now.
+    /// Send buffer of the socket full before the end of the response.
     Blocked,
 }
 
-/// The connection of one client.
+/// Connection of one client.
 pub(in crate::net) struct ClientConnection {
     pub(super) stream: TcpStream,
     pub(super) protocol: Protocol,
-    /// Of the request in flight, where it came by the search API.
+    /// Context of the request in flight, for the search API only.
     pub(super) search_context: Option<SearchContext>,
     pub(super) state: ClientState,
-    /// When `state` began; while reading, when the request began to come.
+    /// Time at which `state` began. While a request is being read, time of its first byte.
     pub(super) state_since: f64,
     pub(super) reader: MessageReader,
-    /// What was read from the socket and not yet taken by `reader`.
+    /// Input that `reader` has not parsed yet.
     pub(super) input: Vec<u8>,
-    /// The response that is being written.
+    /// Response that is being written.
     pub(super) output: Vec<u8>,
-    /// How much of `output` the socket has taken.
+    /// Number of bytes of `output` that the socket has accepted.
     pub(super) written_bytes: usize,
-    /// The client has closed its side. It counts as gone, whatever it could still read.
+    /// Whether the client has closed its side. Such a client counts as disconnected even if it could still read a response.
     pub(super) has_disconnected: bool,
-    /// The next response is the last one.
+    /// Whether the next response closes the connection.
     pub(super) closes_after_response: bool,
-    /// `100 Continue` was sent for the request that is being read.
+    /// Whether `100 Continue` was sent for the request that is being read.
     pub(super) sent_continue: bool,
-    /// Input that was discarded after the last response.
+    /// Number of bytes discarded after the last response.
     pub(super) discarded_bytes: usize,
-    /// When the first request must have been read; no limit once it has been.
+    /// Time by which the first request must be complete; `f64::MAX` once it is.
     pub(super) first_request_by: f64,
-    /// The deadline that stands in the timer queue for this connection; 0 where there is none.
+    /// Time of the pending timer of this connection; 0 if there is none.
     pub(super) timer_at: f64,
 }
 
 impl ClientConnection {
-    /// A connection that was accepted at `now`.
+    /// Returns the state of a connection that was accepted at `now`.
     pub(super) fn new(
         stream: TcpStream,
         protocol: Protocol,
@@ -120,30 +119,30 @@
         }
     }
 
-    /// Its socket, for the poll.
+    /// Returns the socket, for registration with the poll.
     pub(in crate::net) fn stream_mut(&mut self) -> &mut TcpStream {
         &mut self.stream
     }
 
-    /// Begins a state.
+    /// Changes the state and records the time of the change.
     pub(super) fn enter(&mut self, state: ClientState, now: f64) {
         self.state = state;
         self.state_since = now;
     }
 
-    /// Whether nothing of a request has come since the last response, or since connecting.
+    /// Returns whether no byte of a request has been received since the last response, or since connecting.
     pub(super) fn is_idle(&self) -> bool {
         self.state == ClientState::Reading
             && self.input.is_empty()
             && !self.reader.is_inside_message()
     }
 
-    /// Whether it is idle after an earlier response.
+    /// Returns whether the connection is idle after at least one complete request.
     pub(super) fn is_idle_after_response(&self) -> bool {
         self.is_idle() && self.first_request_by == f64::MAX
     }
 
-    /// Whether a request of it waits for its final answer.
+    /// Returns whether a request waits for its final answer.
     pub(super) fn has_request(&self) -> bool {
         matches!(
             self.state,
@@ -151,17 +150,18 @@
         )
     }
 
-    /// Whether its last response has been out for `linger_s` or longer.
+    /// Returns whether the last response was written at least `linger_s` ago.
     pub(in crate::net) fn has_lingered(&self, now: f64, linger_s: f64) -> bool {
         self.state == ClientState::Lingering && now >= self.state_since + linger_s
     }
 
-    /// Bytes of a request that is not complete yet.
+    /// Returns the number of buffered bytes of an incomplete request.
     pub(super) fn buffered_bytes(&self) -> usize {
         self.input.len() + self.reader.buffered_bytes()
     }
 
-    /// When its present state has lasted too long; `f64::MAX` where others bound it.
+    /// Returns the time at which the current state times out. The value is `f64::MAX` while a request is being handled,
+    /// because the request coordinator and the store have their own timeouts.
     pub(super) fn deadline(&self) -> f64 {
         match self.state {
             ClientState::Reading if self.is_idle() => {
@@ -176,21 +176,21 @@
         }
     }
 
-    /// The next complete request of the input, once it is there.
+    /// Parses the next request from the input. Returns `None` if the request is incomplete.
     pub(super) fn next_message(&mut self) -> Result<Option<Message>, HttpError> {
         self.reader.read(&mut self.input, false)
     }
 
-    /// Sends `100 Continue` where the request that is being read waits for it, once for each request.
+    /// Sends `100 Continue` if the incomplete request expects it, at most once for each request.
     pub(super) fn send_continue(&mut self) {
         if self.reader.expects_continue() && !self.sent_continue {
             self.sent_continue = true;
-            // A client that does not get it sends its body after a while all the same.
+            // A failed write is ignored: clients send the body after a delay even without `100 Continue`.
             let _ = self.stream.write(b"HTTP/1.1 100 Continue\r\n\r\n");
         }
     }
 
-    /// Reads once from the socket, again where a signal interrupts it.
+    /// Reads once from the socket, and retries if a signal interrupts the read.
     pub(super) fn read_socket(&mut self, buffer: &mut [u8]) -> SocketRead {
         loop {
             return match self.stream.read(buffer) {
@@ -203,8 +203,8 @@
         }
     }
 
-    /// Reads what the client sends while its request is in flight, within a limit: the end of its side comes only
-    /// behind that.
+    /// Reads input up to a limit while a request is in flight, in order to detect the end of the stream, which follows any
+    /// input that the client sends ahead.
     pub(super) fn read_ahead(&mut self) {
         let mut buffer = [0; MAX_READ_AHEAD_BYTES];
         while !self.has_disconnected && self.input.len() < MAX_READ_AHEAD_BYTES {
@@ -217,18 +217,19 @@
         }
     }
 
-    /// Whether input is to be discarded: after the last response, within a limit. What comes beyond the limit stays
-    /// unread, since a close at once would reset the connection and could destroy that response.
+    /// Returns whether input is to be discarded, which is the case after the last response and up to a limit. Input above
+    /// the limit stays unread until the linger timeout: an immediate close with unread input would reset the connection,
+    /// and the client could lose the response.
     pub(super) fn discards_input(&self) -> bool {
         self.state == ClientState::Lingering && self.discarded_bytes <= MAX_DISCARDED_BYTES
     }
 
-    /// Whether the client has closed its side, as far as that can be seen without reading.
+    /// Returns whether the client has closed its side, as far as `peek` can tell. Unread input hides the end of the stream.
     pub(super) fn is_closed_by_client(&self) -> bool {
         self.has_disconnected || matches!(self.stream.peek(&mut [0]), Ok(0))
     }
 
-    /// Writes as much of the response as the socket takes.
+    /// Writes as much of the response as the socket accepts.
     pub(super) fn write_output(&mut self) -> io::Result<WriteProgress> {
         while self.written_bytes < self.output.len() {
             match self.stream.write(&self.output[self.written_bytes..]) {
--- a/src/net/client/connection_error.rs
+++ b/src/net/client/connection_error.rs
@@ -1,31 +1,31 @@
-//! Errors that clients get before their request is known: of the connection, not of any request.
+//! Errors of a client connection that occur before a request is parsed, with their HTTP responses.
 //!
-//! This file owns their texts and statuses, which are part of both protocols. It must never close a connection.
+//! The texts and statuses are part of both client protocols.
 
 use crate::net::client::{opensearch, platform};
 use crate::net::http::HttpError;
 use crate::requests::coordinator::Protocol;
 use thiserror::Error;
 
-/// Why a client gets an error as the last response on its connection.
+/// Error that is sent as the last response on a connection.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub(super) enum ConnectionError {
-    /// What it sent is no HTTP request, or none within the bounds.
+    /// Input that is not a valid HTTP request or exceeds a size limit.
     #[error(transparent)]
     Malformed(#[from] HttpError),
-    /// Its request was not complete in time.
+    /// Request that was not received completely in time.
     #[error("the request took too long to come")]
     RequestTimeout,
-    /// Incomplete requests take too much memory.
+    /// Memory limit exceeded by the incomplete requests of all clients.
     #[error("too many large requests at once")]
     TooManyLargeRequests,
-    /// As many clients as there may be wait for their answers.
+    /// Client limit reached without a connection that can be evicted.
     #[error("no room for another client")]
     TooManyClients,
 }
 
 impl ConnectionError {
-    /// The HTTP status that goes with it.
+    /// Returns the HTTP status of the error response.
     pub(super) fn status(self) -> u16 {
         match self {
             ConnectionError::Malformed(error) => error.status(),
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The response, which closes its connection.
+    /// Serializes the error response, which announces the end of the connection.
     pub(super) fn response(self, protocol: Protocol) -> Vec<u8> {
         match protocol {
             Protocol::Platform => {
--- a/src/net/client/connections.rs
+++ b/src/net/client/connections.rs
@@ -1,9 +1,7 @@
-//! All connections of clients: accepting, time limits, closing.
+//! Management of client connections: acceptance, limits, timeouts and closing.
 //!
-//! This file owns how many clients there are and how each one's connection ends; `reading` and `writing` hold the rest
-//! of [`ClientConnections`]. It must never decide about a request (the request coordinator does), never take
-//! descriptors that leaf servers and discovery need, and never close a connection on which a request may have come
-//! without reading it once more.
+//! The methods of [`ClientConnections`] that read and write are in `reading` and `writing`. Before an idle connection is
+//! closed by the mixer, the caller reads it once more, because a request may have arrived in the meantime.
 
 use crate::net::client::connection::{ClientConnection, ClientState, READ_BUFFER_BYTES};
 use crate::net::client::connection_error::ConnectionError;
@@ -24,97 +22,98 @@
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 
-/// Longest body of a client's query.
+/// Limit on the body of a query.
 const MAX_QUERY_BYTES: usize = 64 * 1024;
-/// Clients beyond the capacity that get an error and a clean end of their connections: they use spare descriptors.
+/// Connections above the client limit that are kept open until an error response is delivered. They use spare
+/// descriptors.
 const MAX_REJECTED_CLIENTS: usize = 8;
-/// Clients have one part in so many of all descriptors at most.
+/// Divisor of the descriptor limit that gives the share for clients. The rest is for leaf servers and discovery.
 const DESCRIPTOR_DIVISOR: f64 = 3.0;
-/// Beyond this share of the clients' descriptors each response is the last one on its connection.
-const CROWDED_SHARE: f64 = 0.5;
-/// Incomplete requests take one part in so many of the memory at most.
+/// Share of the client descriptors in use above which each response closes its connection.
+const CLOSE_AFTER_RESPONSE_SHARE: f64 = 0.5;
+/// Divisor of the memory limit that gives the share for incomplete requests.
 const MEMORY_DIVISOR: usize = 8;
 
-/// Why a client's connection ended.
+/// Reason for the end of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(in crate::net) enum CloseReason {
-    /// The client closed its side.
+    /// End of the stream from the client.
     ClientClosed,
-    /// It was reset, or could not be read.
+    /// Reset connection or failed read.
     ReadFailed,
-    /// A response could not be written.
+    /// Failed write of a response.
     WriteFailed,
-    /// A response was not read in time.
-    AnswerNotRead,
-    /// Its last response is out, and the client did not close in time.
-    AfterLastAnswer,
-    /// It was closed in favour of another client.
+    /// Timeout while the client was reading a response.
+    ResponseNotRead,
+    /// Timeout while waiting for the client to close its side after the last response.
+    LingerTimeout,
+    /// Eviction in favour of another client.
     Evicted,
 }
 
 impl CloseReason {
-    /// Its label in metrics and logs.
+    /// Returns the label of the reason in metrics and logs.
     pub(in crate::net) fn label(self) -> &'static str {
         match self {
             CloseReason::ClientClosed => "client_closed",
             CloseReason::ReadFailed => "read_failed",
             CloseReason::WriteFailed => "write_failed",
-            CloseReason::AnswerNotRead => "answer_not_read",
-            CloseReason::AfterLastAnswer => "after_last_answer",
+            CloseReason::ResponseNotRead => "answer_not_read",
+            CloseReason::LingerTimeout => "after_last_answer",
             CloseReason::Evicted => "evicted",
         }
     }
 
-    /// Whether the client itself ended the connection.
+    /// Returns whether the client ended the connection.
     fn is_by_client(self) -> bool {
         matches!(self, CloseReason::ClientClosed | CloseReason::ReadFailed)
     }
 }
 
-/// What concerns other subsystems; the loop routes it and then reads the client on.
+/// Event of a client connection for another subsystem. After the event is handled, reading from the client continues.
 pub(super) enum ClientEvent {
-    /// A query for the request coordinator, with the context that a response of the search API needs.
+    /// Query for the request coordinator. `search_context` is set for requests of the search API.
     Query {
         query_request: Box<QueryRequest>,
         search_context: Option<SearchContext>,
     },
-    /// A request for one of the pages.
+    /// Request for a page under `/-/`.
     Page(Message),
-    /// The client has been idle for too long: it is to be read once more, and ended if it still is.
+    /// Expiry of the idle timeout. The connection is to be read once more, and closed if the client is still idle.
     IdleTimeout,
 }
 
-/// What other subsystems have to say on how clients are served, at the moment of a call.
+/// State of other subsystems that affects how clients are served, taken at the time of a call.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ServingConditions {
-    /// The store is set up, and requests to its pages may have larger bodies.
+    /// Whether the store is configured, so that requests for store pages may have larger bodies.
     pub(super) has_store: bool,
-    /// Another process of the same mixer runs beside this one, and has half of the memory.
+    /// Whether another process of this mixer runs during a handover and uses half of the memory limit.
     pub(super) shares_memory: bool,
-    /// Each response is the last one on its connection.
+    /// Whether each response closes its connection.
     pub(super) closes_after_response: bool,
 }
 
-/// All connections of clients; the connections themselves stand in the table of the [`Runtime`].
+/// Manager of the client connections. The connections themselves are stored in the connection table of the [`Runtime`].
 pub(in crate::net) struct ClientConnections {
-    /// How many there are.
+    /// Number of open client connections.
     count: usize,
-    /// Ended ones, by reason.
+    /// Number of closed connections since the start, by reason.
     closed: BTreeMap<CloseReason, u64>,
-    /// Clients that may have sent more while a response was written.
+    /// Connections to read again after a response, because input may have arrived while the response was written.
     pub(super) resumed: Vec<ConnectionKey>,
-    /// With more clients than this each response is the last one on its connection.
-    crowded_above: usize,
-    /// Bytes of incomplete requests, over all clients, at most.
+    /// Number of clients above which each response closes its connection.
+    close_after_response_above: usize,
+    /// Limit on the bytes of incomplete requests over all clients.
     pub(super) max_buffered_bytes: usize,
-    /// The tenant of the search API's clients that name none.
+    /// Tenant of search API requests without `X-Tenant-Id`.
     pub(super) search_tenant: Option<String>,
-    /// Number of the last request of the search API.
+    /// Sequence number of the latest search API request.
     pub(super) last_search_number: u64,
 }
 
 impl ClientConnections {
-    /// No connections yet. The limits are those of the process: descriptors, and memory in bytes.
+    /// Returns a manager without connections. `max_descriptors` and `memory_bytes` are the limits of the process.
     pub(in crate::net) fn new(
         max_descriptors: usize,
         memory_bytes: usize,
@@ -124,45 +123,47 @@
             count: 0,
             closed: BTreeMap::new(),
             resumed: Vec::new(),
-            crowded_above: (CROWDED_SHARE * max_descriptors as f64 / DESCRIPTOR_DIVISOR) as usize,
+            close_after_response_above: (CLOSE_AFTER_RESPONSE_SHARE * max_descriptors as f64
+                / DESCRIPTOR_DIVISOR) as usize,
             max_buffered_bytes: memory_bytes / MEMORY_DIVISOR,
             search_tenant,
             last_search_number: 0,
         }
     }
 
-    /// How many clients are connected.
+    /// Returns the number of open client connections.
     pub(in crate::net) fn count(&self) -> usize {
         self.count
     }
 
-    /// How many connections have ended since the start, by reason.
+    /// Returns the number of closed connections since the start, by reason.
     pub(in crate::net) fn closed(&self) -> &BTreeMap<CloseReason, u64> {
         &self.closed
     }
 
-    /// Whether there are so many clients that each response has to end its connection: where each sends one request and
-    /// then keeps its connection, the next client could open none until the idle ones are closed.
+    /// Returns whether so many clients are connected that each response has to close its connection. Otherwise clients that
+    /// send one request and keep their connection open could use up all connections, and a new client could not connect
+    /// until the idle timeout.
     pub(in crate::net) fn is_near_capacity(&self) -> bool {
-        self.count > self.crowded_above
+        self.count > self.close_after_response_above
     }
 
-    /// Whether clients wait to be read on after their responses.
+    /// Returns whether connections are to be read again after a response.
     pub(in crate::net) fn has_resumed(&self) -> bool {
         !self.resumed.is_empty()
     }
 
-    /// Takes the clients that are to be read on after their responses.
+    /// Takes the connections that are to be read again after a response.
     pub(in crate::net) fn take_resumed(&mut self) -> Vec<ConnectionKey> {
         std::mem::take(&mut self.resumed)
     }
 
-    /// Notes that a client was taken out of the table of connections.
+    /// Records that a client connection was removed from the connection table.
     pub(in crate::net) fn connection_removed(&mut self) {
         self.count -= 1;
     }
 
-    /// Takes an accepted connection into the table and has the poll watch it.
+    /// Adds an accepted connection to the connection table and registers its socket with the poll.
     pub(super) fn insert(
         &mut self,
         runtime: &mut Runtime,
@@ -170,7 +171,7 @@
         protocol: Protocol,
         conditions: ServingConditions,
     ) -> ConnectionKey {
-        // Only latency would suffer.
+        // Without TCP_NODELAY only latency suffers, so a failure is ignored.
         let _ = stream.set_nodelay(true);
         let mut reader = MessageReader::requests(MAX_QUERY_BYTES);
         if conditions.has_store {
@@ -185,8 +186,8 @@
         key
     }
 
-    /// Ends a connection for which there is no capacity, with an error that says so. A close at once over what the
-    /// client has sent, or still sends, would reset the connection and destroy that error.
+    /// Rejects a connection above the client limit with an error response. An immediate close with unread input would reset
+    /// the connection, and the client could lose the response.
     pub(super) fn reject(
         &mut self,
         runtime: &mut Runtime,
@@ -200,7 +201,7 @@
             let key = self.insert(runtime, stream, protocol, conditions);
             return self.respond(runtime, key, bytes, true);
         }
-        // No descriptor is left to wait with: what has come is read, and what comes later is not waited for.
+        // No spare descriptor is left to keep the connection open, so only input that has already arrived is read.
         let _ = stream.write(&bytes);
         let _ = stream.shutdown(std::net::Shutdown::Write);
         let mut buffer = [0; READ_BUFFER_BYTES];
@@ -213,7 +214,8 @@
         }
     }
 
-    /// Puts the client's deadline into the timer queue, unless an earlier one there leads to it.
+    /// Adds the client's deadline to the timer queue, unless an earlier timer of the connection is pending. That timer
+    /// schedules the deadline when it expires.
     pub(super) fn schedule_deadline(&mut self, runtime: &mut Runtime, key: ConnectionKey) {
         let Some(client) = client_mut(&mut runtime.connections, key) else {
             return;
@@ -226,7 +228,7 @@
         }
     }
 
-    /// Handles a timer of the client; its deadline may have moved since.
+    /// Handles an expired timer of the client. The deadline may have changed since the timer was added.
     pub(super) fn handle_timer(
         &mut self,
         runtime: &mut Runtime,
@@ -243,22 +245,22 @@
             ClientState::Reading => {
                 self.respond_with_error(runtime, key, ConnectionError::RequestTimeout);
             }
-            ClientState::Lingering => self.close(runtime, key, CloseReason::AfterLastAnswer),
+            ClientState::Lingering => self.close(runtime, key, CloseReason::LingerTimeout),
             ClientState::InFlight(_) | ClientState::AwaitingStore | ClientState::Writing => {
-                self.close(runtime, key, CloseReason::AnswerNotRead);
+                self.close(runtime, key, CloseReason::ResponseNotRead);
             }
         }
         None
     }
 
-    /// Notes that the client's request waits for an operation of the store.
+    /// Records that the client's request waits for a store operation.
     pub(in crate::net) fn await_store(&mut self, runtime: &mut Runtime, key: ConnectionKey) {
         if let Some(client) = client_mut(&mut runtime.connections, key) {
             client.enter(ClientState::AwaitingStore, runtime.now);
         }
     }
 
-    /// Whether a client's request waits for its final answer.
+    /// Returns whether a request of the client waits for its final answer.
     pub(super) fn has_request(&self, runtime: &Runtime, key: ConnectionKey) -> bool {
         matches!(
             runtime.connections.get(key),
@@ -266,8 +268,8 @@
         )
     }
 
-    /// Closes the connection that was chosen for eviction, unless a request has come on it since. Whether a client has
-    /// gone, by this or by itself.
+    /// Closes the connection that was chosen for eviction, unless a request has arrived on the connection since. Returns
+    /// whether the connection is closed now, by this call or before.
     pub(super) fn evict(&mut self, runtime: &mut Runtime, candidate: EvictionCandidate) -> bool {
         let Some(client) = client_mut(&mut runtime.connections, candidate.key) else {
             return true;
@@ -283,20 +285,25 @@
         is_unchanged
     }
 
-    /// Ends an idle client's connection, unless it connected within the last `fresh_s` and may be about to send a
-    /// request. The caller must have read it in this turn: what a client wrote to a connection that was accepted counts
-    /// as received.
-    pub(super) fn end_if_idle(&mut self, runtime: &mut Runtime, key: ConnectionKey, fresh_s: f64) {
+    /// Closes the connection of an idle client, unless the client connected within the last `min_age_s` and may be about to
+    /// send its first request. The caller must have read the connection in this iteration of the event loop, because data
+    /// that a client wrote to an accepted connection counts as received.
+    pub(super) fn end_if_idle(
+        &mut self,
+        runtime: &mut Runtime,
+        key: ConnectionKey,
+        min_age_s: f64,
+    ) {
         let Some(client) = client_mut(&mut runtime.connections, key) else {
             return;
         };
-        let is_old = runtime.now >= client.state_since + fresh_s;
-        if client.is_idle() && (client.is_idle_after_response() || is_old) {
+        let has_min_age = runtime.now >= client.state_since + min_age_s;
+        if client.is_idle() && (client.is_idle_after_response() || has_min_age) {
             self.linger(runtime, key);
         }
     }
 
-    /// Makes the next response the last one on each connection, and ends those that are idle.
+    /// Closes idle connections, and all others after their next response.
     pub(in crate::net) fn end_all_after_response(&mut self, runtime: &mut Runtime) {
         for key in self.keys(runtime) {
             let Some(client) = client_mut(&mut runtime.connections, key) else {
@@ -309,7 +316,7 @@
         }
     }
 
-    /// The keys of all clients.
+    /// Returns the keys of all client connections.
     pub(super) fn keys(&self, runtime: &Runtime) -> Vec<ConnectionKey> {
         let clients = |(key, connection): (ConnectionKey, &Connection)| {
             matches!(connection, Connection::Client(_)).then_some(key)
@@ -317,7 +324,8 @@
         runtime.connections.iter().filter_map(clients).collect()
     }
 
-    /// Removes a client's connection: the one place where that happens, by our doing or by the client's.
+    /// Removes a client connection and counts the reason. All client connections are removed here, so that each end is
+    /// counted once.
     pub(super) fn close(&mut self, runtime: &mut Runtime, key: ConnectionKey, reason: CloseReason) {
         count(&mut self.closed, reason);
         let Some(client) = client_mut(&mut runtime.connections, key) else {
@@ -337,7 +345,7 @@
     }
 }
 
-/// The client of a key, if it is still connected.
+/// Returns the client connection with this key, if it is still open.
 pub(super) fn client_mut(
     connections: &mut SlotMap<ConnectionKey, Connection>,
     key: ConnectionKey,
--- a/src/net/client/eviction.rs
+++ b/src/net/client/eviction.rs
@@ -1,40 +1,41 @@
-//! Which client's connection is closed where there is no capacity for another one.
+//! Selection of the client connection to close when the client limit or the descriptor limit is reached.
 //!
-//! This file owns the order of eviction. It must never close a connection, and never choose one whose request is in
-//! flight.
+//! Connections with a request in flight are never selected.
 
 use crate::net::client::connection::{ClientConnection, ClientState};
 use crate::net::connection_table::Connection;
 use crate::net::ConnectionKey;
 use slotmap::SlotMap;
 
-/// A last response that was written less than this ago may still be on its way.
+/// Time after the last response during which a connection is not evicted, because the response may still be in transit.
 const MIN_LINGER_S: f64 = 0.25;
-/// A client that connected, or began to send, less than this ago is evicted last.
-const FRESH_S: f64 = 0.3;
+/// Time since connecting, or since the first byte of a request, during which a client counts as recently active.
+const RECENT_ACTIVITY_S: f64 = 0.3;
 
-/// Which clients are evicted first, in this order.
+/// Eviction order of clients. Lower ranks are evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum EvictionRank {
-    /// Its last response is written.
+    /// Client whose last response is written.
     Answered,
-    /// It is between requests, or slow to send one.
+    /// Client that is idle after a response, or that connected or began a request more than `RECENT_ACTIVITY_S` ago.
     Idle,
-    /// It has just connected, and its request may be on its way.
-    Fresh,
+    /// Client that connected or began a request within `RECENT_ACTIVITY_S`, so that the rest of the request may be in transit.
+    RecentlyActive,
 }
 
-/// The connection that is evicted next, unless a request turns out to have come on it.
+/// Connection selected for eviction. The caller reads the connection before closing it, because a request may have
+/// arrived.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EvictionCandidate {
     pub(super) key: ConnectionKey,
-    /// Whether nothing of a request had come on it.
+    /// Whether no byte of a request had been received at the time of selection.
     pub(super) was_idle: bool,
     rank: EvictionRank,
     state_since: f64,
 }
 
-/// Chooses the connection of the lowest rank, up to `max_rank`, that has been in its state for the longest.
+/// Returns the connection with the lowest rank, up to `max_rank`. Ties are resolved in favour of the longest time in the
+/// current state.
 pub(super) fn find_candidate(
     connections: &SlotMap<ConnectionKey, Connection>,
     max_rank: EvictionRank,
@@ -59,14 +60,16 @@
     connections.iter().filter_map(candidate).min_by(order)
 }
 
-/// The rank of a client; none for one that must stay.
+/// Returns the rank of a client, or `None` if its connection must not be evicted.
 fn rank_of(client: &ClientConnection, now: f64) -> Option<EvictionRank> {
     let state_since = client.state_since;
     match client.state {
         ClientState::Lingering if now < state_since + MIN_LINGER_S => None,
         ClientState::Lingering => Some(EvictionRank::Answered),
-        ClientState::Reading if now < state_since + FRESH_S && !client.is_idle_after_response() => {
-            Some(EvictionRank::Fresh)
+        ClientState::Reading
+            if now < state_since + RECENT_ACTIVITY_S && !client.is_idle_after_response() =>
+        {
+            Some(EvictionRank::RecentlyActive)
         }
         ClientState::Reading => Some(EvictionRank::Idle),
         ClientState::InFlight(_) | ClientState::AwaitingStore | ClientState::Writing => None,
--- a/src/net/client/eviction/tests.rs
+++ b/src/net/client/eviction/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of the order in which clients are evicted.
+//! Tests of the eviction order of client connections.
 
 use super::*;
 use crate::net::http::MessageReader;
 use crate::requests::coordinator::Protocol;
 use std::net::TcpListener;
 
-/// A client in a state since a time, after an earlier response or not.
+/// State of a client connection under test.
 struct Setup {
     state: ClientState,
     state_since: f64,
@@ -24,7 +24,7 @@
     Connection::Client(Box::new(client))
 }
 
-/// The order in which the clients are evicted at a time, by place, up to a rank.
+/// Returns the indices of the clients in the order of eviction at `now`, up to `max_rank`.
 fn eviction_order(setups: &[Setup], max_rank: EvictionRank, now: f64) -> Vec<usize> {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut connections = SlotMap::with_key();
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn clients_are_evicted_by_rank_and_then_by_time() {
+fn clients_are_evicted_by_rank_and_then_by_time_in_state() {
     let setups = [
         setup(ClientState::Reading, 9.9, false),
         setup(ClientState::Reading, 5.0, false),
@@ -58,19 +58,19 @@
         setup(ClientState::Reading, 9.8, false),
         setup(ClientState::Reading, 9.95, true),
     ];
-    let all = eviction_order(&setups, EvictionRank::Fresh, 10.0);
+    let all = eviction_order(&setups, EvictionRank::RecentlyActive, 10.0);
     assert_eq!(all, [2, 3, 1, 5, 4, 0]);
-    let without_fresh = eviction_order(&setups, EvictionRank::Idle, 10.0);
-    assert_eq!(without_fresh, [2, 3, 1, 5]);
+    let without_recently_active = eviction_order(&setups, EvictionRank::Idle, 10.0);
+    assert_eq!(without_recently_active, [2, 3, 1, 5]);
 }
 
 #[test]
-fn clients_whose_answers_are_due_or_on_their_way_stay() {
+fn clients_with_a_pending_or_recently_sent_response_are_not_evicted() {
     let setups = [
         setup(ClientState::InFlight(Default::default()), 0.0, false),
         setup(ClientState::AwaitingStore, 0.0, false),
         setup(ClientState::Writing, 0.0, false),
         setup(ClientState::Lingering, 9.9, false),
     ];
-    assert!(eviction_order(&setups, EvictionRank::Fresh, 10.0).is_empty());
+    assert!(eviction_order(&setups, EvictionRank::RecentlyActive, 10.0).is_empty());
 }
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -1,7 +1,7 @@
-//! Connections of clients, and the two protocols that they speak.
+//! Client connections and the two client protocols: the platform protocol and the OpenSearch-compatible search API.
 //!
-//! `connections::ClientConnections` owns all connections of clients; `routing` brings them together with the other
-//! subsystems of the loop. It must never decide about a request: that is the request coordinator's.
+//! `connections::ClientConnections` manages the connections, and `routing` connects it with the other subsystems of the
+//! event loop. The request coordinator, not this module, decides how a request is handled.
 
 pub(in crate::net) mod connection;
 mod connection_error;
--- a/src/net/client/opensearch.rs
+++ b/src/net/client/opensearch.rs
@@ -1,12 +1,12 @@
-//! The search API: a front that speaks like OpenSearch, and leaf servers that speak it.
+//! Search API, which is compatible with OpenSearch, for clients and for leaf servers.
 //!
-//! These files own the form of both: requests of clients and their responses, calls to leaf servers and their answers.
-//! They must never hold a request or a socket, never decide where a part goes, and never let an answer look complete
-//! that is not: what is missing always stands in `_shards` with its reason.
+//! The module parses client requests and serializes their responses, and it serializes calls to leaf servers and parses
+//! their answers. An incomplete answer always lists the missing parts and their reasons in `_shards`, so that a client
+//! cannot take it for complete.
 //!
-//! An index is a class. A class whose queries are idempotent takes searches; any other takes creates with an id, and
-//! the id is the idempotency key. The value of a part is the text of a JSON object: the `hits` of a search, or the whole
-//! answer to a create. Any other text (from a leaf server that speaks in frames) becomes one hit.
+//! An index corresponds to a class. A class with idempotent queries accepts searches; any other class accepts creates with
+//! an id, which serves as the idempotency key. The value of a part is a JSON object in text form: the `hits` of a search, or
+//! the whole answer to a create. Any other text, from a leaf server that uses the frame protocol, becomes a single hit.
 
 mod error;
 mod hits;
--- a/src/net/client/opensearch/error.rs
+++ b/src/net/client/opensearch/error.rs
@@ -1,16 +1,16 @@
-//! Errors of the search API, for requests that are not taken.
+//! Errors of the search API for invalid requests.
 //!
-//! This file owns their statuses, types and texts, which are part of the API.
+//! Statuses, types and texts are part of the API.
 
 use crate::net::client::connection_error::ConnectionError;
 use std::fmt;
 use std::str::Utf8Error;
 use thiserror::Error;
 
-/// Hits that one answer may hold, skipped ones included.
+/// Limit on `from` plus `size`, as in OpenSearch.
 pub(super) const MAX_RESULT_WINDOW: u64 = 10_000;
 
-/// What an index takes, as errors name it.
+/// Kind of operation that an index supports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::net::client) enum OperationKind {
     Search,
@@ -26,7 +26,7 @@
     }
 }
 
-/// Why a request is not taken.
+/// Reason for rejecting an invalid request.
 #[derive(Debug, Error)]
 pub(in crate::net::client) enum SearchError {
     #[error(transparent)]
@@ -41,8 +41,11 @@
     UnknownPath { method: String, target: String },
     #[error("no such index [{index}]")]
     UnknownIndex { index: String },
-    #[error("index [{index}] takes only {taken}")]
-    WrongOperation { index: String, taken: OperationKind },
+    #[error("index [{index}] takes only {supported}")]
+    WrongOperation {
+        index: String,
+        supported: OperationKind,
+    },
     #[error("failed to parse value [{value}] of parameter [{name}]")]
     InvalidParameter { name: String, value: String },
     #[error("request contains unrecognized parameter: [{name}={value}]")]
@@ -68,7 +71,7 @@
 }
 
 impl SearchError {
-    /// The HTTP status that goes with it.
+    /// Returns the HTTP status of the error response.
     pub(super) fn status(&self) -> u16 {
         match self {
             SearchError::Connection(error) => error.status(),
@@ -78,7 +81,7 @@
         }
     }
 
-    /// The type by which the API names it.
+    /// Returns the error type in the API, such as `parsing_exception`.
     pub(super) fn kind(&self) -> &'static str {
         match self {
             SearchError::Connection(error) => match error {
--- a/src/net/client/opensearch/hits.rs
+++ b/src/net/client/opensearch/hits.rs
@@ -1,6 +1,4 @@
-//! One list of hits from those of the parts.
-//!
-//! This file owns their order: by score, and where that ties by the order of the parts.
+//! Merging of the hits of all parts into one list, ordered by descending score and then by the order of the parts.
 
 use crate::net::client::opensearch::json_value::{as_count, count, object, parse_object, string};
 use crate::net::client::opensearch::request::SearchContext;
@@ -8,7 +6,7 @@
 use miniserde::json::{Array, Number, Object, Value};
 use std::rc::Rc;
 
-/// The member `hits` of an answer, from the values of the parts that have one.
+/// Returns the member `hits` of an answer, merged from the available values of the parts.
 pub(super) fn merge_hits(
     context: &SearchContext,
     query_request: &QueryRequest,
@@ -19,12 +17,15 @@
     for (part, value) in query_request.parts.iter().zip(values) {
         let Some(text) = value else { continue };
         match parse_object(text).and_then(take_hits) {
-            Some(PartHits { list, total: known }) => {
-                total = total.saturating_add(known.unwrap_or(list.len() as u64));
+            Some(PartHits {
+                list,
+                total: reported,
+            }) => {
+                total = total.saturating_add(reported.unwrap_or(list.len() as u64));
                 hits.extend(list);
             }
             None => {
-                hits.push(plain_hit(&context.index, part, text));
+                hits.push(hit_from_text(&context.index, part, text));
                 total += 1;
             }
         }
@@ -43,14 +44,14 @@
     ])
 }
 
-/// The hits of one part.
+/// Hits of one part.
 struct PartHits {
     list: Array,
-    /// How many the leaf server found, if it says so.
+    /// Total number of matches that the leaf server reports, if any.
     total: Option<u64>,
 }
 
-/// The hits of a leaf server's answer; none where it has no list of them.
+/// Extracts the hits from the value of a part. Returns `None` if the value contains no list of hits.
 fn take_hits(mut answer: Object) -> Option<PartHits> {
     let Some(Value::Array(list)) = answer.remove("hits") else {
         return None;
@@ -63,8 +64,8 @@
     Some(PartHits { list, total })
 }
 
-/// The hit that a value of a leaf server that speaks in frames becomes.
-fn plain_hit(index: &str, part: &PartRequest, text: &str) -> Value {
+/// Converts a value that is not a list of hits, from a leaf server that uses the frame protocol, to a single hit.
+fn hit_from_text(index: &str, part: &PartRequest, text: &str) -> Value {
     let source = object([("tablet", count(part.shard)), ("cell", string(text))]);
     object([
         ("_index", string(index)),
@@ -74,7 +75,7 @@
     ])
 }
 
-/// The score of a hit; the lowest where it has none.
+/// Returns the score of a hit, or negative infinity if the hit has none.
 fn score_of(hit: &Value) -> f64 {
     let Value::Object(hit) = hit else {
         return f64::NEG_INFINITY;
--- a/src/net/client/opensearch/json_value.rs
+++ b/src/net/client/opensearch/json_value.rs
@@ -1,8 +1,8 @@
-//! Short forms for making and taking apart JSON values.
+//! Helpers for building and inspecting JSON values.
 
 use miniserde::json::{self, Number, Object, Value};
 
-/// An object with these members.
+/// Returns an object with the given members.
 pub(super) fn object<const N: usize>(members: [(&str, Value); N]) -> Value {
     let mut object = Object::new();
     for (key, value) in members {
@@ -11,17 +11,16 @@
     Value::Object(object)
 }
 
-/// A string.
 pub(super) fn string(text: impl Into<String>) -> Value {
     Value::String(text.into())
 }
 
-/// A number that is not negative.
+/// Returns a non-negative JSON number. A value that does not fit into `u64` becomes `u64::MAX`.
 pub(super) fn count(number: impl TryInto<u64>) -> Value {
     Value::Number(Number::U64(number.try_into().unwrap_or(u64::MAX)))
 }
 
-/// The object that a text is; none where it is anything else.
+/// Parses a JSON object. Returns `None` for any other text.
 pub(super) fn parse_object(text: &str) -> Option<Object> {
     match json::from_str(text).ok()? {
         Value::Object(object) => Some(object),
@@ -29,7 +28,7 @@
     }
 }
 
-/// The number that a value is, where it is whole and not negative.
+/// Returns the value as a non-negative integer, if it is one.
 pub(super) fn as_count(value: &Value) -> Option<u64> {
     match value {
         Value::Number(Number::U64(number)) => Some(*number),
@@ -37,7 +36,7 @@
     }
 }
 
-/// The body of a query by its text, for what is no JSON object.
+/// Returns a `query_string` query for a query text that is not a JSON object.
 pub(super) fn query_string(text: &str) -> Value {
     object([("query_string", object([("query", string(text))]))])
 }
--- a/src/net/client/opensearch/leaf.rs
+++ b/src/net/client/opensearch/leaf.rs
@@ -1,29 +1,29 @@
-//! Calls to leaf servers that speak the search API, and their answers.
+//! Serialization of calls to leaf servers that use the search API, and parsing of their answers.
 //!
-//! This file owns the form of both. It must never choose a leaf server, and never take an answer for a success that is
-//! not complete.
+//! An answer with a failed shard or a timeout counts as an error, so that partial results are never merged as complete.
 
 use crate::decisions::api::Outcome;
 use crate::net::client::opensearch::json_value::{
     as_count, count, object, parse_object, query_string, string,
 };
-use crate::net::client::opensearch::shard_routing::routing_to;
+use crate::net::client::opensearch::shard_routing::routing_value_for;
 use crate::net::http::{Message, StartLine};
 use crate::requests::coordinator::{CallPart, QueryRequest};
 use miniserde::json::{self, Array, Object, Value};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Longest load report that is taken; a longer one is ignored.
+/// Limit on a load report. Longer reports are ignored.
 const MAX_LOAD_REPORT_BYTES: usize = 200;
 
-/// The request line of a call, but for the version, and its body.
+/// Method, target and body of a call.
 struct LeafCall {
     line: String,
     body: String,
 }
 
-/// The bytes of a call with one part. The part's time goes with it as the timeout.
+/// Serializes a call with one part. The remaining time of the part is sent as the `timeout` parameter, except for
+/// pre-checks.
 pub(in crate::net) fn render_leaf_request(
     part: &CallPart,
     address: SocketAddr,
@@ -34,7 +34,7 @@
     let timeout_ms = (part.timeout_s * 1000.0).floor().max(1.0) as u64;
     let LeafCall { line, body } = match &query_request.idempotency {
         Some(key) => {
-            let routing = routing_to(shard, shard_count);
+            let routing = routing_value_for(shard, shard_count);
             create_call(query_request, key, &routing, timeout_ms)
         }
         None if part.pre_check => count_call(query_request, shard),
@@ -72,7 +72,8 @@
     }
 }
 
-/// A count of what a search would find, which takes of it the query alone. It ends with the first document that matches.
+/// Returns a pre-check call, which counts the matches of a search and stops at the first one. Only the `query` member of the
+/// search body is sent.
 fn count_call(query_request: &QueryRequest, shard: u32) -> LeafCall {
     let text = &query_request.text;
     let index = percent_encode(&query_request.class_name);
@@ -103,13 +104,13 @@
     percent_encoding::utf8_percent_encode(text, percent_encoding::NON_ALPHANUMERIC).to_string()
 }
 
-/// What an answer of a leaf server means.
+/// Parsed answer of a leaf server.
 #[derive(Clone, Debug)]
 pub(in crate::net) struct LeafAnswer {
     pub(in crate::net) outcome: Outcome,
-    /// The value of the part, where the outcome brings one.
+    /// Value of the part, if the outcome has one.
     pub(in crate::net) value: Option<Rc<str>>,
-    /// The leaf server's load report.
+    /// Load report of the leaf server, from `X-Server-Load`.
     pub(in crate::net) load: Option<String>,
 }
 
@@ -131,8 +132,8 @@
     }
 }
 
-/// Parses an answer. Status 429 says that the part never ran; after anything but a complete success it may have.
-/// `pre_check` says that the call only asked whether anything matches.
+/// Parses an answer. Status 429 means that the part did not run; after any other failure the part may have run.
+/// `pre_check` is set if the call only asked whether any document matches.
 pub(in crate::net) fn parse_leaf_answer(message: &Message, pre_check: bool) -> LeafAnswer {
     let load = message
         .header("x-server-load")
@@ -144,7 +145,7 @@
     }
 }
 
-/// The outcome of an answer and the value that it brings, without its load report.
+/// Parses the outcome and the value of an answer, without its load report.
 fn parse_outcome(message: &Message, pre_check: bool) -> LeafAnswer {
     let StartLine::Response { status } = message.start else {
         return LeafAnswer::without_value(Outcome::Error);
@@ -165,13 +166,13 @@
     }
 }
 
-/// Whether an answer misses something: its time ran out, or a shard failed.
+/// Returns whether an answer is incomplete because of a timeout or a failed shard.
 fn is_partial(answer: &Object) -> bool {
-    let is_late = matches!(answer.get("timed_out"), Some(Value::Bool(true)));
-    is_late || shard_count(answer, "failed") > 0
+    let is_timed_out = matches!(answer.get("timed_out"), Some(Value::Bool(true)));
+    is_timed_out || shard_count(answer, "failed") > 0
 }
 
-/// A number of the answer's `_shards`; 0 where it has none.
+/// Returns a counter of the member `_shards`, or 0 if the answer does not contain it.
 fn shard_count(answer: &Object, name: &str) -> u64 {
     match answer.get("_shards") {
         Some(Value::Object(shards)) => shards.get(name).and_then(as_count).unwrap_or(0),
@@ -179,14 +180,14 @@
     }
 }
 
-/// The value of a part: the hits of a search, or the whole answer to a create.
+/// Returns the value of a part: the hits of a search, or the whole answer to a create.
 fn value_of(mut answer: Object) -> Rc<str> {
     let value = answer.remove("hits").unwrap_or(Value::Object(answer));
     Rc::from(json::to_string(&value))
 }
 
-/// The answer to a pre-check: a count, where any shard was asked. Nothing counted becomes the empty list of hits that it
-/// stands for; anything but a count is an error.
+/// Parses the answer to a pre-check. A count of 0 becomes an empty list of hits, so that the part needs no search. An answer
+/// without a count, or without a successful shard, is an error.
 fn parse_pre_check(answer: &Object) -> LeafAnswer {
     let counted = answer.get("count").and_then(as_count);
     match counted.filter(|_| shard_count(answer, "successful") > 0) {
@@ -196,7 +197,7 @@
     }
 }
 
-/// The empty list of hits that a count of nothing stands for.
+/// Returns an empty list of hits, as the value of a part without matches.
 fn no_hits() -> Rc<str> {
     let total = object([("value", count(0u64)), ("relation", string("eq"))]);
     let hits = object([
--- a/src/net/client/opensearch/options.rs
+++ b/src/net/client/opensearch/options.rs
@@ -1,6 +1,4 @@
-//! What a request of the search API says in its parameters and its body.
-//!
-//! This file owns their names and forms, the shards that they choose, and the search that each leaf server gets.
+//! Parameters and body options of search API requests, the shards that they select, and the search body for leaf servers.
 
 use crate::net::client::opensearch::error::{OperationKind, SearchError, MAX_RESULT_WINDOW};
 use crate::net::client::opensearch::json_value::{as_count, count, object, query_string};
@@ -8,15 +6,15 @@
 use miniserde::json::{self, Object, Value};
 use std::collections::BTreeSet;
 
-/// Hits that an answer holds where the client names no number.
+/// Number of hits in an answer if the client sets no `size`.
 const DEFAULT_SIZE: u64 = 10;
-/// With more shards than this their number counts as not set: a request to all of them is an error.
+/// Number of shards above which the shard count is regarded as not configured. Requests to all shards are then an error.
 const MAX_SHARDS_AT_ONCE: u32 = 1024;
 
-/// The options of a search or a create.
+/// Options of a search or a create.
 pub(super) struct RequestOptions {
     routing: Vec<String>,
-    /// The shards that a preference names.
+    /// Shards listed in the `preference` parameter.
     preferred_shards: Option<BTreeSet<u32>>,
     pub(super) timeout_s: Option<f64>,
     pub(super) allows_partial: bool,
@@ -24,12 +22,12 @@
     size: Option<u64>,
     query: Option<Value>,
     pub(super) pre_check_above: Option<u32>,
-    /// Members of the body that leaf servers get as they are.
-    passed_on: Vec<(String, Value)>,
+    /// Body members that are forwarded to leaf servers unchanged.
+    forwarded_fields: Vec<(String, Value)>,
 }
 
 impl RequestOptions {
-    /// Parses the parameters of the URL; a search has more of them than a create.
+    /// Parses the parameters of the URL. Searches accept more parameters than creates.
     pub(super) fn from_parameters(
         parameters: &str,
         operation: OperationKind,
@@ -43,7 +41,7 @@
             size: None,
             query: None,
             pre_check_above: None,
-            passed_on: Vec::new(),
+            forwarded_fields: Vec::new(),
         };
         for (name, value) in form_urlencoded::parse(parameters.as_bytes()) {
             options.add_parameter(&name, &value, operation)?;
@@ -101,7 +99,7 @@
         Ok(())
     }
 
-    /// Adds the body of a search.
+    /// Adds the options from the body of a search.
     pub(super) fn add_body(&mut self, body: Object) -> Result<(), SearchError> {
         for (key, value) in body {
             let invalid = || SearchError::InvalidField { key: key.clone() };
@@ -115,30 +113,30 @@
                     };
                     self.timeout_s = Some(parse_duration_s(text).ok_or_else(invalid)?);
                 }
-                "_source" => self.passed_on.push((key, value)),
+                "_source" => self.forwarded_fields.push((key, value)),
                 _ => return Err(SearchError::UnknownField { key }),
             }
         }
         Ok(())
     }
 
-    /// Hits that the answer skips.
+    /// Returns the number of hits that the answer skips.
     pub(super) fn from(&self) -> u64 {
         self.from.unwrap_or(0)
     }
 
-    /// Hits that the answer holds at most.
+    /// Returns the maximum number of hits in the answer.
     pub(super) fn size(&self) -> u64 {
         self.size.unwrap_or(DEFAULT_SIZE)
     }
 
-    /// The first routing value.
+    /// Returns the first routing value.
     pub(super) fn routing(&self) -> Option<&str> {
         self.routing.first().map(String::as_str)
     }
 
-    /// The search that each leaf server gets: as many hits as might be needed from it, and none skipped. Takes the query
-    /// out of the options.
+    /// Returns the search body for leaf servers. Each leaf server returns `from` plus `size` hits and skips none, because all
+    /// hits of the answer may come from one shard. Moves the query and the forwarded fields out of the options.
     pub(super) fn take_leaf_search(&mut self) -> Result<String, SearchError> {
         let window = self.from().saturating_add(self.size());
         if window > MAX_RESULT_WINDOW {
@@ -148,11 +146,12 @@
         let mut body = Object::new();
         body.insert("query".into(), self.query.take().unwrap_or_else(match_all));
         body.insert("size".into(), count(window));
-        body.extend(self.passed_on.drain(..));
+        body.extend(self.forwarded_fields.drain(..));
         Ok(json::to_string(&Value::Object(body)))
     }
 
-    /// The shards that a request concerns: by preference, by routing, by the id of what is created, or all.
+    /// Returns the shards of a request: those selected by preference, by routing or by the id of the created document, or
+    /// else all.
     pub(super) fn shards(
         &self,
         created_id: Option<&str>,
@@ -194,7 +193,7 @@
     }
 }
 
-/// A time with its unit, such as `500ms`, in seconds.
+/// Parses a duration with a unit, such as `500ms`, to seconds.
 fn parse_duration_s(text: &str) -> Option<f64> {
     let unit_at = text.find(|c: char| !c.is_ascii_digit())?;
     let number: f64 = text[..unit_at].parse().ok()?;
@@ -211,7 +210,7 @@
     Some(number * unit_s)
 }
 
-/// A parameter that is true where it stands without a value.
+/// Parses a boolean parameter. A parameter without a value is true.
 fn parse_bool(text: &str) -> Option<bool> {
     match text {
         "true" | "" => Some(true),
--- a/src/net/client/opensearch/request.rs
+++ b/src/net/client/opensearch/request.rs
@@ -1,32 +1,30 @@
-//! Requests of clients in the search API.
-//!
-//! This file owns which requests there are and what query each becomes. It must never keep one.
+//! Parsing of client requests in the search API, and their conversion to queries.
 
 use crate::config::Deployment;
 use crate::decisions::api::Effect;
 use crate::net::client::opensearch::error::{OperationKind, SearchError};
 use crate::net::client::opensearch::json_value::parse_object;
 use crate::net::client::opensearch::options::RequestOptions;
-use crate::net::client::request_fields::{is_idempotency_key, route_key, tenant_index};
+use crate::net::client::request_fields::{is_valid_idempotency_key, route_key, tenant_index};
 use crate::net::http::{Message, StartLine};
 use crate::requests::coordinator::{PartRequest, Protocol, QueryRequest};
 
-/// Longest `X-Opaque-Id` that is passed on and given back; a longer one is left out.
+/// Limit on the `X-Opaque-Id` that is forwarded to leaf servers and returned to the client. Longer ids are dropped.
 const MAX_OPAQUE_ID_BYTES: usize = 200;
 
-/// What the answer to a request needs beside what the request coordinator knows.
+/// Data for the response to a request that the request coordinator does not keep.
 #[derive(Clone, Debug)]
 pub(in crate::net::client) struct SearchContext {
     pub(super) index: String,
-    /// The id of what is created; none for a search.
+    /// Id of the created document; `None` for a search.
     pub(super) created_id: Option<String>,
-    /// Hits that the answer skips.
+    /// Number of hits that the answer skips.
     pub(super) from: u64,
-    /// Hits that the answer holds at most.
+    /// Maximum number of hits in the answer.
     pub(super) size: u64,
-    /// The client's `X-Opaque-Id`.
+    /// `X-Opaque-Id` of the client.
     pub(super) opaque: Option<String>,
-    /// Longest `Retry-After` that clients get (seconds).
+    /// Maximum `Retry-After` (seconds).
     pub(super) max_retry_after_s: f64,
 }
 
@@ -48,20 +46,20 @@
     }
 }
 
-/// A request that is well formed.
+/// Valid request.
 pub(in crate::net::client) enum SearchRequest {
-    /// A query for the request coordinator.
+    /// Query for the request coordinator.
     Query {
         query_request: Box<QueryRequest>,
         context: SearchContext,
     },
-    /// The page at the root.
+    /// Request for the root page, which identifies the server.
     Root,
-    /// One of the pages that both fronts have.
+    /// Request for a page under `/-/`.
     Page,
 }
 
-/// What a client wants of an index.
+/// Operation on an index.
 #[derive(Clone, Copy)]
 enum Operation<'a> {
     Search,
@@ -84,16 +82,16 @@
     }
 }
 
-/// An operation on an index, by the path of a request.
+/// Index and operation that the path of a request selects.
 struct Target<'a> {
     index: &'a str,
     operation: Operation<'a>,
-    /// The parameters of the URL, as they stand there.
+    /// Query string of the URL, not decoded.
     parameters: &'a str,
 }
 
-/// Parses a request. `id` names its query among all that this mixer sends; `default_tenant` is that of clients that name
-/// none.
+/// Parses and validates a request. `id` identifies the resulting query among all queries of this mixer. `default_tenant`
+/// applies to clients that send no `X-Tenant-Id`.
 pub(in crate::net::client) fn parse_request(
     message: &Message,
     deployment: &Deployment,
@@ -123,7 +121,7 @@
     parse_query(message, deployment, &target, id, default_tenant)
 }
 
-/// The operation that a path names; none where the method does not fit, or there is no such path.
+/// Returns the index and operation for a path, or `None` if the path is unknown or does not allow the method.
 fn find_target<'a>(method: &str, segments: &[&'a str], parameters: &'a str) -> Option<Target<'a>> {
     let (index, operation) = match (method, segments) {
         ("GET" | "POST", [index, "_search"]) => (*index, Operation::Search),
@@ -167,7 +165,7 @@
     let text = parse_body(message, target.operation, &mut options)?;
     let created_id = target.operation.created_id();
     let shards = options.shards(created_id, deployment.shards)?;
-    if let Some(id) = created_id.filter(|id| !is_idempotency_key(id)) {
+    if let Some(id) = created_id.filter(|id| !is_valid_idempotency_key(id)) {
         return Err(SearchError::InvalidId { id: id.to_string() });
     }
     let tenant_name = message.header("x-tenant-id").or(default_tenant);
@@ -201,7 +199,7 @@
     })
 }
 
-/// The place of the index among the classes. A class whose queries are idempotent takes searches, any other creates.
+/// Returns the class index of an index. A class with idempotent queries accepts searches, any other class accepts creates.
 fn find_class(deployment: &Deployment, target: &Target) -> Result<usize, SearchError> {
     let class = deployment
         .classes
@@ -210,20 +208,20 @@
         .ok_or_else(|| SearchError::UnknownIndex {
             index: target.index.to_string(),
         })?;
-    let taken = match deployment.policy.classes[class].effect {
+    let supported = match deployment.policy.classes[class].effect {
         Effect::Idempotent => OperationKind::Search,
         Effect::IdempotentWithKey | Effect::NonIdempotent => OperationKind::Create,
     };
-    if target.operation.kind() != taken {
+    if target.operation.kind() != supported {
         return Err(SearchError::WrongOperation {
             index: target.index.to_string(),
-            taken,
+            supported,
         });
     }
     Ok(class)
 }
 
-/// The text that leaf servers get, from the body: the document that is created, or a search with its options.
+/// Returns the request text for leaf servers: the document to create, or a search body with the merged options.
 fn parse_body(
     message: &Message,
     operation: Operation,
@@ -245,7 +243,7 @@
     }
 }
 
-/// A part for each shard, all of the same weight.
+/// Returns one part for each shard, all with the same weight.
 fn equal_parts(shards: &[u32]) -> Vec<PartRequest> {
     let weight = 1.0 / shards.len() as f64;
     let part = |shard: &u32| PartRequest {
--- a/src/net/client/opensearch/response.rs
+++ b/src/net/client/opensearch/response.rs
@@ -1,7 +1,6 @@
-//! Responses to clients in the search API.
+//! Serialization of responses to clients in the search API.
 //!
-//! This file owns their form. It must never let an answer look complete that is not: each missing part stands in
-//! `_shards` with its reason.
+//! Each missing part is listed in `_shards` with its reason, so that a client cannot take an incomplete answer for complete.
 
 use crate::decisions::api::Outcome;
 use crate::net::client::opensearch::error::SearchError;
@@ -13,18 +12,18 @@
 use miniserde::json::{self, Object, Value};
 use std::rc::Rc;
 
-/// A part without a value, and the last outcome of its attempts, if there was one.
+/// Part without a value, and the last outcome of its attempts, if any.
 struct MissingPart<'a> {
     part: &'a PartRequest,
     outcome: Option<Outcome>,
 }
 
-/// What every response to one request has in common.
+/// Properties that all responses to a request share.
 #[derive(Clone, Copy)]
 struct Envelope<'a> {
-    /// The client's `X-Opaque-Id`.
+    /// `X-Opaque-Id` of the client, which the response repeats.
     opaque: Option<&'a str>,
-    /// Whether the connection ends after the response.
+    /// Whether the response announces the end of the connection.
     close: bool,
 }
 
@@ -37,7 +36,7 @@
     }
 }
 
-/// The bytes of an error for a request that is not taken; `close` announces that the connection ends after it.
+/// Serializes the error response to an invalid request. `close` adds `Connection: close`.
 pub(in crate::net::client) fn render_error(
     error: &SearchError,
     opaque: Option<&str>,
@@ -47,7 +46,7 @@
     Envelope { opaque, close }.render(error.status(), &body, None)
 }
 
-/// The bytes of the page at the root.
+/// Serializes the root page, which identifies the server.
 pub(in crate::net::client) fn render_root(name: &str, close: bool) -> Vec<u8> {
     let version = object([
         ("number", string(env!("CARGO_PKG_VERSION"))),
@@ -58,8 +57,7 @@
     Envelope { opaque, close }.render(200, &body, None)
 }
 
-/// The bytes of a final answer. `took_s` is how long the request was in flight; `close` announces that the connection
-/// ends after it.
+/// Serializes a final answer. `took_s` is the time that the request was in flight. `close` adds `Connection: close`.
 pub(in crate::net::client) fn render_answer(
     context: &SearchContext,
     query_request: &QueryRequest,
@@ -86,7 +84,7 @@
             }
             let body = object([
                 ("took", count((took_s * 1000.0) as u64)),
-                ("timed_out", Value::Bool(missing.iter().any(is_late))),
+                ("timed_out", Value::Bool(missing.iter().any(is_timed_out))),
                 ("_shards", shards),
                 ("hits", merge_hits(context, query_request, &values)),
             ]);
@@ -101,7 +99,7 @@
     }
 }
 
-/// The parts that have no value.
+/// Returns the parts without a value.
 fn missing_parts<'a>(
     query_request: &'a QueryRequest,
     values: &[Option<Rc<str>>],
@@ -118,7 +116,7 @@
         .collect()
 }
 
-/// How many parts there are and how they ended, with the reason of each missing one.
+/// Returns the member `_shards`: the numbers of parts by result, and the reason of each missing part.
 fn shards_summary(
     context: &SearchContext,
     query_request: &QueryRequest,
@@ -152,14 +150,14 @@
 fn render_rejection(envelope: Envelope, retry_after_s: f64, max_retry_after_s: f64) -> Vec<u8> {
     let reason = "refused before anything harmful ran: asking again does no harm";
     let body = error_body(429, "rejected_execution_exception", reason, Vec::new());
-    // Whole seconds, which every client reads, where the bound leaves room for them.
+    // Some clients only parse whole seconds, so the value is rounded up unless that exceeds the maximum.
     let whole_s = retry_after_s.ceil();
-    let advice_s = if whole_s <= max_retry_after_s {
+    let sent_s = if whole_s <= max_retry_after_s {
         whole_s
     } else {
         retry_after_s
     };
-    let retry_after = (retry_after_s > 0.0).then(|| http::format_seconds(advice_s));
+    let retry_after = (retry_after_s > 0.0).then(|| http::format_seconds(sent_s));
     envelope.render(429, &body, retry_after)
 }
 
@@ -178,7 +176,7 @@
             outcome: *outcome,
         })
         .collect();
-    let is_timeout = reason == Reason::DeadlineExceeded || failed.iter().any(is_late);
+    let is_timeout = reason == Reason::DeadlineExceeded || failed.iter().any(is_timed_out);
     let (status, text) = if is_timeout {
         (504, "Time exceeded")
     } else {
@@ -189,7 +187,7 @@
     envelope.render(status, &error_body(status, kind, text, failures), None)
 }
 
-/// The body of an error, with the failures of single shards where there are any.
+/// Returns the body of an error, with the failures of individual shards if there are any.
 fn error_body(status: u16, kind: &str, reason: &str, failures: Vec<Value>) -> Value {
     let cause = object([("type", string(kind)), ("reason", string(reason))]);
     let root_cause = std::iter::once(cause).collect();
@@ -209,7 +207,7 @@
     missing.iter().map(failure).collect()
 }
 
-/// Why a part is missing, by the API's names.
+/// Returns the reason for a missing part as an entry of `failures`.
 fn shard_failure(index: &str, missing: &MissingPart) -> Value {
     let (kind, reason) = match missing.outcome {
         None | Some(Outcome::TimedOut | Outcome::Cancelled) => {
@@ -232,8 +230,8 @@
     ])
 }
 
-/// Whether a part is missing because its time ran out.
-fn is_late(missing: &MissingPart) -> bool {
+/// Returns whether a part is missing because of a timeout.
+fn is_timed_out(missing: &MissingPart) -> bool {
     matches!(
         missing.outcome,
         None | Some(Outcome::TimedOut | Outcome::Cancelled | Outcome::Matches)
--- a/src/net/client/opensearch/shard_routing.rs
+++ b/src/net/client/opensearch/shard_routing.rs
@@ -1,20 +1,21 @@
-//! Which shard a routing value leads to.
+//! Mapping of routing values to shards.
 //!
-//! This file owns the hash, which must be that of OpenSearch: clients and leaf servers compute the same one.
+//! The hash is the one of OpenSearch, because clients and leaf servers compute it as well.
 
-/// The shard of a routing value: Murmur3 of its UTF-16 units, modulo the number of shards.
+/// Returns the shard of a routing value: the Murmur3 hash of its UTF-16 code units, modulo the number of shards.
 pub(super) fn shard_of(routing: &str, shard_count: u32) -> u32 {
     let bytes: Vec<u8> = routing.encode_utf16().flat_map(u16::to_le_bytes).collect();
-    // Reading from memory can't fail.
+    // Reading from memory cannot fail.
     let hash = murmur3::murmur3_32(&mut bytes.as_slice(), 0).unwrap_or(0) as i32;
     i64::from(hash).rem_euclid(i64::from(shard_count.max(1))) as u32
 }
 
-/// A routing value that leads to a shard: the first number, as text, that does.
-pub(super) fn routing_to(shard: u32, shard_count: u32) -> String {
-    // Each number leads there with odds of one in `shard_count`: so many misses in a row do not happen in practice.
-    let max_tries = shard_count.saturating_mul(64);
-    (0..max_tries)
+/// Returns a routing value that maps to a shard: the smallest non-negative integer, in decimal text, that does.
+pub(super) fn routing_value_for(shard: u32, shard_count: u32) -> String {
+    // Each number maps to the shard with a probability of 1 in `shard_count`, so the search practically never reaches this
+    // limit.
+    let max_attempts = shard_count.saturating_mul(64);
+    (0..max_attempts)
         .map(|number| number.to_string())
         .find(|text| shard_of(text, shard_count) == shard)
         .unwrap_or_else(|| shard.to_string())
--- a/src/net/client/pages.rs
+++ b/src/net/client/pages.rs
@@ -1,32 +1,30 @@
-//! The pages that both fronts have beside queries: readiness, metrics, endpoints and the store's keys.
-//!
-//! This file owns their paths. It must never hold what they show.
+//! Paths of the pages under `/-/`, which both client protocols serve: readiness, health, metrics, endpoints and store keys.
 
-/// Pages of the store, where it is set up: the rest of their target is the key.
+/// Target prefix of store pages. The rest of the target is the key.
 pub(super) const STORE_PREFIX: &str = "/-/store/";
 
-/// A page, by its target.
+/// Page that a request target selects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Page<'a> {
-    /// A key of the store.
+    /// Value of a store key.
     Store {
-        /// The key.
+        /// Store key.
         name: &'a str,
     },
-    /// Whether the mixer is ready for clients.
+    /// Readiness of the mixer to serve clients.
     Ready,
-    /// Whether the process runs.
+    /// Liveness of the process.
     Healthy,
-    /// The metrics.
+    /// Metrics in Prometheus text format.
     Metrics,
-    /// The endpoints and their last load reports.
+    /// Endpoints with their latest load reports.
     Endpoints,
-    /// No page has that path.
+    /// Path without a page.
     Unknown,
 }
 
 impl<'a> Page<'a> {
-    /// The page of a request's target.
+    /// Returns the page that a request target selects. Store pages exist only if `has_store` is set.
     pub(super) fn from_target(target: &'a str, has_store: bool) -> Page<'a> {
         if let Some(name) = target.strip_prefix(STORE_PREFIX).filter(|_| has_store) {
             return Page::Store { name };
--- a/src/net/client/platform.rs
+++ b/src/net/client/platform.rs
@@ -1,12 +1,13 @@
-//! The platform's client protocol: its requests parsed, its responses rendered.
+//! The platform's client protocol: parsing of requests and serialization of responses.
 //!
-//! This file owns the form of that protocol and nothing else. It must never hold a request or a socket, and never
-//! answer with a value that no replica gave. Names of JSON fields and texts of errors are part of the protocol.
+//! Names of JSON fields and texts of errors are part of the protocol.
 
 use crate::config::Deployment;
 use crate::decisions::api::{ClassSettings, Effect};
 use crate::endpoints::directory::Endpoint;
-use crate::net::client::request_fields::{is_field, is_idempotency_key, route_key, tenant_index};
+use crate::net::client::request_fields::{
+    is_valid_field, is_valid_idempotency_key, route_key, tenant_index,
+};
 use crate::net::http::{self, Message, StartLine};
 use crate::requests::coordinator::{FinalAnswer, PartRequest, Protocol, QueryRequest, Reason};
 use miniserde::{json, Deserialize, Serialize};
@@ -15,9 +16,9 @@
 use std::str::Utf8Error;
 use thiserror::Error;
 
-/// The weights of a query's parts add up to 1, but for so much that rounding may leave.
+/// Tolerance for rounding errors in the sum of the part weights, which must be 1.
 const MAX_WEIGHT_ERROR: f64 = 0.01;
-/// Headers that say something of a query: one that stands twice could say two things.
+/// Query headers that must occur at most once, because repeated headers could contradict each other.
 const SINGLE_HEADERS: [&str; 7] = [
     "x-request-id",
     "x-priority-class",
@@ -28,7 +29,7 @@
     "idempotency-key",
 ];
 
-/// The body of a query.
+/// JSON body of a query.
 #[derive(Deserialize)]
 struct QueryJson {
     #[serde(rename = "tablets")]
@@ -36,7 +37,7 @@
     statement: String,
 }
 
-/// A part of a query. The hint is a guess at its work, in microseconds.
+/// Part of a query. The hint is the estimated work of the part in microseconds.
 #[derive(Deserialize)]
 struct PartJson {
     #[serde(rename = "tablet")]
@@ -47,7 +48,7 @@
     hint_us: Option<f64>,
 }
 
-/// The body of a final answer.
+/// JSON body of a final answer.
 #[derive(Serialize)]
 struct AnswerJson {
     #[serde(rename = "full")]
@@ -56,7 +57,7 @@
     values: Vec<ValueJson>,
 }
 
-/// The value of a part.
+/// Value of one part in a final answer.
 #[derive(Serialize)]
 struct ValueJson {
     #[serde(rename = "tablet")]
@@ -65,7 +66,7 @@
     value: String,
 }
 
-/// An endpoint on its page.
+/// Endpoint on the endpoints page.
 #[derive(Serialize)]
 struct EndpointJson {
     #[serde(rename = "id")]
@@ -82,7 +83,7 @@
     error: &'a str,
 }
 
-/// Why a request is not taken. The texts are part of the protocol.
+/// Reason for rejecting an invalid request. The texts are part of the protocol.
 #[derive(Debug, Error)]
 pub(super) enum PlatformError {
     #[error("not a request")]
@@ -97,7 +98,8 @@
     UnknownClass,
     #[error("X-Request-ID")]
     InvalidRequestId,
-    /// Leaf servers know parts by the id: answers to one request would be taken for the other's.
+    /// Id of another request in flight. Leaf servers identify parts by the id, so answers of the two requests could be
+    /// confused.
     #[error("a request of that X-Request-ID is open")]
     RequestIdInUse,
     #[error("X-Tenant-Id names no tenant")]
@@ -121,7 +123,7 @@
 }
 
 impl PlatformError {
-    /// The HTTP status that goes with it.
+    /// Returns the HTTP status of the error response.
     fn status(&self) -> u16 {
         match self {
             PlatformError::MethodNotAllowed => 405,
@@ -131,21 +133,21 @@
         }
     }
 
-    /// The response, which closes its connection.
+    /// Serializes the error response, which announces the end of the connection.
     pub(super) fn response(&self) -> Vec<u8> {
         render_error(self.status(), &self.to_string(), &[], true)
     }
 }
 
-/// A request that is well formed.
+/// Valid request.
 pub(super) enum PlatformRequest {
-    /// A query for the request coordinator.
+    /// Query for the request coordinator.
     Query(Box<QueryRequest>),
-    /// One of the pages that both fronts have.
+    /// Request for a page under `/-/`.
     Page,
 }
 
-/// Parses a request.
+/// Parses and validates a request.
 pub(super) fn parse_request(
     message: &Message,
     deployment: &Deployment,
@@ -179,7 +181,7 @@
     let settings = &deployment.policy.classes[class];
     let id = message
         .header("x-request-id")
-        .filter(|id| is_field(id))
+        .filter(|id| is_valid_field(id))
         .ok_or(PlatformError::InvalidRequestId)?;
     let tenant = tenant_index(deployment, message.header("x-tenant-id"))
         .ok_or(PlatformError::UnknownTenant)?;
@@ -218,7 +220,7 @@
     Ok(())
 }
 
-/// The name of the class: the first segment of the path, which a header may repeat.
+/// Returns the class name, which is the first segment of the path. `X-Priority-Class` must be absent or agree with it.
 fn parse_class_name<'a>(message: &Message, path: &'a str) -> Result<&'a str, PlatformError> {
     let path = path.strip_prefix('/').unwrap_or(path);
     let class_name = path.split('/').next().unwrap_or_default();
@@ -228,12 +230,13 @@
     }
 }
 
-/// How long the client waits: its own timeout within the class's, so that nothing is held for days (seconds).
+/// Returns the timeout of the request in seconds, which is capped at the deadline of the class so that no request is held
+/// for days.
 fn parse_timeout_s(message: &Message, settings: &ClassSettings) -> Result<f64, PlatformError> {
     let Some(text) = message.header("x-timeout-ms") else {
         return Ok(settings.deadline_s);
     };
-    // The number parser alone would take a sign as well.
+    // `str::parse` also accepts a leading sign.
     if !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(PlatformError::InvalidTimeout);
     }
@@ -245,13 +248,13 @@
     }
 }
 
-/// The idempotency key, in a class that needs one; in any other it is checked and dropped.
+/// Returns the idempotency key for a class that requires one. For other classes the key is validated and ignored.
 fn parse_idempotency_key(
     message: &Message,
     settings: &ClassSettings,
 ) -> Result<Option<String>, PlatformError> {
     let key = message.header("idempotency-key");
-    if key.is_some_and(|key| !is_idempotency_key(key)) {
+    if key.is_some_and(|key| !is_valid_idempotency_key(key)) {
         return Err(PlatformError::InvalidIdempotencyKey);
     }
     if settings.effect != Effect::IdempotentWithKey {
@@ -282,7 +285,7 @@
     if requests.is_empty() {
         return Err(PlatformError::NoParts);
     }
-    // The weights of the parts that are there decide whether an answer counts as complete.
+    // Whether an answer counts as complete depends on the summed weight of its parts, so the weights must add up to 1.
     let sum = requests.iter().map(|part| part.weight).sum::<f64>();
     if (sum - 1.0).abs() > MAX_WEIGHT_ERROR {
         return Err(PlatformError::InvalidWeightSum);
@@ -290,7 +293,7 @@
     Ok(requests)
 }
 
-/// The bytes of an error in the platform's protocol; `close` announces that the connection ends after it.
+/// Serializes an error response. `close` adds `Connection: close`.
 pub(super) fn render_error(
     status: u16,
     reason: &str,
@@ -301,7 +304,7 @@
     http::json_response(status, headers, &body, close)
 }
 
-/// The bytes of a final answer in the platform's protocol; `close` announces that the connection ends after it.
+/// Serializes a final answer. `close` adds `Connection: close`.
 pub(super) fn render_answer(
     query_request: &QueryRequest,
     answer: FinalAnswer,
@@ -322,10 +325,11 @@
             retry_after_s,
         } => {
             let status = if reason == Reason::Held { 503 } else { 429 };
-            let has_advice = retry_after_s > 0.0;
-            let advice = has_advice.then(|| ("Retry-After", http::format_seconds(retry_after_s)));
+            let has_retry_after = retry_after_s > 0.0;
+            let retry_after =
+                has_retry_after.then(|| ("Retry-After", http::format_seconds(retry_after_s)));
             let text = "refused: asking again does no harm";
-            render_error(status, text, advice.as_slice(), close)
+            render_error(status, text, retry_after.as_slice(), close)
         }
         FinalAnswer::Failed {
             reason: Reason::DeadlineExceeded,
@@ -337,7 +341,7 @@
     }
 }
 
-/// The values that are there, by shard.
+/// Returns the available values with their shards.
 fn part_values(query_request: &QueryRequest, values: &[Option<Rc<str>>]) -> Vec<ValueJson> {
     let part_value = |(part, value): (&PartRequest, &Option<Rc<str>>)| {
         Some(ValueJson {
@@ -349,7 +353,7 @@
     parts.zip(values).filter_map(part_value).collect()
 }
 
-/// The page of endpoints: the address of each, whether it takes new requests, and its last load report.
+/// Renders the endpoints page: address, readiness, number of connections and latest load report of each endpoint.
 pub(super) fn render_endpoints<'a>(endpoints: impl Iterator<Item = &'a Endpoint>) -> String {
     let entry = |endpoint: &Endpoint| EndpointJson {
         name: endpoint.name.clone(),
--- a/src/net/client/reading.rs
+++ b/src/net/client/reading.rs
@@ -1,7 +1,6 @@
-//! Reading clients: from bytes on a socket to a request, and the end of a client whose request is in flight.
+//! Reading from client connections: parsing requests, responding to invalid ones, and detecting disconnected clients.
 //!
-//! This file owns what becomes of input: requests are parsed by the front of their protocol, and errors in them are
-//! answered here. It must never hand a request to the request coordinator (`routing` does).
+//! Valid queries and page requests are returned as [`ClientEvent`]s, which `routing` forwards to the other subsystems.
 
 use crate::net::client::connection::{ClientState, SocketRead, READ_BUFFER_BYTES};
 use crate::net::client::connection_error::ConnectionError;
@@ -18,11 +17,12 @@
 use slotmap::Key;
 use std::ops::ControlFlow;
 
-/// A client whose incomplete request is larger than this counts against the memory of all.
+/// Size up to which an incomplete request is accepted without a check of the memory limit.
 const SMALL_BUFFER_BYTES: usize = 4 * 1024;
 
 impl ClientConnections {
-    /// Handles an event of the client's socket: input, space for more output, or the end of the client's side.
+    /// Handles a readiness event of the client's socket. `is_disconnected` is set if the client has closed its side or the
+    /// connection has failed.
     pub(super) fn handle_socket_event(
         &mut self,
         runtime: &mut Runtime,
@@ -43,8 +43,8 @@
         None
     }
 
-    /// Reads a client until nothing is left, its connection has ended, or a request has come that concerns other
-    /// subsystems. After such an event it is to be called again.
+    /// Reads from a client until no input is left, the connection has ended, or a request has arrived that concerns another
+    /// subsystem. After handling the returned event, the caller must call this method again.
     pub(super) fn read(
         &mut self,
         runtime: &mut Runtime,
@@ -67,7 +67,7 @@
             if !client.input.is_empty() {
                 match client.next_message() {
                     Ok(Some(message)) => {
-                        let event = self.take_message(runtime, key, message, conditions);
+                        let event = self.handle_message(runtime, key, message, conditions);
                         if event.is_some() {
                             return event;
                         }
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Reads once from the socket of a client that may send a request. Breaks where there is nothing more to read.
+    /// Reads once from the socket of a client in state `Reading`. Returns `Break` if reading is to stop.
     fn receive(
         &mut self,
         runtime: &mut Runtime,
@@ -126,7 +126,7 @@
         ControlFlow::Continue(())
     }
 
-    /// Discards what a client sends after its last response, until it closes its side.
+    /// Discards input after the last response and closes the connection once the client has closed its side.
     pub(super) fn discard_input(&mut self, runtime: &mut Runtime, key: ConnectionKey) {
         let mut buffer = [0; READ_BUFFER_BYTES];
         while let Some(client) = client_mut(&mut runtime.connections, key) {
@@ -142,8 +142,8 @@
         }
     }
 
-    /// Whether the incomplete requests of all clients stay within their share of the memory, each of them being within
-    /// its own bound. A request that is alone always fits.
+    /// Returns whether the incomplete requests of all clients fit the memory limit for them. A request that is the only
+    /// incomplete one always fits; its size has its own limit in the message reader.
     fn fits_memory(
         &self,
         runtime: &Runtime,
@@ -164,8 +164,9 @@
         all <= max_bytes || all == own
     }
 
-    /// Handles a complete request by the front of its protocol.
-    fn take_message(
+    /// Parses a complete message according to the protocol of its connection. Responds to messages that do not concern other
+    /// subsystems, and returns an event for all others.
+    fn handle_message(
         &mut self,
         runtime: &mut Runtime,
         key: ConnectionKey,
@@ -177,12 +178,12 @@
         client.sent_continue = false;
         client.first_request_by = f64::MAX;
         match client.protocol {
-            Protocol::Platform => self.take_platform_message(runtime, key, message),
-            Protocol::Search => self.take_search_message(runtime, key, message, conditions),
+            Protocol::Platform => self.handle_platform_message(runtime, key, message),
+            Protocol::Search => self.handle_search_message(runtime, key, message, conditions),
         }
     }
 
-    fn take_platform_message(
+    fn handle_platform_message(
         &mut self,
         runtime: &mut Runtime,
         key: ConnectionKey,
@@ -205,7 +206,7 @@
         None
     }
 
-    fn take_search_message(
+    fn handle_search_message(
         &mut self,
         runtime: &mut Runtime,
         key: ConnectionKey,
@@ -233,7 +234,8 @@
         None
     }
 
-    /// An id for a request of the search API, unlike any other, over restarts too: leaf servers know a part by it.
+    /// Returns an id for a search API request. The id contains the start time of the process, so that it stays unique across
+    /// restarts: leaf servers identify a part by it.
     fn next_search_id(&mut self, runtime: &Runtime) -> String {
         let clock = &runtime.clock;
         loop {
@@ -246,8 +248,8 @@
         }
     }
 
-    /// Closes the connection of a client that has closed its side behind its request, before that request is begun.
-    /// Whether the client is still there.
+    /// Closes the connection if the client closed its side right after sending a request, before the request is started.
+    /// Returns whether the client is still connected.
     pub(super) fn check_connected(&mut self, runtime: &mut Runtime, key: ConnectionKey) -> bool {
         let Some(client) = client_mut(&mut runtime.connections, key) else {
             return false;
@@ -259,7 +261,7 @@
         true
     }
 
-    /// Hands a query to the request coordinator. Its final answer may be among the commands already.
+    /// Submits a query to the request coordinator. The final answer may already be among the resulting commands.
     pub(super) fn submit(
         &mut self,
         runtime: &mut Runtime,
@@ -279,8 +281,8 @@
         }
     }
 
-    /// Looks whether a client whose request is in flight has closed its side. Then its request ends at once: leaf
-    /// servers must not work for it any more.
+    /// Checks whether a client whose request is in flight has closed its side. If so, the request ends immediately, so that
+    /// leaf servers do no further work for it.
     fn detect_disconnect(&mut self, runtime: &mut Runtime, key: ConnectionKey) {
         let Some(client) = client_mut(&mut runtime.connections, key) else {
             return;
@@ -290,10 +292,10 @@
             return;
         }
         if let ClientState::InFlight(request) = client.state {
-            let held_s = runtime.now - client.state_since;
+            let elapsed_s = runtime.now - client.state_since;
             if let Some(id) = runtime.coordinator.id_of(request).map(String::from) {
                 runtime.log_request(|| {
-                    format!("request {id}: its client disconnected after {held_s:.3} s")
+                    format!("request {id}: its client disconnected after {elapsed_s:.3} s")
                 });
             }
             runtime
--- a/src/net/client/request_fields.rs
+++ b/src/net/client/request_fields.rs
@@ -1,25 +1,24 @@
-//! Fields of a request that both fronts read alike.
-//!
-//! This file owns their form. It must never know one of the protocols.
+//! Validation and parsing of request fields that both client protocols share.
 
 use crate::config::Deployment;
 
-/// Longest id, key or other field of a client that is passed on.
+/// Limit on an id, key or other client field that is forwarded to leaf servers.
 const MAX_FIELD_BYTES: usize = 200;
 
-/// Whether a field is not empty, not too long and holds only what may stand in a line of a frame.
-pub(super) fn is_field(text: &str) -> bool {
+/// Returns whether a field is not empty, not too long and contains only printable ASCII characters without spaces, as
+/// lines of the frame protocol require.
+pub(super) fn is_valid_field(text: &str) -> bool {
     !text.is_empty()
         && text.len() <= MAX_FIELD_BYTES
         && text.bytes().all(|byte| byte.is_ascii_graphic())
 }
 
-/// Whether a field may be an idempotency key.
-pub(super) fn is_idempotency_key(text: &str) -> bool {
-    is_field(text) && !text.contains(',')
+/// Returns whether a field is valid as an idempotency key.
+pub(super) fn is_valid_idempotency_key(text: &str) -> bool {
+    is_valid_field(text) && !text.contains(',')
 }
 
-/// A tenant's place in the settings, by its name; 0 where there are no tenants, none where the name is no tenant's.
+/// Returns the index of a tenant in the settings: 0 if no tenants are configured, `None` if the name is missing or unknown.
 pub(super) fn tenant_index(deployment: &Deployment, name: Option<&str>) -> Option<u32> {
     let index = deployment
         .tenants
@@ -32,8 +31,8 @@
     }
 }
 
-/// A routing key as the decision module knows it: hexadecimal digits that fit 64 bits as their number, anything else by
-/// its hash (FNV-1a).
+/// Converts a routing key to the 64-bit form of the decision module: a hexadecimal number that fits into 64 bits by its
+/// value, any other text by its FNV-1a hash.
 pub(super) fn route_key(text: &str) -> u64 {
     const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const FNV_PRIME: u64 = 0x100_0000_01b3;
--- a/src/net/client/routing.rs
+++ b/src/net/client/routing.rs
@@ -1,7 +1,6 @@
-//! The connections of clients among the other subsystems of the loop.
+//! Integration of client connections into the event loop.
 //!
-//! This file owns no state. It must never do more than call [`ClientConnections`] and lead its events to the subsystems
-//! that they concern, in the order in which they arise.
+//! Calls [`ClientConnections`] and forwards its events to the other subsystems in the order in which they arise.
 //!
 //! [`ClientConnections`]: crate::net::client::connections::ClientConnections
 
@@ -10,7 +9,7 @@
 use crate::net::client::opensearch::SearchContext;
 use crate::net::client::pages::Page;
 use crate::net::client::platform;
-use crate::net::client::writing::log_unanswered;
+use crate::net::client::writing::log_unsuccessful_request;
 use crate::net::event_loop::{Mixer, TurnEvents, ACCEPT_AGAIN_S};
 use crate::net::http::{self, Message, StartLine};
 use crate::net::socket::is_out_of_descriptors;
@@ -22,7 +21,7 @@
 use std::io;
 
 impl Mixer {
-    /// What the other subsystems have to say now on how clients are served.
+    /// Returns the current state of the other subsystems that affects how clients are served.
     fn serving_conditions(&self) -> ServingConditions {
         ServingConditions {
             has_store: self.store.is_some(),
@@ -31,7 +30,7 @@
         }
     }
 
-    /// Accepts all clients that wait on a listener, if it is open.
+    /// Accepts all pending client connections of a listener, if the listener is open.
     pub(in crate::net) fn accept(&mut self, protocol: Protocol) {
         loop {
             let Some(listener) = self.listeners.get(protocol) else {
@@ -43,7 +42,8 @@
                     io::ErrorKind::WouldBlock => return,
                     io::ErrorKind::Interrupted | io::ErrorKind::ConnectionAborted => {}
                     _ => {
-                        // Out of descriptors or memory: the queue stays, and no event tells of it again.
+                        // Out of descriptors or memory. The connections stay in the accept queue, and the edge-triggered
+                        // poll does not report them again, so a timer retries.
                         self.runtime.log(&format!("accept: {error}"));
                         self.free_descriptor_after(&error);
                         self.runtime
@@ -56,10 +56,10 @@
         }
     }
 
-    /// Serves an accepted client, or rejects it where all others wait for answers.
+    /// Serves an accepted client, or rejects it if the client limit is reached and no other connection can be evicted.
     fn add_client(&mut self, stream: TcpStream, protocol: Protocol) {
         let max_clients = self.connection_limits().clients;
-        if self.clients.count() >= max_clients && !self.evict_up_to(EvictionRank::Fresh) {
+        if self.clients.count() >= max_clients && !self.evict_up_to(EvictionRank::RecentlyActive) {
             let conditions = self.serving_conditions();
             return self.clients.reject(
                 &mut self.runtime,
@@ -77,15 +77,15 @@
         self.clients.schedule_deadline(&mut self.runtime, key);
     }
 
-    /// Closes the connection of a client that waits for nothing where a system call has failed for want of descriptors.
+    /// Evicts an idle or answered client if a system call has failed because the process is out of descriptors.
     pub(in crate::net) fn free_descriptor_after(&mut self, error: &io::Error) {
         if is_out_of_descriptors(error) {
             let _ = self.evict_up_to(EvictionRank::Idle);
         }
     }
 
-    /// Closes the connection of one client of at most that rank; whether there was one. Clients whose requests are in
-    /// flight stay. Each is read once more before, since its request may have come.
+    /// Evicts one client with a rank of at most `max_rank`. Returns whether a connection was closed. Each candidate is read
+    /// once more first, because a request may have arrived; clients with a request in flight are not evicted.
     fn evict_up_to(&mut self, max_rank: EvictionRank) -> bool {
         while let Some(candidate) =
             find_candidate(&self.runtime.connections, max_rank, self.runtime.now)
@@ -98,14 +98,14 @@
         false
     }
 
-    /// Reads a client until nothing is left, and handles the requests that have come.
+    /// Reads from a client until no input is left, and handles the requests.
     pub(in crate::net) fn read_client(&mut self, key: ConnectionKey) {
         let conditions = self.serving_conditions();
         let event = self.clients.read(&mut self.runtime, key, conditions);
         self.route_client_event(key, event);
     }
 
-    /// Handles an event of a client's socket. `is_disconnected` says that the client has closed its side, or that the
+    /// Handles a readiness event of a client's socket. `is_disconnected` is set if the client has closed its side or the
     /// connection has failed.
     pub(in crate::net) fn handle_client_event(
         &mut self,
@@ -120,13 +120,14 @@
         self.route_client_event(key, event);
     }
 
-    /// Handles a timer of a client's connection.
+    /// Handles an expired timer of a client connection.
     pub(in crate::net) fn handle_client_timer(&mut self, key: ConnectionKey) {
         let event = self.clients.handle_timer(&mut self.runtime, key);
         self.route_client_event(key, event);
     }
 
-    /// Leads an event to the subsystem that it concerns and reads its client on, until nothing more comes of it.
+    /// Forwards an event to the responsible subsystem and continues reading from the client, until reading yields no further
+    /// event.
     fn route_client_event(&mut self, key: ConnectionKey, mut event: Option<ClientEvent>) {
         while let Some(current) = event {
             match current {
@@ -142,7 +143,8 @@
         }
     }
 
-    /// Hands a query to the request coordinator, unless its client has gone already.
+    /// Submits a query to the request coordinator, unless the client has disconnected. The timeout is reduced by the longest
+    /// time for which the request may have waited in the socket.
     fn submit_query(
         &mut self,
         key: ConnectionKey,
@@ -152,22 +154,22 @@
         if !self.clients.check_connected(&mut self.runtime, key) {
             return;
         }
-        // It may have come right after the sockets were last polled: its client waits for so much less.
+        // The request may have arrived right after the previous poll, so the client may already have waited since then.
         let read_at = if self.runtime.is_held_up() {
             self.runtime.clock.now()
         } else {
             self.runtime.now
         };
         let max_age_s = read_at - self.runtime.previous_turn_at;
-        let longest_s = read_at - self.runtime.now + query_request.timeout_s;
+        let max_timeout_s = read_at - self.runtime.now + query_request.timeout_s;
         query_request.timeout_s = (query_request.timeout_s - max_age_s).max(0.0);
-        query_request.timeout_uncertainty_s = longest_s - query_request.timeout_s;
+        query_request.timeout_uncertainty_s = max_timeout_s - query_request.timeout_s;
         self.list_needed();
         self.clients
             .submit(&mut self.runtime, key, query_request, search_context);
     }
 
-    /// Serves one of the pages for operators and load balancers.
+    /// Serves a page under `/-/`, for operators and load balancers.
     fn serve_page(&mut self, key: ConnectionKey, message: &Message) {
         let StartLine::Request { method, target } = &message.start else {
             return;
@@ -188,12 +190,12 @@
         self.respond(key, http::json_response(status, &[], &body, closes), closes);
     }
 
-    /// Begins to write a response to a client, after which its connection ends where `closes` says so.
+    /// Starts writing a response to a client. If `closes` is set, the connection ends after the response.
     pub(in crate::net) fn respond(&mut self, key: ConnectionKey, bytes: Vec<u8>, closes: bool) {
         self.clients.respond(&mut self.runtime, key, bytes, closes);
     }
 
-    /// Gives a client the final answer to its request. `took_s` is how long the request was in flight.
+    /// Sends the final answer to a request. `took_s` is the time that the request was in flight.
     pub(in crate::net) fn reply(
         &mut self,
         key: ConnectionKey,
@@ -204,34 +206,35 @@
         let closes = self.closes_after_response();
         let list_revision = self.discovery.revision();
         let runtime = &mut self.runtime;
-        log_unanswered(runtime, query_request, &answer, took_s, list_revision);
+        log_unsuccessful_request(runtime, query_request, &answer, took_s, list_revision);
         self.clients
             .reply(runtime, key, query_request, answer, took_s, closes);
     }
 
-    /// Ends the connections of idle clients, except those that connected within the last `fresh_s` seconds and may be
-    /// about to send a request.
-    pub(in crate::net) fn close_idle_clients(&mut self, fresh_s: f64) {
+    /// Closes the connections of idle clients, except those that connected within the last `min_age_s` seconds and may be
+    /// about to send a first request.
+    pub(in crate::net) fn close_idle_clients(&mut self, min_age_s: f64) {
         for key in self.clients.keys(&self.runtime) {
-            self.end_if_idle(key, fresh_s);
+            self.end_if_idle(key, min_age_s);
             self.settle();
         }
     }
 
-    /// Reads a client once more and ends its connection if it still is idle.
-    fn end_if_idle(&mut self, key: ConnectionKey, fresh_s: f64) {
+    /// Reads from a client once more, and closes its connection if the client is still idle.
+    fn end_if_idle(&mut self, key: ConnectionKey, min_age_s: f64) {
         self.read_client(key);
-        self.clients.end_if_idle(&mut self.runtime, key, fresh_s);
+        self.clients.end_if_idle(&mut self.runtime, key, min_age_s);
     }
 
-    /// Handles the clients that have closed their sides before anything else is done that could be for them: whoever has
-    /// gone gets no further attempt, also where one is found to have failed in the same turn. What follows from it is left to
-    /// [`Mixer::settle`], because to cancel an attempt of one client may send what its connection holds for another.
+    /// Handles disconnected clients before all other events of the iteration, so that their requests cause no further
+    /// attempts even if an attempt is found to have failed in the same iteration. The resulting commands are left to
+    /// [`Mixer::settle`], because cancelling an attempt of one client may send parts that its leaf connection queues for
+    /// another client.
     pub(in crate::net) fn handle_client_disconnects(&mut self, events: &TurnEvents) {
-        let is_end = |event: &&mio::event::Event| event.is_read_closed() || event.is_error();
-        for event in events.iter().filter(is_end) {
+        let is_disconnect = |event: &&mio::event::Event| event.is_read_closed() || event.is_error();
+        for event in events.iter().filter(is_disconnect) {
             let key = connection_key(event.token());
-            // The token of a listener makes a key too, but not the other way round.
+            // The token of a listener also converts to a key, but that key does not convert back to the same token.
             let is_connection = token(key) == event.token();
             if is_connection && self.clients.has_request(&self.runtime, key) {
                 self.handle_client_event(key, true);
--- a/src/net/client/writing.rs
+++ b/src/net/client/writing.rs
@@ -1,7 +1,4 @@
-//! Writing responses to clients, and the end of a connection after its last response.
-//!
-//! This file owns when a response is out and what follows. It must never make up an answer: final answers come from the
-//! request coordinator, pages from their owners.
+//! Writing responses to clients, and closing connections after their last response.
 
 use crate::net::client::connection::{ClientState, WriteProgress};
 use crate::net::client::connection_error::ConnectionError;
@@ -12,8 +9,8 @@
 use crate::requests::coordinator::{FinalAnswer, QueryRequest};
 
 impl ClientConnections {
-    /// Begins to write a response, after which the connection ends where `closes` says so. A client that has gone in the
-    /// meantime gets none.
+    /// Starts writing a response. If `closes` is set, the connection ends after the response. Does nothing if the client has
+    /// disconnected.
     pub(in crate::net) fn respond(
         &mut self,
         runtime: &mut Runtime,
@@ -46,7 +43,7 @@
         self.respond(runtime, key, bytes, true);
     }
 
-    /// Gives a client the final answer to its request, in its protocol. `took_s` is how long the request was in flight.
+    /// Sends the final answer to a request in the client's protocol. `took_s` is the time that the request was in flight.
     pub(super) fn reply(
         &mut self,
         runtime: &mut Runtime,
@@ -69,8 +66,8 @@
         self.respond(runtime, key, bytes, closes);
     }
 
-    /// Writes as much of the response as the socket takes. After all of it the client is read on, or its
-    /// connection ends.
+    /// Writes as much of the response as the socket accepts. After the whole response, the connection is scheduled for
+    /// reading or ends.
     pub(super) fn write(&mut self, runtime: &mut Runtime, key: ConnectionKey) {
         let Some(client) = client_mut(&mut runtime.connections, key) else {
             return;
@@ -86,17 +83,18 @@
             return self.linger(runtime, key);
         }
         self.schedule_deadline(runtime, key);
-        // More may have come in the meantime, and no event tells of it again. It is not read here: a client that sends
-        // many requests ahead would deepen the recursion with each.
+        // Input may have arrived during the response, and the edge-triggered poll does not report it again. Reading here
+        // would recurse once for each pipelined request, so the connection is read later.
         self.resumed.push(key);
     }
 
-    /// Shuts down our side and waits for the client's: closing at once could destroy a response on its way.
+    /// Shuts down the write side and waits for the client to close its side. An immediate close could reset the connection
+    /// while the response is in transit.
     pub(super) fn linger(&mut self, runtime: &mut Runtime, key: ConnectionKey) {
         let Some(client) = client_mut(&mut runtime.connections, key) else {
             return;
         };
-        // It fails only where the connection has ended, which the read below finds.
+        // The shutdown fails only if the connection has already ended, which the read below detects.
         let _ = client.stream.shutdown(std::net::Shutdown::Write);
         client.enter(ClientState::Lingering, runtime.now);
         client.input.clear();
@@ -105,15 +103,15 @@
     }
 }
 
-/// Logs a request that got no answer from leaf servers: how it ended, why, and by which endpoint list it was handled.
-pub(super) fn log_unanswered(
+/// Logs a rejected or failed request with its reason, duration, class and the revision of the endpoint list.
+pub(super) fn log_unsuccessful_request(
     runtime: &mut Runtime,
     query_request: &QueryRequest,
     answer: &FinalAnswer,
     took_s: f64,
     list_revision: Option<u64>,
 ) {
-    let (ending, reason) = match answer {
+    let (outcome, reason) = match answer {
         FinalAnswer::Answered { .. } => return,
         FinalAnswer::Rejected { reason, .. } => ("rejected", reason.label()),
         FinalAnswer::Failed { reason, .. } => ("failed", reason.label()),
@@ -123,7 +121,7 @@
         let class_name = &query_request.class_name;
         let count = query_request.parts.len();
         format!(
-            "request {id}: {ending} ({reason}) after {took_s:.3} s, {class_name}, {count} parts, \
+            "request {id}: {outcome} ({reason}) after {took_s:.3} s, {class_name}, {count} parts, \
              list revision {list_revision:?}"
         )
     });
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -1,48 +1,47 @@
-//! HTTP/1.1 messages, read and written.
+//! Parser and serializer for HTTP/1.1 messages.
 //!
-//! This file owns the bounds on messages and the reading of bodies by length, in chunks or up to the end of
-//! a connection. It must never hold a socket, never keep more of a message than its bounds allow, and never
-//! panic on what it reads: whatever is wrong is an [`HttpError`] with the status that fits.
+//! [`MessageReader`] parses requests and responses incrementally from a byte buffer and enforces limits on the size of
+//! the head and the body. Malformed input yields an [`HttpError`] with a matching status, never a panic.
 
 use std::fmt::Write;
 use thiserror::Error;
 
-/// Longest start line and headers together.
+/// Limit on the total size of the start line and the headers.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Most headers of a message.
+/// Limit on the number of headers in a message.
 const MAX_HEADERS: usize = 64;
-/// Longest line with the size of a chunk, and longest trailer.
+/// Limit on a chunk size line, and on a trailer line.
 const MAX_CHUNK_LINE_BYTES: usize = 1024;
-/// Line end behind the data of a chunk.
+/// Line terminator after the data of a chunk.
 const CRLF: &[u8] = b"\r\n";
 
-/// Why a message cannot be read.
+/// Error of parsing a message.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum HttpError {
-    /// It is not HTTP/1.
+    /// Input that is not a valid HTTP/1 message.
     #[error("malformed message")]
     Malformed,
-    /// The length of its body is given twice, or in a form that is not known.
+    /// Repeated or invalid `Content-Length`, unsupported `Transfer-Encoding`, or both headers in one message.
     #[error("unclear length of body")]
     AmbiguousLength,
-    /// Its body is longer than allowed.
+    /// Body above the limit of the reader.
     #[error("body too large ({bytes} bytes or more, {limit} are read)")]
     BodyTooLarge {
-        /// The least that the length of the body can be (bytes).
+        /// Lower bound on the length of the body (bytes).
         bytes: usize,
-        /// The longest body that is read (bytes).
+        /// Maximum length of a body (bytes).
         limit: usize,
     },
-    /// Its start line and headers, or the lines of its chunks, are longer than allowed.
+    /// Head with too many bytes or headers, or overlong trailer line.
     #[error("headers too large")]
     HeadTooLarge,
-    /// The connection ended before the message did.
+    /// End of the connection before the end of the message.
     #[error("message cut off")]
     Truncated,
 }
 
 impl HttpError {
-    /// The status of the response to such a request.
+    /// Returns the status code of the response to a request with this error.
     pub fn status(self) -> u16 {
         match self {
             HttpError::BodyTooLarge { .. } => 413,
@@ -52,40 +51,41 @@
     }
 }
 
-/// The start line of a message.
+/// Parsed start line of a message, without the HTTP version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartLine {
-    /// A request.
+    /// Request line.
     Request {
-        /// Its method.
+        /// Method as received, such as `GET`.
         method: String,
-        /// Its target, not decoded.
+        /// Request target, not percent-decoded.
         target: String,
     },
-    /// A response.
+    /// Status line.
     Response {
-        /// Its status.
+        /// Status code.
         status: u16,
     },
 }
 
-/// A complete message.
+/// Complete HTTP message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// Its start line.
+    /// Request or status line.
     pub start: StartLine,
-    /// Its headers, in order.
+    /// Names and values of the headers in the order received, with names in their original case.
     pub headers: Vec<(String, String)>,
-    /// Its body.
+    /// Body after removal of any chunked coding.
     pub body: Vec<u8>,
-    /// Whether the connection may be used again after it.
+    /// Whether the connection can carry further messages after this one.
     pub keep_alive: bool,
-    /// Whether it says itself where it ends: one that ends with its connection may be cut off unseen.
+    /// Whether the message carries its own length or chunked coding. Truncation of a message that ends with its
+    /// connection cannot be detected.
     pub is_delimited: bool,
 }
 
 impl Message {
-    /// The value of the first header of that name, in any case, without the space around it.
+    /// Returns the trimmed value of the first header with this name, compared without regard to case.
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self
             .headers
@@ -95,46 +95,45 @@
     }
 }
 
-/// How a message says where its body ends.
+/// Method by which the end of a message body is determined.
 enum BodyFraming {
-    /// By its length in bytes.
+    /// `Content-Length` in bytes.
     Length(usize),
-    /// In chunks.
+    /// Chunked transfer coding.
     Chunked(ChunkedBody),
-    /// With the connection.
+    /// End of the connection.
     UntilClose,
 }
 
-/// How far a chunked body has been read.
+/// Progress of reading a chunked body.
 #[derive(Default)]
 struct ChunkedBody {
-    /// What the present chunk still lacks, its line end included.
+    /// Bytes of the current chunk that are still to be read, including its line terminator.
     remaining_bytes: usize,
-    /// The chunk of size 0 has come: only trailers follow.
+    /// Whether the chunk of size 0 has been read, after which only trailers follow.
     is_in_trailers: bool,
 }
 
-/// A message whose head is read and whose body is not complete.
+/// Message whose head has been parsed and whose body is incomplete.
 struct PartialMessage {
     message: Message,
     framing: BodyFraming,
 }
 
-/// Requests that may have longer bodies than all others.
+/// Higher body limit for requests with a certain target prefix.
 #[derive(Clone, Copy)]
 struct LargerBodies {
     target_prefix: &'static str,
     max_bytes: usize,
 }
 
-/// Which messages a reader expects.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum MessageKind {
     Request,
     Response,
 }
 
-/// Reads messages one after the other from a buffer that grows.
+/// Incremental parser for a sequence of messages on one connection.
 pub struct MessageReader {
     kind: MessageKind,
     default_max_body_bytes: usize,
@@ -143,12 +142,12 @@
 }
 
 impl MessageReader {
-    /// A reader of requests with bodies of at most so many bytes.
+    /// Returns a reader for requests with bodies of up to `max_body_bytes`.
     pub fn requests(max_body_bytes: usize) -> MessageReader {
         MessageReader::new(MessageKind::Request, max_body_bytes)
     }
 
-    /// A reader of responses with bodies of at most so many bytes.
+    /// Returns a reader for responses with bodies of up to `max_body_bytes`.
     pub fn responses(max_body_bytes: usize) -> MessageReader {
         MessageReader::new(MessageKind::Response, max_body_bytes)
     }
@@ -162,7 +161,7 @@
         }
     }
 
-    /// Allows longer bodies, of at most so many bytes, to requests whose target begins with a prefix.
+    /// Sets a separate body limit of `max_bytes` for requests whose target starts with `target_prefix`.
     pub fn with_larger_bodies(
         mut self,
         target_prefix: &'static str,
@@ -175,7 +174,7 @@
         self
     }
 
-    /// The longest body that a message with this start line may have.
+    /// Returns the body limit for a message with this start line.
     fn max_body_bytes(&self, start: &StartLine) -> usize {
         let StartLine::Request { target, .. } = start else {
             return self.default_max_body_bytes;
@@ -185,13 +184,13 @@
             .map_or(self.default_max_body_bytes, |larger| larger.max_bytes)
     }
 
-    /// Whether the head of a message is read and its body is not complete.
+    /// Returns whether a message has a parsed head and an incomplete body.
     pub fn is_inside_message(&self) -> bool {
         self.partial.is_some()
     }
 
-    /// The status of the response that is being read, once its start line is there; `buffer` holds what has not been
-    /// read.
+    /// Returns the status of the incomplete response, if enough of its status line has been received. `buffer` holds the
+    /// bytes that were received and not yet parsed.
     pub fn pending_status(&self, buffer: &[u8]) -> Option<u16> {
         let start = self.partial.as_ref().map(|partial| &partial.message.start);
         if let Some(StartLine::Response { status }) = start {
@@ -203,14 +202,14 @@
         status.parse().ok()
     }
 
-    /// Bytes of the body being read that are held here.
+    /// Returns the number of bytes of the incomplete body that the reader has taken from the buffer.
     pub fn buffered_bytes(&self) -> usize {
         self.partial
             .as_ref()
             .map_or(0, |partial| partial.message.body.len())
     }
 
-    /// Whether the client waits for `100 Continue` before it sends the body of the request being read.
+    /// Returns whether the incomplete request has the header `Expect: 100-continue`.
     pub fn expects_continue(&self) -> bool {
         let expectation = self
             .partial
@@ -219,8 +218,9 @@
         expectation.is_some_and(|value| value.eq_ignore_ascii_case("100-continue"))
     }
 
-    /// Takes from the front of the buffer what belongs to the next message, and gives that once it is complete.
-    /// `is_end_of_stream` says that nothing more comes on the connection. After an error the connection can't be read on.
+    /// Removes the bytes of the next message from the front of the buffer, and returns the message once it is complete.
+    /// `is_end_of_stream` is set when the peer has closed its side of the connection. After an error the reader must not be
+    /// used further, because the position of the next message is unknown.
     pub fn read(
         &mut self,
         buffer: &mut Vec<u8>,
@@ -264,7 +264,7 @@
         Ok(None)
     }
 
-    /// Takes the head of the next message from the front of the buffer, once it is complete.
+    /// Parses the head of the next message and removes it from the buffer, once it is complete.
     fn read_head(&self, buffer: &mut Vec<u8>) -> Result<Option<PartialMessage>, HttpError> {
         let Some(head) = Head::parse(self.kind, buffer)? else {
             return Ok(None);
@@ -288,8 +288,8 @@
         Ok(Some(PartialMessage { message, framing }))
     }
 
-    /// How the body of a message ends. A length that is given twice, or beside chunks, is an error: two programs could
-    /// read two different messages.
+    /// Determines the framing of the body. A repeated length, or a length in addition to a transfer coding, is an error:
+    /// another HTTP implementation could see a different message boundary (request smuggling).
     fn body_framing(&self, message: &Message) -> Result<BodyFraming, HttpError> {
         let mut lengths = header_values(message, "content-length");
         let mut codings = header_values(message, "transfer-encoding");
@@ -314,7 +314,7 @@
         if !is_number || lengths.next().is_some() {
             return Err(HttpError::AmbiguousLength);
         }
-        // Digits alone that are no number are too many of them.
+        // Parsing a string of digits only fails on overflow.
         let length = length.parse::<usize>().unwrap_or(usize::MAX);
         let limit = self.max_body_bytes(&message.start);
         if length > limit {
@@ -324,7 +324,7 @@
     }
 }
 
-/// StartLine line and headers of a message, and how many bytes of the buffer they take.
+/// Parsed start line and headers of a message, and their length in the buffer.
 struct Head {
     start: StartLine,
     headers: Vec<(String, String)>,
@@ -333,7 +333,7 @@
 }
 
 impl Head {
-    /// Parses the head at the front of the buffer; none where it is not complete.
+    /// Parses the head at the front of the buffer. Returns `None` if the head is incomplete.
     fn parse(kind: MessageKind, buffer: &[u8]) -> Result<Option<Head>, HttpError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         match kind {
@@ -391,7 +391,7 @@
     }
 }
 
-/// The values of all headers of that name, in order.
+/// Returns the trimmed values of all headers with this name, in order.
 fn header_values<'a>(message: &'a Message, name: &'static str) -> impl Iterator<Item = &'a str> {
     message
         .headers
@@ -404,27 +404,27 @@
     HttpError::BodyTooLarge { bytes, limit }
 }
 
-/// What one step through a chunked body came to.
+/// Result of one step in reading a chunked body.
 enum ChunkStep {
-    /// So many bytes of the buffer are used; there may be more.
-    Used(usize),
-    /// So many bytes are used, and the body is complete.
+    /// Number of bytes consumed from the buffer; the next step may consume more.
+    Consumed(usize),
+    /// Number of bytes consumed; the body is complete.
     Complete(usize),
-    /// More bytes have to come.
+    /// Too few bytes in the buffer for the next step.
     Incomplete,
 }
 
 impl ChunkedBody {
-    /// Moves what is there of the body from the front of the buffer; whether it is complete.
+    /// Moves the received part of the body from the buffer to `body`. Returns whether the body is complete.
     fn read(
         &mut self,
         buffer: &mut Vec<u8>,
         body: &mut Vec<u8>,
         max_body_bytes: usize,
     ) -> Result<bool, HttpError> {
-        let mut used_bytes = 0;
+        let mut consumed_bytes = 0;
         let is_complete = loop {
-            let rest = &buffer[used_bytes..];
+            let rest = &buffer[consumed_bytes..];
             let step = if self.remaining_bytes > 0 {
                 self.read_data(rest, body)?
             } else if self.is_in_trailers {
@@ -433,19 +433,19 @@
                 self.read_size(rest, body.len(), max_body_bytes)?
             };
             match step {
-                ChunkStep::Used(count) => used_bytes += count,
+                ChunkStep::Consumed(count) => consumed_bytes += count,
                 ChunkStep::Complete(count) => {
-                    used_bytes += count;
+                    consumed_bytes += count;
                     break true;
                 }
                 ChunkStep::Incomplete => break false,
             }
         };
-        buffer.drain(..used_bytes);
+        buffer.drain(..consumed_bytes);
         Ok(is_complete)
     }
 
-    /// Reads data of the present chunk, and the line end behind it.
+    /// Reads data of the current chunk, or the line terminator after the data.
     fn read_data(&mut self, rest: &[u8], body: &mut Vec<u8>) -> Result<ChunkStep, HttpError> {
         if self.remaining_bytes > CRLF.len() {
             let count = rest.len().min(self.remaining_bytes - CRLF.len());
@@ -454,7 +454,7 @@
             }
             body.extend_from_slice(&rest[..count]);
             self.remaining_bytes -= count;
-            return Ok(ChunkStep::Used(count));
+            return Ok(ChunkStep::Consumed(count));
         }
         if rest.len() < CRLF.len() {
             return Ok(ChunkStep::Incomplete);
@@ -463,7 +463,7 @@
             return Err(HttpError::Malformed);
         }
         self.remaining_bytes = 0;
-        Ok(ChunkStep::Used(CRLF.len()))
+        Ok(ChunkStep::Consumed(CRLF.len()))
     }
 
     /// Reads the line with the size of the next chunk.
@@ -482,7 +482,7 @@
                 }
                 self.is_in_trailers = size == 0;
                 self.remaining_bytes = if size == 0 { 0 } else { size + CRLF.len() };
-                Ok(ChunkStep::Used(line_bytes))
+                Ok(ChunkStep::Consumed(line_bytes))
             }
             Ok(httparse::Status::Partial) if rest.len() <= MAX_CHUNK_LINE_BYTES => {
                 Ok(ChunkStep::Incomplete)
@@ -492,17 +492,16 @@
     }
 }
 
-/// Skips a trailer; the body ends with an empty line.
+/// Skips one trailer line. An empty line ends the body.
 fn read_trailer(rest: &[u8]) -> Result<ChunkStep, HttpError> {
     match rest.iter().position(|byte| *byte == b'\n') {
         Some(end) if end == 0 || &rest[..end] == b"\r" => Ok(ChunkStep::Complete(end + 1)),
-        Some(end) => Ok(ChunkStep::Used(end + 1)),
+        Some(end) => Ok(ChunkStep::Consumed(end + 1)),
         None if rest.len() > MAX_CHUNK_LINE_BYTES => Err(HttpError::HeadTooLarge),
         None => Ok(ChunkStep::Incomplete),
     }
 }
 
-/// The reason phrase of a status.
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -523,12 +522,12 @@
     }
 }
 
-/// The bytes of a response with a JSON body; `close` announces that the connection ends after it.
+/// Serializes a response with a JSON body. `close` adds `Connection: close`.
 pub fn json_response(status: u16, headers: &[(&str, String)], body: &str, close: bool) -> Vec<u8> {
     response_with_content_type(status, "application/json", headers, body, close)
 }
 
-/// The bytes of a response with a body of a content type; `close` announces that the connection ends after it.
+/// Serializes a response with a body of the given content type. `close` adds `Connection: close`.
 pub fn response_with_content_type(
     status: u16,
     content_type: &str,
@@ -552,7 +551,7 @@
     out.into_bytes()
 }
 
-/// Seconds as text for `Retry-After`: rounded down to milliseconds, so that no bound is passed.
+/// Formats a number of seconds for `Retry-After`, rounded down to milliseconds so that the text never exceeds the value.
 pub fn format_seconds(time_s: f64) -> String {
     let text = format!("{:.3}", (time_s.max(0.0) * 1000.0).floor() / 1000.0);
     text.trim_end_matches('0').trim_end_matches('.').to_string()
--- a/src/net/http/tests.rs
+++ b/src/net/http/tests.rs
@@ -1,15 +1,18 @@
-//! Tests of the reader of messages: bounds, framing, and messages that come in pieces.
+//! Tests of the message reader: size limits, body framing, and messages that arrive in several reads.
 
 use super::*;
 use rstest::rstest;
 
-/// Reads a message that comes byte by byte.
-fn read_in_pieces(mut reader: MessageReader, text: &str) -> Result<Option<Message>, HttpError> {
+/// Feeds `text` to the reader byte by byte, until a message is complete.
+fn read_byte_by_byte(mut reader: MessageReader, text: &str) -> Result<Option<Message>, HttpError> {
     let mut buffer = Vec::new();
     for byte in text.bytes() {
         buffer.push(byte);
         if let Some(message) = reader.read(&mut buffer, false)? {
-            assert_eq!(buffer, b"", "nothing is left after the last byte");
+            assert_eq!(
+                buffer, b"",
+                "the buffer is empty after the last byte of the message"
+            );
             return Ok(Some(message));
         }
     }
@@ -18,22 +21,25 @@
 
 #[rstest]
 #[case::by_length("POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc", "abc")]
-#[case::in_chunks(
+#[case::chunked(
     "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n2;x=y\r\nbc\r\n0\r\nT: v\r\n\r\n",
     "abc"
 )]
 #[case::without_body("GET / HTTP/1.1\r\n\r\n", "")]
-fn a_request_that_comes_in_pieces_is_read_once_it_is_complete(
+fn a_request_received_byte_by_byte_is_returned_once_complete(
     #[case] text: &str,
     #[case] body: &str,
 ) {
-    let message = read_in_pieces(MessageReader::requests(10), text)
+    let message = read_byte_by_byte(MessageReader::requests(10), text)
         .unwrap()
         .unwrap();
     assert_eq!(message.body, body.as_bytes());
     assert!(message.keep_alive && message.is_delimited);
     let cut = &text[..text.len() - 1];
-    assert_eq!(read_in_pieces(MessageReader::requests(10), cut), Ok(None));
+    assert_eq!(
+        read_byte_by_byte(MessageReader::requests(10), cut),
+        Ok(None)
+    );
 }
 
 #[rstest]
@@ -41,7 +47,7 @@
     "Content-Length: 1\r\nContent-Length: 1\r\n",
     HttpError::AmbiguousLength
 )]
-#[case::length_beside_chunks(
+#[case::length_with_chunked_coding(
     "Transfer-Encoding: chunked\r\nContent-Length: 1\r\n",
     HttpError::AmbiguousLength
 )]
@@ -49,41 +55,38 @@
 #[case::unknown_coding("Transfer-Encoding: gzip\r\n", HttpError::AmbiguousLength)]
 #[case::long_body("Content-Length: 11\r\n", HttpError::BodyTooLarge { bytes: 11, limit: 10 })]
 #[case::malformed("no header\r\n", HttpError::Malformed)]
-fn a_head_that_two_programs_could_read_differently_is_an_error(
-    #[case] headers: &str,
-    #[case] error: HttpError,
-) {
+fn an_ambiguous_or_malformed_head_is_an_error(#[case] headers: &str, #[case] error: HttpError) {
     let text = format!("POST / HTTP/1.1\r\n{headers}\r\n");
     assert_eq!(
-        read_in_pieces(MessageReader::requests(10), &text),
+        read_byte_by_byte(MessageReader::requests(10), &text),
         Err(error)
     );
 }
 
 #[test]
-fn chunks_beyond_the_bound_on_bodies_are_an_error_before_they_are_read() {
+fn a_chunk_beyond_the_body_limit_is_an_error_before_its_data_arrives() {
     let text = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nabcdef\r\n5\r\n";
     let (bytes, limit) = (11, 10);
     let error = HttpError::BodyTooLarge { bytes, limit };
     assert_eq!(
-        read_in_pieces(MessageReader::requests(limit), text),
+        read_byte_by_byte(MessageReader::requests(limit), text),
         Err(error)
     );
 }
 
 #[test]
-fn larger_bodies_are_read_for_their_targets_alone() {
+fn the_larger_body_limit_applies_only_to_its_target_prefix() {
     let reader = || MessageReader::requests(2).with_larger_bodies("/large/", 3);
     let text = |target: &str| format!("PUT {target} HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc");
-    let message = read_in_pieces(reader(), &text("/large/key")).unwrap();
+    let message = read_byte_by_byte(reader(), &text("/large/key")).unwrap();
     assert_eq!(message.unwrap().body, b"abc");
     let (bytes, limit) = (3, 2);
     let error = HttpError::BodyTooLarge { bytes, limit };
-    assert_eq!(read_in_pieces(reader(), &text("/other")), Err(error));
+    assert_eq!(read_byte_by_byte(reader(), &text("/other")), Err(error));
 }
 
 #[test]
-fn a_response_without_a_length_ends_with_its_connection() {
+fn a_response_without_a_length_ends_when_the_connection_closes() {
     let mut reader = MessageReader::responses(10);
     let mut buffer = b"HTTP/1.1 200 OK\r\n\r\nab".to_vec();
     assert_eq!(reader.read(&mut buffer, false), Ok(None));
@@ -96,7 +99,7 @@
 }
 
 #[test]
-fn a_message_that_its_connection_cuts_off_is_an_error() {
+fn a_message_truncated_by_the_end_of_the_connection_is_an_error() {
     for text in ["GET / HT", "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nab"] {
         let mut buffer = text.as_bytes().to_vec();
         let result = MessageReader::requests(10).read(&mut buffer, true);
@@ -105,7 +108,7 @@
 }
 
 #[test]
-fn headers_beyond_the_bounds_are_an_error() {
+fn headers_beyond_the_limits_are_an_error() {
     let long = format!("GET / HTTP/1.1\r\nX: {}", "x".repeat(MAX_HEAD_BYTES));
     let many = format!(
         "GET / HTTP/1.1\r\n{}\r\n",
--- a/src/net/operator_routing.rs
+++ b/src/net/operator_routing.rs
@@ -1,11 +1,11 @@
-//! The loop's side of the operators' subsystems: what brings the admin interface, the store and VRRP together with clients,
-//! the endpoint list, settings, listeners and the phases of the process.
+//! Integration of the admin interface, the store and VRRP into the event loop.
 //!
-//! This file owns no state. It must never decide anything: it calls one subsystem, and leads what that gives to another.
+//! The methods of [`Mixer`] here call one of these subsystems and forward its results to clients, the endpoint list, the
+//! settings, the listeners and the lifecycle of the process.
 
 use crate::config::{StoreSetup, VrrpSetup};
 use crate::net::admin::{
-    describe, Accepted, AdminCall, AdminServer, MetricsSources, MAX_ACCEPTS_PER_TURN,
+    phase_text, AcceptResult, AdminCall, AdminServer, MetricsSources, MAX_ACCEPTS_PER_ITERATION,
     UNKNOWN_CALL_REPLY,
 };
 use crate::net::error::NetError;
@@ -21,45 +21,45 @@
 use crate::vrrp::Event;
 use std::net::SocketAddr;
 
-/// Names in a line of the log; of more, only the number is logged.
+/// Limit on the names in a log line. Above the limit only their number is logged.
 const MAX_LOGGED_NAMES: usize = 20;
 
-/// The admin interface.
+/// Handlers of the admin interface.
 impl Mixer {
-    /// Listens for operators.
+    /// Opens the admin interface.
     pub(super) fn open_admin_interface(&mut self, address: SocketAddr) -> Result<(), NetError> {
         self.admin = Some(AdminServer::open(&mut self.runtime, address)?);
         Ok(())
     }
 
-    /// Accepts the operators who have connected, some in each turn, and reads at once what they have sent.
+    /// Accepts pending admin connections, up to a limit in each iteration of the event loop, and reads from each.
     pub(super) fn accept_admin_connections(&mut self) {
-        for _ in 0..MAX_ACCEPTS_PER_TURN {
+        for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             let Some(admin) = &self.admin else { return };
             match admin.accept(&mut self.runtime) {
-                Accepted::Connection(key) => self.handle_admin_event(key),
-                Accepted::NobodyWaits => return,
-                Accepted::Aborted => {}
-                Accepted::Refused(error) => {
+                AcceptResult::Connection(key) => self.handle_admin_event(key),
+                AcceptResult::NonePending => return,
+                AcceptResult::Aborted => {}
+                AcceptResult::Failed(error) => {
                     self.free_descriptor_after(&error);
                     if let Some(admin) = &self.admin {
-                        admin.accept_later(&mut self.runtime);
+                        admin.schedule_accept_retry(&mut self.runtime);
                     }
                     return;
                 }
             }
         }
         if let Some(admin) = &self.admin {
-            admin.accept_next_turn(&mut self.runtime);
+            admin.schedule_next_accept(&mut self.runtime);
         }
     }
 
-    /// Something came on a connection of an operator, or more can be written to it.
+    /// Handles a readiness event of an admin connection, and executes its call once the call is complete.
     pub(super) fn handle_admin_event(&mut self, key: ConnectionKey) {
         let call = self
             .admin
             .as_ref()
-            .and_then(|admin| admin.connection_event(&mut self.runtime, key));
+            .and_then(|admin| admin.handle_connection_event(&mut self.runtime, key));
         let Some(call) = call else { return };
         let reply = self.reply_to(call);
         if let Some(admin) = &self.admin {
@@ -67,23 +67,25 @@
         }
     }
 
-    /// A deadline of a connection of an operator has come.
+    /// Handles an expired timer of an admin connection.
     pub(super) fn handle_admin_timer(&mut self, key: ConnectionKey) {
         if let Some(admin) = &self.admin {
-            admin.connection_due(&mut self.runtime, key);
+            admin.handle_connection_timer(&mut self.runtime, key);
         }
     }
 
-    /// Carries out a call and gives the reply.
+    /// Executes a call and returns the reply.
     fn reply_to(&mut self, call: AdminCall) -> String {
         match call {
             AdminCall::Status if self.is_ready() => "ok ready\n".into(),
-            AdminCall::Status => format!("fail not ready: {}\n", describe(self.lifecycle.phase())),
+            AdminCall::Status => {
+                format!("fail not ready: {}\n", phase_text(self.lifecycle.phase()))
+            }
             AdminCall::Metrics => self.metrics_sources().summary() + "eof\n",
             AdminCall::Pause | AdminCall::Resume
                 if self.is_ending() || self.lifecycle.phase() == Phase::Inheriting =>
             {
-                format!("fail {}\n", describe(self.lifecycle.phase()))
+                format!("fail {}\n", phase_text(self.lifecycle.phase()))
             }
             AdminCall::Pause => {
                 self.pause();
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Answers a client with the metrics.
+    /// Responds to a client with the metrics page.
     pub(super) fn metrics_page(&mut self, key: ConnectionKey, target: &str, close: bool) {
         let text = self.metrics_sources().page(target);
         let close = self.closes_after_response() || close;
@@ -118,15 +120,15 @@
     }
 }
 
-/// The store.
+/// Handlers of the store.
 impl Mixer {
-    /// Listens for the store's peers and begins to read from it.
+    /// Opens the store and its listener for peers, and starts reading from the store.
     pub(super) fn set_up_store(&mut self, setup: StoreSetup) -> Result<(), NetError> {
         self.store = Some(StorePeers::open(&mut self.runtime, setup)?);
         Ok(())
     }
 
-    /// Accepts the peers that have connected.
+    /// Accepts pending connections of store peers.
     pub(super) fn accept_store_peers(&mut self) {
         while let Some(store) = &mut self.store {
             if !store.accept(&mut self.runtime) {
@@ -136,21 +138,21 @@
         }
     }
 
-    /// A connection of a peer can be read or written, or has failed.
+    /// Handles a readiness event on the connection of a store peer.
     pub(super) fn handle_store_peer_event(&mut self, key: ConnectionKey) {
         let Some(store) = &mut self.store else { return };
         store.connection_event(&mut self.runtime, key);
         self.complete_store_operations();
     }
 
-    /// The time has come to read the keys that matter to the mixer.
+    /// Starts the periodic read of the store keys that configure the mixer.
     pub(super) fn refresh_from_store(&mut self) {
         let Some(store) = &mut self.store else { return };
         store.refresh(&mut self.runtime);
         self.next_store_operation();
     }
 
-    /// A client's request to the store: GET reads a key, PUT writes it.
+    /// Handles a client's request for a store key: GET reads the key, PUT writes it.
     pub(super) fn store_page(&mut self, key: ConnectionKey, method: &str, name: &str, body: &[u8]) {
         let Some(store) = &mut self.store else { return };
         if let Err(error) = store.queue_request(key, method, name, body) {
@@ -161,7 +163,7 @@
         self.next_store_operation();
     }
 
-    /// The timeout of an operation has come.
+    /// Handles the timeout of a store operation.
     pub(super) fn handle_store_operation_timeout(&mut self, id: u64) {
         let Some(store) = &mut self.store else { return };
         match store.operation_due(id) {
@@ -175,7 +177,7 @@
         self.next_store_operation();
     }
 
-    /// Whether the store has settings, which come before those of the file.
+    /// Returns whether the store contains settings, which take precedence over those of the configuration file.
     pub(super) fn has_stored_settings(&self) -> bool {
         self.store.as_ref().is_some_and(StorePeers::has_settings)
     }
@@ -186,7 +188,7 @@
         self.complete_store_operations();
     }
 
-    /// Answers and applies each operation that is complete, and begins the next one.
+    /// Responds to and applies each completed operation, and starts the next one.
     fn complete_store_operations(&mut self) {
         while let Some(operation) = self
             .store
@@ -230,7 +232,7 @@
     fn apply_stored(&mut self, change: StoredChange) {
         match change {
             StoredChange::EndpointList(list) => {
-                // Its revision is not one of discovery's.
+                // A list from the store has no discovery revision.
                 self.take_list_without_revision(&list);
             }
             StoredChange::Draining(names) => {
@@ -254,16 +256,16 @@
     }
 }
 
-/// VRRP.
+/// Handlers of VRRP.
 impl Mixer {
-    /// Opens VRRP's socket and starts the router; clients are listened for only while it is Active.
+    /// Opens the VRRP socket and starts the virtual router. The client listeners are open only while the router is Active.
     pub(super) fn set_up_vrrp(&mut self, setup: VrrpSetup) -> Result<(), NetError> {
         self.vrrp = Some(VrrpSocket::open(&mut self.runtime, setup)?);
         self.handle_vrrp_event(Event::Startup);
         Ok(())
     }
 
-    /// Messages have come on VRRP's socket.
+    /// Receives and handles all pending VRRP messages.
     pub(super) fn handle_vrrp_socket_event(&mut self) {
         while let Some(event) = self
             .vrrp
@@ -274,7 +276,8 @@
         }
     }
 
-    /// Leads an event to VRRP's state machine, and opens or leaves the listeners where that changes.
+    /// Forwards an event to the VRRP state machine, and opens or closes the client listeners if the router enters or leaves
+    /// Active.
     pub(super) fn handle_vrrp_event(&mut self, event: Event) {
         let change = self
             .vrrp
