--- a/src/net/discovery/connection.rs
+++ b/src/net/discovery/connection.rs
@@ -1,7 +1,7 @@
 //! A connection to discovery: writes one call at a time, reads its answer, and classifies how the call ended.
 
 use crate::endpoints::missing_answers::{CallEnd, PROMPT_S};
-use crate::net::http::{HttpError, Message, Reader};
+use crate::net::http::{HttpError, Message, MessageReader};
 use crate::net::socket::{is_connected, write_available};
 use mio::net::TcpStream;
 use std::io::{self, Read};
@@ -91,7 +91,7 @@
     unsent: Vec<u8>,
     /// Bytes that were received and not parsed yet.
     unread: Vec<u8>,
-    reader: Reader,
+    reader: MessageReader,
     pub(super) is_connected: bool,
     pub(super) open_call: Option<OpenCall>,
     /// Time since which the call's answer has been arriving.
@@ -155,7 +155,7 @@
             role,
             unsent: Vec::new(),
             unread: Vec::new(),
-            reader: Reader::responses(max_list_bytes),
+            reader: MessageReader::responses(max_list_bytes),
             is_connected: false,
             open_call: None,
             answer_began_at: None,
@@ -192,7 +192,7 @@
 
     /// Returns the time since which an incomplete answer that may be a list has been arriving.
     pub(super) fn answer_arriving_since(&self) -> Option<f64> {
-        let status = self.reader.begun_status(&self.unread);
+        let status = self.reader.pending_status(&self.unread);
         self.answer_began_at
             .filter(|_| status.is_none_or(|status| status == STATUS_OK))
     }
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -208,8 +208,8 @@
     fn handle_admin_events(&mut self, events: &PollEvents) {
         for event in events.iter() {
             match event.token() {
-                ADMIN => self.admin_accept(),
-                token => self.admin_event(connection_key(token)),
+                ADMIN => self.accept_admin_connections(),
+                token => self.handle_admin_event(connection_key(token)),
             }
         }
     }
@@ -220,8 +220,8 @@
             Token(protocol) if protocol < PROTOCOLS.len() => self.accept(PROTOCOLS[protocol]),
             SIGNALS => self.stop_requested(),
             RELOAD => self.reload_requested(),
-            STORE => self.store_accept(),
-            VRRP => self.vrrp_event(),
+            STORE => self.accept_store_peers(),
+            VRRP => self.handle_vrrp_socket_event(),
             ADMIN => {}
             handover::RENDEZVOUS => self.rendezvous_event(),
             handover::PREDECESSOR => self.link_event(handover::Side::Predecessor),
@@ -276,7 +276,7 @@
             Deadline::Connection(key) => self.connection_due(key),
             Deadline::Register(key) => self.runtime.register(key),
             Deadline::Handover => self.handover_due(),
-            Deadline::AdminAccept => self.admin_accept(),
+            Deadline::AdminAccept => self.accept_admin_connections(),
             Deadline::Accept => PROTOCOLS
                 .into_iter()
                 .for_each(|protocol| self.accept(protocol)),
@@ -287,8 +287,8 @@
             Deadline::ApplySettings => self.apply_pending_settings(),
             Deadline::OpenListeners => self.open_listeners(),
             Deadline::VrrpTimer => self.handle_vrrp_event(crate::vrrp::Event::Timer),
-            Deadline::StoreRefresh => self.refresh(),
-            Deadline::StoreOperation(id) => self.operation_due(id),
+            Deadline::StoreRefresh => self.refresh_from_store(),
+            Deadline::StoreOperation(id) => self.handle_store_operation_timeout(id),
             Deadline::Phase => self.phase_due(),
         }
     }
@@ -311,10 +311,10 @@
 impl Mixer {
     fn connection_event(&mut self, key: ConnectionKey, gone: bool, read_closed: bool) {
         match self.runtime.connections.get(key) {
-            Some(Connection::Client(_)) => self.client_event(key, gone || read_closed),
+            Some(Connection::Client(_)) => self.handle_client_event(key, gone || read_closed),
             Some(Connection::Replica(_)) => self.replica_event(key),
             Some(Connection::Discovery(_)) => self.discovery_event(key),
-            Some(Connection::Peer(_)) => self.peer_event(key),
+            Some(Connection::Peer(_)) => self.handle_store_peer_event(key),
             Some(Connection::Admin(_)) => {} // served before all others
             None => {}                       // an event for a connection that is closed
         }
@@ -322,14 +322,14 @@
 
     fn connection_due(&mut self, key: ConnectionKey) {
         match self.runtime.connections.get(key) {
-            Some(Connection::Client(_)) => self.client_due(key),
+            Some(Connection::Client(_)) => self.handle_client_timer(key),
             Some(Connection::Replica(_)) => self.replica_due(key),
             Some(Connection::Discovery(connection))
                 if self.runtime.now + TIMER_TOLERANCE_S >= connection.due =>
             {
                 self.discovery_timed_out(key);
             }
-            Some(Connection::Admin(_)) => self.admin_due(key),
+            Some(Connection::Admin(_)) => self.handle_admin_timer(key),
             Some(Connection::Discovery(_) | Connection::Peer(_)) | None => {}
         }
     }
