--- a/crates/wharfhub-testbed/src/links.rs
+++ b/crates/wharfhub-testbed/src/links.rs
@@ -41,7 +41,7 @@
 
 impl Carrier {
     fn doubt_s(&self) -> f64 {
-        pool::doubt_after_s(self.shortest_objective_s, self.late_s)
+        pool::suspect_after_s(self.shortest_objective_s, self.late_s)
     }
 }
 
--- a/src/config/configuration.rs
+++ b/src/config/configuration.rs
@@ -106,7 +106,7 @@
 }
 
 /// What a running mixer takes from its file when it rereads it.
-pub struct Reread {
+pub struct ReloadedConfig {
     /// Discovery, where the file names one.
     pub discovery: Option<SocketAddr>,
     /// The settings.
@@ -163,10 +163,10 @@
 
     /// Reads the file again for a running mixer, whose file in force has these keys. A file is rejected completely where
     /// anything of this is wrong, or where it lacks one of these keys.
-    pub fn reread(path: &Path, in_force: &KeyPaths) -> Result<Reread, SettingsError> {
+    pub fn reload(path: &Path, in_force: &KeyPaths) -> Result<ReloadedConfig, SettingsError> {
         let config = Config::read(path)?;
         config.key_paths.check_includes(in_force)?;
-        Ok(Reread {
+        Ok(ReloadedConfig {
             discovery: optional_address(config.file_discovery.as_deref(), "discovery")?,
             deployment: config.json.settings.deployment()?,
             key_paths: config.key_paths,
@@ -214,12 +214,12 @@
             operator: optional_address(json.operator.as_deref(), "operator")?,
             file_discovery: self.file_discovery.and_then(|text| text.parse().ok()),
             seed: u64::from_str_radix(seed, 16).unwrap_or(DEFAULT_SEED),
-            sockets: limits.sockets(),
-            memory: limits.memory_bytes(),
+            max_sockets: limits.sockets(),
+            max_memory_bytes: limits.memory_bytes(),
             deployment: deployment(store.as_ref(), json.settings)?,
             store,
             vrrp,
-            known: json.known,
+            known_list: json.known,
             inherited: None,
             key_paths: self.key_paths,
             drain_s: json
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -9,7 +9,7 @@
 mod settings;
 mod yaml;
 
-pub use configuration::{Config, Reread};
+pub use configuration::{Config, ReloadedConfig};
 pub use error::SettingsError;
 pub use fault::{JsonFault, Mismatch};
 pub use key_paths::KeyPaths;
--- a/src/config/options.rs
+++ b/src/config/options.rs
@@ -34,11 +34,11 @@
     /// The seed of random draws.
     pub seed: u64,
     /// Descriptors that the process may have open.
-    pub sockets: usize,
+    pub max_sockets: usize,
     /// Memory that the process may use (bytes).
-    pub memory: usize,
+    pub max_memory_bytes: usize,
     /// The endpoint list as last known.
-    pub known: Option<Value>,
+    pub known_list: Option<Value>,
     /// After SIGTERM clients are served for so long before the listeners close (seconds).
     pub drain_s: f64,
     /// The store, where it is set up.
--- a/src/config/settings/tests.rs
+++ b/src/config/settings/tests.rs
@@ -227,7 +227,7 @@
             .expect("a configuration");
         let mut directory = crate::endpoints::directory::Directory::new(Vec::new());
         let list = directory
-            .read(&options.known.expect("a list"))
+            .read(&options.known_list.expect("a list"))
             .expect("a list");
         assert_eq!(list.entries.len(), servers, "{} bytes", text.len());
     }
--- a/src/connections/pool.rs
+++ b/src/connections/pool.rs
@@ -35,7 +35,7 @@
 
 /// Silence after which a connection with a call in flight is doubted (seconds); `late_s` is the latency of nearly all answers,
 /// not finite if it is not known.
-pub fn doubt_after_s(shortest_objective_s: f64, late_s: f64) -> f64 {
+pub fn suspect_after_s(shortest_objective_s: f64, late_s: f64) -> f64 {
     let late_s = if late_s.is_finite() { late_s } else { 0.0 };
     (OBJECTIVE_SHARE * shortest_objective_s).max(LATE_FACTOR * late_s)
 }
--- a/src/connections/pool/tests.rs
+++ b/src/connections/pool/tests.rs
@@ -32,17 +32,17 @@
 /// Found in a fleet of 100 mixers: after 75 ms of silence each opened another connection to slow replicas.
 #[test]
 fn a_connection_as_late_as_nearly_all_answers_is_not_doubted() {
-    assert!(doubt_after_s(0.3, 0.6) > 0.6);
+    assert!(suspect_after_s(0.3, 0.6) > 0.6);
     assert!(
-        doubt_after_s(0.3, 0.6) < 1.2,
+        suspect_after_s(0.3, 0.6) < 1.2,
         "a lost connection is detected all the same"
     );
 }
 
 #[test]
 fn with_fast_or_unknown_answers_the_latency_objective_decides() {
-    assert_eq!(doubt_after_s(0.4, 0.01), 0.1);
-    assert_eq!(doubt_after_s(0.4, f64::INFINITY), 0.1);
+    assert_eq!(suspect_after_s(0.4, 0.01), 0.1);
+    assert_eq!(suspect_after_s(0.4, f64::INFINITY), 0.1);
 }
 
 /// A replica for a thousand connections has capacity for all mixers; few mixers may use more of it.
--- a/src/endpoints/directory.rs
+++ b/src/endpoints/directory.rs
@@ -38,7 +38,7 @@
         since: f64,
     },
     /// No list names it.
-    Gone,
+    Removed,
 }
 
 /// A replica as this mixer reaches it.
@@ -66,7 +66,7 @@
     /// Its state, for the check before anything is sent to it.
     pub fn state(&self) -> ServerState {
         match self.unready_since {
-            _ if self.is_gone() => ServerState::Gone,
+            _ if self.is_removed() => ServerState::Removed,
             _ if self.ready => ServerState::Ready,
             since => ServerState::Draining {
                 since: since.unwrap_or(f64::NEG_INFINITY),
@@ -75,7 +75,7 @@
     }
 
     /// Whether it was removed from the list.
-    pub fn is_gone(&self) -> bool {
+    pub fn is_removed(&self) -> bool {
         self.listed
             .is_none_or(|entry| entry.lifecycle == Lifecycle::Gone)
     }
@@ -208,7 +208,7 @@
 
     /// Forgets the removed replicas that have no connection left. Machines are replaced without end, each by one of another
     /// name, so that memory would grow otherwise.
-    pub fn forget_gone(&mut self) {
+    pub fn drop_removed(&mut self) {
         let is_unused = |id: &&ReplicaId| {
             self.endpoints
                 .get(id)
@@ -225,7 +225,7 @@
     }
 
     /// Sets the time since when replicas are unready for those that the last list or drain marks made so.
-    pub fn date_unready(&mut self, since: f64) {
+    pub fn set_unready_since(&mut self, since: f64) {
         for id in &self.unready {
             if let Some(endpoint) = self.endpoints.get_mut(id) {
                 endpoint.unready_since.get_or_insert(since);
@@ -240,7 +240,7 @@
         };
         endpoint.unready_since = endpoint.unready_since.filter(|_| !endpoint.ready);
         set_membership(&mut self.unready, id, !endpoint.ready);
-        set_membership(&mut self.gone, id, endpoint.is_gone());
+        set_membership(&mut self.gone, id, endpoint.is_removed());
     }
 
     /// Takes over a list in discovery's form; none if it is not one. Lines that make no sense are skipped.
--- a/src/endpoints/directory/tests.rs
+++ b/src/endpoints/directory/tests.rs
@@ -37,7 +37,7 @@
         .map(|(id, _)| *id)
         .collect();
     let gone: BTreeSet<ReplicaId> = endpoints()
-        .filter(|(_, endpoint)| endpoint.is_gone())
+        .filter(|(_, endpoint)| endpoint.is_removed())
         .map(|(id, _)| *id)
         .collect();
     assert_eq!((&directory.unready, &directory.gone), (&unready, &gone));
@@ -48,7 +48,7 @@
     assert_eq!(
         directory.listed_count(),
         endpoints()
-            .filter(|(_, endpoint)| !endpoint.is_gone())
+            .filter(|(_, endpoint)| !endpoint.is_removed())
             .count()
     );
     assert_eq!(directory.unready().count(), unready.len());
@@ -86,7 +86,7 @@
                         None => endpoint.connections.push(connections.insert(())),
                     });
             }
-            3 => directory.forget_gone(),
+            3 => directory.drop_removed(),
             _ => {
                 lines.push(r#"{"id":"server-1","phase":"Ready"}"#.into()); // skipped, for it has no cell
                 directory.read(&list(false, &lines));
@@ -132,7 +132,7 @@
         .all(|entry| entry.lifecycle == Lifecycle::Draining));
     assert_eq!(directory.set_drain_marks(Vec::new()).len(), count);
     directory.read(&complete(count - 1));
-    directory.forget_gone();
+    directory.drop_removed();
     assert_eq!(
         (
             directory.count(),
--- a/src/endpoints/lease.rs
+++ b/src/endpoints/lease.rs
@@ -11,7 +11,7 @@
 //! made for either reason. Each call ends in one [`CallOutcome`], passed once to [`ListLease::call_ended`]. It must never make
 //! a call, judge a server or read a clock.
 
-use super::missing_answers::{CallEnd, HandedMissingAnswer, MissingAnswers};
+use super::missing_answers::{CallEnd, MissingAnswerHandover, MissingAnswers};
 use crate::decisions::draining;
 use miniserde::{Deserialize, Serialize};
 
@@ -111,7 +111,7 @@
 /// A lease as it is handed to the successor process, in ages, because the two processes share no clock. The field names are
 /// part of the handover.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct HandedLease {
+pub struct LeaseHandover {
     /// Time since the list was last known to be true (seconds).
     pub confirmed_age_s: Option<f64>,
     /// Time since the last call began, if it failed (seconds).
@@ -121,7 +121,7 @@
     /// Calls in a row that failed; a slow one counts as several.
     pub failed_calls: u32,
     /// The missing answer, if any; older versions send none.
-    pub missing_answer: Option<HandedMissingAnswer>,
+    pub missing_answer: Option<MissingAnswerHandover>,
 }
 
 /// The lease on the list in use. Times are of the caller's clock (seconds).
@@ -172,7 +172,7 @@
     }
 
     /// Another discovery is called from now on. Where there was none before, the list was true until now.
-    pub fn discovery_moved(&mut self, now: f64) {
+    pub fn discovery_changed(&mut self, now: f64) {
         if !self.has_discovery {
             self.has_discovery = true;
             self.confirmed_at = Some(now);
@@ -214,7 +214,7 @@
             } => {
                 self.missing_answers.call_ended(end, answer_not_before, now);
                 self.record_failure(began_at, now);
-                if end != CallEnd::GivenUp {
+                if end != CallEnd::TimedOut {
                     self.first_call_at = None; // one that was given up may still be answered
                 }
                 self.next_call(end, now)
@@ -307,9 +307,9 @@
     }
 
     /// What the successor process inherits.
-    pub fn hand_over(&self, now: f64) -> HandedLease {
+    pub fn hand_over(&self, now: f64) -> LeaseHandover {
         let age_s = |at: f64| (now - at).max(0.0);
-        HandedLease {
+        LeaseHandover {
             confirmed_age_s: self.confirmed_at.map(age_s),
             failed_call_age_s: self.failed_call_at.map(age_s),
             began_age_s: age_s(self.began_at),
@@ -319,7 +319,7 @@
     }
 
     /// Takes over from the predecessor process, whose list, or a newer one, is in use here.
-    pub fn inherit(&mut self, now: f64, handed: HandedLease) {
+    pub fn inherit(&mut self, now: f64, handed: LeaseHandover) {
         let at = |age_s: f64| now - age_s.max(0.0);
         let later =
             |own: Option<f64>, handed: Option<f64>| own.into_iter().chain(handed).reduce(f64::max);
@@ -348,7 +348,7 @@
     }
 
     /// Until when the list may be acted on if no call ends before; infinite without a discovery.
-    pub fn until(&self, now: f64) -> f64 {
+    pub fn expires_at(&self, now: f64) -> f64 {
         if !self.has_discovery {
             return f64::INFINITY;
         }
@@ -356,11 +356,11 @@
         let latest = missing_since.map_or(f64::INFINITY, |since| {
             draining::usable_until(since, self.drain_grace_s)
         });
-        self.until_if_none_missing(now).min(latest)
+        self.expiry_if_none_missing(now).min(latest)
     }
 
     /// The same if no answer is missing.
-    fn until_if_none_missing(&self, now: f64) -> f64 {
+    fn expiry_if_none_missing(&self, now: f64) -> f64 {
         // Calls that may have been answered do not show that discovery is down.
         let is_unconfirmed = self.confirmed_at.is_none();
         let is_usable =
@@ -385,7 +385,7 @@
 
     /// Whether the list may be acted on now.
     pub fn is_in_force(&self, now: f64) -> bool {
-        now < self.until(now)
+        now < self.expires_at(now)
     }
 
     /// What the lease is based on now.
@@ -401,9 +401,9 @@
 
     /// When to check next whether a call is needed, if no call ends before.
     pub fn next_check_at(&self, now: f64) -> f64 {
-        let until = self.until(now);
-        if until.is_finite() {
-            return (until - RENEW_BEFORE_S).max(now + CHECK_INTERVAL_S);
+        let expires_at = self.expires_at(now);
+        if expires_at.is_finite() {
+            return (expires_at - RENEW_BEFORE_S).max(now + CHECK_INTERVAL_S);
         }
         let slow_at = self
             .first_call_at
@@ -433,13 +433,13 @@
     pub fn needs_call(&self, now: f64) -> bool {
         let is_in_use = now < self.last_request_at + IN_USE_S;
         let is_spaced = now >= self.failed_at + MIN_PAUSE_S;
-        let until = self.until(now);
+        let expires_at = self.expires_at(now);
         // Before the first answer or failure, the watch schedule spreads the calls of a fleet that starts together.
         self.has_discovery
-            && until.is_finite()
+            && expires_at.is_finite()
             && is_in_use
             && is_spaced
-            && now + RENEW_BEFORE_S >= until
+            && now + RENEW_BEFORE_S >= expires_at
     }
 }
 
--- a/src/endpoints/lease/tests.rs
+++ b/src/endpoints/lease/tests.rs
@@ -150,7 +150,7 @@
     let mut lease = lease();
     confirm(&mut lease, STARTED_AT + 5.0);
     confirm(&mut lease, STARTED_AT + 2.0);
-    assert_eq!(lease.until(STARTED_AT + 5.0), STARTED_AT + 11.0);
+    assert_eq!(lease.expires_at(STARTED_AT + 5.0), STARTED_AT + 11.0);
 }
 
 /// A discovery that is configured while the mixer runs: the operators' list was true until then, and what the new discovery
@@ -158,14 +158,14 @@
 #[test]
 fn another_discovery_has_to_send_its_list_within_four_seconds() {
     let mut lease = ListLease::new(false, GRACE_S, STARTED_AT);
-    lease.discovery_moved(STARTED_AT + 50.0);
+    lease.discovery_changed(STARTED_AT + 50.0);
     assert!(lease.is_in_force(STARTED_AT + 53.9) && !lease.is_in_force(STARTED_AT + 54.1));
     fail(&mut lease, STARTED_AT + 52.0, STARTED_AT + 52.0);
     assert!(lease.is_in_force(STARTED_AT + 57.9), "it is unreachable");
     confirm(&mut lease, STARTED_AT + 60.0);
-    lease.discovery_moved(STARTED_AT + 60.1);
+    lease.discovery_changed(STARTED_AT + 60.1);
     assert!(lease.is_in_force(STARTED_AT + 64.0) && !lease.is_in_force(STARTED_AT + 64.2));
-    lease.discovery_moved(STARTED_AT + 100.0);
+    lease.discovery_changed(STARTED_AT + 100.0);
     assert!(
         !lease.is_in_force(STARTED_AT + 100.0),
         "another discovery renews nothing"
@@ -340,7 +340,7 @@
     lease.call_made(STARTED_AT + 0.1);
     let next = fail_with(
         &mut lease,
-        CallEnd::GivenUp,
+        CallEnd::TimedOut,
         STARTED_AT + 0.1,
         STARTED_AT + 0.4,
     );
--- a/src/endpoints/missing_answers.rs
+++ b/src/endpoints/missing_answers.rs
@@ -47,7 +47,7 @@
     Refused,
     /// No byte of an answer was received in time. The call may still be open, and its answer counts. Terms of their own apply
     /// to a silent watch or call.
-    GivenUp,
+    TimedOut,
     /// The connection was closed before a byte was received: an answer may have been written.
     Closed,
     /// The connection was reset before a byte was received, as when the call was not read.
@@ -65,9 +65,9 @@
     /// The text for the log.
     pub fn label(self) -> &'static str {
         match self {
-            CallEnd::NotSent => "the call did not leave",
+            CallEnd::NotSent => "the call was not sent",
             CallEnd::Refused => "refused",
-            CallEnd::GivenUp => "given up",
+            CallEnd::TimedOut => "timed out",
             CallEnd::Closed | CallEnd::Reset => "an answer may be lost",
             CallEnd::CutOff => "its answer is lost",
         }
@@ -90,7 +90,7 @@
 /// A missing answer as it is handed to the successor process, in ages, because the two processes share no clock. The field
 /// names are part of the handover.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct HandedMissingAnswer {
+pub struct MissingAnswerHandover {
     /// Time since it may have been written (seconds).
     pub age_s: f64,
     /// Whether it was certainly written.
@@ -153,7 +153,7 @@
             CallEnd::NotSent if self.refused_connections >= DOWN_AFTER_REFUSED_CONNECTIONS => {
                 self.missing = self.missing.filter(|missing| missing.is_certain);
             }
-            CallEnd::NotSent | CallEnd::Refused | CallEnd::GivenUp => {}
+            CallEnd::NotSent | CallEnd::Refused | CallEnd::TimedOut => {}
         }
         self.early_retries += u32::from(self.needs_early_retry(end, now));
     }
@@ -228,8 +228,8 @@
     }
 
     /// What the successor process inherits.
-    pub fn hand_over(&self, now: f64) -> Option<HandedMissingAnswer> {
-        let handed = |since: f64, is_certain: bool| HandedMissingAnswer {
+    pub fn hand_over(&self, now: f64) -> Option<MissingAnswerHandover> {
+        let handed = |since: f64, is_certain: bool| MissingAnswerHandover {
             age_s: (now - since).max(0.0),
             is_certain,
         };
@@ -240,7 +240,7 @@
     }
 
     /// Takes over what the predecessor process handed on.
-    pub fn inherit(&mut self, now: f64, handed: HandedMissingAnswer) {
+    pub fn inherit(&mut self, now: f64, handed: MissingAnswerHandover) {
         self.record_missing(now - handed.age_s.max(0.0), now, handed.is_certain);
     }
 
--- a/src/endpoints/missing_answers/tests.rs
+++ b/src/endpoints/missing_answers/tests.rs
@@ -20,7 +20,7 @@
 #[rstest]
 #[case::not_sent(CallEnd::NotSent, None)]
 #[case::refused(CallEnd::Refused, None)]
-#[case::given_up(CallEnd::GivenUp, None)]
+#[case::timed_out(CallEnd::TimedOut, None)]
 #[case::closed(CallEnd::Closed, Some(AT))]
 #[case::reset(CallEnd::Reset, Some(AT))]
 #[case::cut_off(CallEnd::CutOff, Some(AT))]
@@ -76,7 +76,7 @@
 #[case::connections_refused(CallEnd::NotSent, 0.5)]
 #[case::closed_without_a_byte(CallEnd::Closed, PRESUMED_DOWN_S)]
 #[case::refused(CallEnd::Refused, PRESUMED_DOWN_S)]
-#[case::not_answered(CallEnd::GivenUp, PRESUMED_DOWN_S)]
+#[case::not_answered(CallEnd::TimedOut, PRESUMED_DOWN_S)]
 fn a_discovery_that_is_down_has_written_nothing(
     #[case] way: CallEnd,
     #[case] presumed_after_s: f64,
@@ -213,7 +213,7 @@
         assert_eq!(answers.since(at), Some(AT));
     }
     answers.call_ended(CallEnd::Refused, AT + 3.9, AT + 3.9);
-    answers.call_ended(CallEnd::GivenUp, AT + 3.9, AT + 3.9);
+    answers.call_ended(CallEnd::TimedOut, AT + 3.9, AT + 3.9);
     let other_end = if end == CallEnd::Closed {
         CallEnd::Reset
     } else {
--- a/src/net/discovery/answers.rs
+++ b/src/net/discovery/answers.rs
@@ -277,7 +277,7 @@
         let connection = connection(runtime, key)?;
         let role = connection.role;
         let end = connection.call_end(&reason);
-        let open = connection.open_call.filter(|_| end == CallEnd::GivenUp)?;
+        let open = connection.open_call.filter(|_| end == CallEnd::TimedOut)?;
         self.set_overdue(runtime, key);
         let outcome = CallOutcome::Failed {
             began_at: open.made_at,
@@ -299,7 +299,7 @@
         let end = connection(runtime, key)
             .map(|connection| connection.call_end(&DiscoveryError::TimedOut));
         match end {
-            Some(CallEnd::GivenUp) => self.set_overdue(runtime, key),
+            Some(CallEnd::TimedOut) => self.set_overdue(runtime, key),
             Some(CallEnd::CutOff) => self.add_overdue(runtime, key),
             _ => self.close(runtime, key),
         }
--- a/src/net/discovery/client.rs
+++ b/src/net/discovery/client.rs
@@ -5,7 +5,7 @@
 use crate::decisions::api::{ReplicaEntry, Settings};
 use crate::endpoints::directory::List;
 use crate::endpoints::heartbeat::Fleet;
-use crate::endpoints::lease::{HandedLease, ListLease};
+use crate::endpoints::lease::{LeaseHandover, ListLease};
 use crate::net::discovery::lease::LeasePublisher;
 use crate::net::discovery::link::DiscoveryLink;
 use crate::net::discovery::list;
@@ -69,7 +69,7 @@
 
     /// Until when the list in use may be acted on.
     pub(in crate::net) fn list_until(&self, now: f64) -> f64 {
-        self.lease.until(now)
+        self.lease.expires_at(now)
     }
 
     /// Whether the list in use may be acted on now.
@@ -83,12 +83,12 @@
     }
 
     /// The lease as the successor process inherits it.
-    pub(in crate::net) fn hand_over_lease(&self, now: f64) -> HandedLease {
+    pub(in crate::net) fn hand_over_lease(&self, now: f64) -> LeaseHandover {
         self.lease.hand_over(now)
     }
 
     /// Takes over the predecessor's lease.
-    pub(in crate::net) fn inherit_lease(&mut self, now: f64, handed: HandedLease) {
+    pub(in crate::net) fn inherit_lease(&mut self, now: f64, handed: LeaseHandover) {
         self.lease.inherit(now, handed);
     }
 
@@ -144,7 +144,7 @@
         let notified_since = self
             .lease
             .notified_since(runtime.now, runtime.previous_turn_at);
-        runtime.directory.date_unready(notified_since);
+        runtime.directory.set_unready_since(notified_since);
     }
 
     /// Publishes until when the list may be acted on to the decision module, and to the log if that has changed.
@@ -175,7 +175,7 @@
     pub(super) fn move_to(&mut self, runtime: &mut Runtime, address: SocketAddr) {
         self.address = Some(address);
         self.revision = None;
-        self.lease.discovery_moved(runtime.now);
+        self.lease.discovery_changed(runtime.now);
         for key in self.connections() {
             self.abandon_call(runtime, key);
         }
--- a/src/net/discovery/connection.rs
+++ b/src/net/discovery/connection.rs
@@ -212,7 +212,7 @@
             _ if self.has_unusable_answer => CallEnd::Refused,
             _ if self.answer_arriving_since().is_some() => CallEnd::CutOff,
             _ if self.answer_began_at.is_some() => CallEnd::Refused,
-            DiscoveryError::TimedOut => CallEnd::GivenUp,
+            DiscoveryError::TimedOut => CallEnd::TimedOut,
             DiscoveryError::Io(_) => CallEnd::Reset,
             _ => CallEnd::Closed,
         }
--- a/src/net/discovery/lease.rs
+++ b/src/net/discovery/lease.rs
@@ -52,7 +52,7 @@
         let now = runtime.now;
         runtime
             .coordinator
-            .list_lease(now, lease.until(now), &mut runtime.commands);
+            .list_lease(now, lease.expires_at(now), &mut runtime.commands);
         self.log(runtime, lease, revision);
         let next_at = lease.next_check_at(now);
         if lease.basis(now) != Basis::NoDiscovery && Some(next_at) != self.check_at {
--- a/src/net/discovery/routing.rs
+++ b/src/net/discovery/routing.rs
@@ -246,7 +246,7 @@
                 connection.is_gone,
             );
         }
-        self.runtime.directory.forget_gone();
+        self.runtime.directory.drop_removed();
         self.check_readiness();
     }
 
@@ -255,7 +255,7 @@
             .directory
             .unready()
             .flat_map(|endpoint| {
-                let is_gone = endpoint.is_gone();
+                let is_gone = endpoint.is_removed();
                 endpoint
                     .connections
                     .iter()
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -21,7 +21,7 @@
 use crate::config::InheritedListener;
 use crate::connections::pool;
 use crate::decisions::learned_state::LearnedReplica;
-use crate::endpoints::lease::HandedLease;
+use crate::endpoints::lease::LeaseHandover;
 use crate::net::runtime::Runtime;
 use crate::net::timer_queue::{Deadline, TIMER_TOLERANCE_S};
 use crate::requests::process_load::ProcessLoad;
@@ -103,7 +103,7 @@
     pub(super) address: Option<SocketAddr>,
     /// The revision of the list in use.
     pub(super) revision: Option<u64>,
-    pub(super) lease: HandedLease,
+    pub(super) lease: LeaseHandover,
 }
 
 /// How many connections this process may have.
--- a/src/net/handover/messages.rs
+++ b/src/net/handover/messages.rs
@@ -6,7 +6,7 @@
 use crate::decisions::api::{PredecessorLoad, ReplicaLoad, SentAttempt};
 use crate::decisions::learned_state::LearnedState;
 use crate::decisions::two_phase::PhaseStatistics;
-use crate::endpoints::lease::HandedLease;
+use crate::endpoints::lease::LeaseHandover;
 use crate::net::runtime::Runtime;
 use crate::requests::process_load::ProcessLoad;
 use miniserde::{json, Deserialize, Serialize};
@@ -85,7 +85,7 @@
     /// The names of its tenants, likewise.
     pub(super) tenants: Vec<String>,
     /// Its lease on the list; releases before leases send none.
-    pub(in crate::net) lease: Option<HandedLease>,
+    pub(in crate::net) lease: Option<LeaseHandover>,
     /// What its decision module has learned.
     #[serde(rename = "beliefs")]
     pub(super) learned_state: LearnedState,
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -77,7 +77,7 @@
     /// Reads the configuration again after one or more signals.
     pub(super) fn reread(&mut self, runtime: &mut Runtime) -> RereadOutcome {
         self.consume_signals();
-        let reread = match Config::reread(&self.config, &self.shape) {
+        let reread = match Config::reload(&self.config, &self.shape) {
             Ok(reread) => reread,
             Err(error) => {
                 self.rejected += 1;
--- a/src/net/replica/pool.rs
+++ b/src/net/replica/pool.rs
@@ -427,7 +427,7 @@
         .classes
         .iter()
         .map(|class| class.latency_objective_s);
-    pool::doubt_after_s(
+    pool::suspect_after_s(
         objectives.fold(f64::MAX, f64::min),
         runtime.coordinator.near_worst_latency_s(),
     )
--- a/src/net/replica/sending.rs
+++ b/src/net/replica/sending.rs
@@ -137,7 +137,7 @@
     let server = runtime
         .directory
         .endpoint(replica)
-        .map_or(ServerState::Gone, |endpoint| endpoint.state());
+        .map_or(ServerState::Removed, |endpoint| endpoint.state());
     Destination {
         server,
         drain_grace_s: runtime.deployment.policy.drain_grace_s,
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -36,7 +36,7 @@
 pub(super) fn start(mut options: Options, signals: Signals) -> Result<Mixer, NetError> {
     // VRRP opens and closes the listeners by itself, so there is none to take over.
     let inherited = options.inherited.take().filter(|_| options.vrrp.is_none());
-    let known_list = options.known.take();
+    let known_list = options.known_list.take();
     let admin_address = options.operator;
     let store = options.store.take();
     let vrrp = options.vrrp.take();
@@ -90,7 +90,7 @@
     let open = open_listeners(poll.registry(), addresses, is_listening)?;
     let stop = watch_pipe(poll.registry(), signals.stop, SIGNALS)?;
     let reread = watch_pipe(poll.registry(), signals.reread, REREAD)?;
-    let max_connections = max_connections(options.sockets, is_inheriting);
+    let max_connections = max_connections(options.max_sockets, is_inheriting);
     let setup = RuntimeSetup {
         name: options.name,
         seed: options.seed,
@@ -100,15 +100,19 @@
     let discovery = DiscoveryClient::new(
         options.discovery,
         &runtime.deployment.policy,
-        options.memory,
+        options.max_memory_bytes,
         runtime.now,
         runtime.rng.rand_float(),
     );
     Ok(Mixer {
         runtime,
         listeners: Listeners::new(open, addresses),
-        clients: ClientConnections::new(options.sockets, options.memory, options.search_tenant),
-        replicas: ReplicaConnections::new(options.memory, max_connections),
+        clients: ClientConnections::new(
+            options.max_sockets,
+            options.max_memory_bytes,
+            options.search_tenant,
+        ),
+        replicas: ReplicaConnections::new(options.max_memory_bytes, max_connections),
         discovery,
         lifecycle: Lifecycle::new(stop, options.drain_s),
         reload: Reload::new(
--- a/src/requests/invariants.rs
+++ b/src/requests/invariants.rs
@@ -183,7 +183,7 @@
         let latest = now + STALL_ALLOWANCE_S;
         let forbidden = match to.server {
             _ if now >= to.list_until => Some(Invariant::StaleList),
-            ServerState::Gone => Some(Invariant::Drain),
+            ServerState::Removed => Some(Invariant::Drain),
             ServerState::Draining { since } if latest >= since + to.drain_grace_s + SLACK_S => {
                 Some(Invariant::Drain)
             }
@@ -277,7 +277,7 @@
 fn rule_broken_at(written_at: f64, to: &Destination, call: &CallTimes) -> Option<Invariant> {
     match to.server {
         _ if written_at >= to.list_until + to.drain_grace_s + SLACK_S => Some(Invariant::StaleList),
-        ServerState::Gone => Some(Invariant::Drain),
+        ServerState::Removed => Some(Invariant::Drain),
         ServerState::Draining { since } if written_at >= since + to.drain_grace_s + SLACK_S => {
             Some(Invariant::Drain)
         }
