--- a/src/config/bounds.rs
+++ b/src/config/bounds.rs
@@ -1,17 +1,15 @@
-//! Checks of the numbers and choices in a configuration.
-//!
-//! This file owns the form of these checks and the bounds that several keys share. It must never know a key.
+//! Range and choice checks for configuration values, and bounds that several keys share.
 
 use super::SettingsError;
 use std::ops::RangeInclusive;
 
-/// Longest time (seconds): a value beyond a month is probably in another unit.
+/// Maximum of any time (seconds): a value above 30 days is probably in another unit.
 pub(super) const MAX_TIME_S: f64 = 30.0 * 86_400.0;
-/// Greatest number of anything that is counted.
+/// Maximum of any count.
 pub(super) const MAX_COUNT: f64 = 1e9;
 
-/// Checks that a number is within its bounds, where it is given.
-pub(super) fn within(
+/// Returns an error if the value is set and outside its range.
+pub(super) fn check_range(
     key: impl Into<String>,
     value: Option<f64>,
     bounds: RangeInclusive<f64>,
@@ -27,8 +25,8 @@
     }
 }
 
-/// A count within its bounds, or the default where none is given.
-pub(super) fn whole(
+/// Returns the value as an integer, or the default if it is not set. A fractional or out-of-range value is an error.
+pub(super) fn integer_or_default(
     key: &'static str,
     value: Option<f64>,
     bounds: RangeInclusive<f64>,
@@ -37,7 +35,7 @@
     match value {
         None => Ok(default),
         Some(value) if bounds.contains(&value) && value.fract() == 0.0 => Ok(value as u32),
-        Some(value) => Err(SettingsError::NotWhole {
+        Some(value) => Err(SettingsError::NotInteger {
             key,
             value,
             min: *bounds.start(),
@@ -46,8 +44,8 @@
     }
 }
 
-/// Checks that a text is one of the choices, where it is given.
-pub(super) fn one_of(
+/// Returns an error if the value is set and is not one of the choices.
+pub(super) fn check_choice(
     key: impl Into<String>,
     value: Option<&str>,
     choices: &'static [&'static str],
--- a/src/config/configuration.rs
+++ b/src/config/configuration.rs
@@ -1,9 +1,7 @@
-//! The configuration of a real mixer: its settings, and what it is started with around them.
-//!
-//! This file owns the names and defaults of all keys beside `settings`, and the bounds on a configuration's file. It must
-//! never open a socket.
+//! The configuration file of a mixer: decoding, the top-level keys other than `settings` with their defaults, and the checks
+//! at a start and on reload.
 
-use super::bounds::{within, MAX_COUNT, MAX_TIME_S};
+use super::bounds::{check_range, MAX_COUNT, MAX_TIME_S};
 use super::key_paths::KeyPaths;
 use super::options::{Options, StoreSetup, VrrpSetup};
 use super::settings::{decode, from_json, Deployment, SettingsJson};
@@ -19,26 +17,26 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::Path;
 
-/// Longest configuration that is read (bytes): a list of 10,000 servers, indented, takes 2.3 MB.
+/// Maximum length of a configuration (bytes): an indented list of 10,000 servers takes 2.3 MB.
 const MAX_CONFIG_BYTES: usize = 16 * 1024 * 1024;
-/// Least descriptors with which a mixer can serve.
+/// Minimum number of descriptors with which a mixer can serve.
 const MIN_SOCKETS: f64 = 32.0;
-/// Least memory that may be configured (megabytes).
+/// Minimum configurable memory (megabytes).
 const MIN_MEMORY_MB: f64 = 1.0;
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 
-/// The name where none is set.
+/// Default of `name`.
 const DEFAULT_NAME: &str = "wharfhub";
-/// The seed where none is set, or none that is hexadecimal.
+/// Seed used if `seed` is not set or not hexadecimal.
 const DEFAULT_SEED: u64 = 0x5eed;
-/// Descriptors where no limit is set.
+/// Default of `limits.sockets`.
 const DEFAULT_SOCKETS: usize = 1024;
-/// Memory where no limit is set (megabytes).
+/// Default of `limits.memory_mb` (megabytes).
 const DEFAULT_MEMORY_MB: f64 = 192.0;
-/// After SIGTERM clients are served for so long before the listeners close, where nothing else is set (seconds).
+/// Default of `drain_s` (seconds).
 const DEFAULT_DRAIN_S: f64 = 0.7;
 
-/// The configuration of a real mixer, as `LB_CONFIG` holds it.
+/// JSON form of the file that `LB_CONFIG` names.
 #[derive(Deserialize)]
 pub(super) struct ConfigJson {
     name: Option<String>,
@@ -55,14 +53,14 @@
     pub(super) settings: SettingsJson,
 }
 
-/// The front for the search API; it is off where this is missing.
+/// The section `search`. The search API is disabled if it is missing.
 #[derive(Deserialize)]
 struct SearchJson {
     listen: String,
     tenant: Option<String>,
 }
 
-/// The store; it is off where this is missing.
+/// The section `store`. The replicated store is disabled if it is missing.
 #[derive(Deserialize)]
 struct StoreJson {
     node: u32,
@@ -71,14 +69,14 @@
     peers: Vec<StorePeerJson>,
 }
 
-/// Another node of the store.
+/// An entry of `store.peers`.
 #[derive(Deserialize)]
 struct StorePeerJson {
     node: u32,
     address: String,
 }
 
-/// VRRP; it is off where this is missing.
+/// The section `vrrp`. VRRP is disabled if it is missing.
 #[derive(Deserialize)]
 struct VrrpJson {
     router: u8,
@@ -90,33 +88,33 @@
     peers: Vec<String>,
 }
 
-/// The limits of the process.
+/// The section `limits`: limits of the process.
 #[derive(Default, Deserialize)]
 struct LimitsJson {
     sockets: Option<f64>,
     memory_mb: Option<f64>,
 }
 
-/// The configuration of a real mixer.
+/// The decoded configuration of a mixer.
 pub struct Config {
     pub(super) json: ConfigJson,
-    /// Discovery as the file names it, whatever the environment says.
+    /// Value of `discovery` in the file, before the environment overrides it.
     file_discovery: Option<String>,
     pub(super) key_paths: KeyPaths,
 }
 
-/// What a running mixer takes from its file when it rereads it.
+/// The part of the configuration that a running mixer applies on reload.
 pub struct ReloadedConfig {
-    /// Discovery, where the file names one.
+    /// Address of discovery, if the file sets it.
     pub discovery: Option<SocketAddr>,
-    /// The settings.
+    /// Settings of the deployment.
     pub deployment: Deployment,
-    /// The paths of the keys in the file.
+    /// Paths of the keys in the file.
     pub key_paths: KeyPaths,
 }
 
 impl Config {
-    /// Decodes the text of a configuration, JSON or YAML; an error names the key at fault.
+    /// Decodes a configuration in JSON or YAML; an error names the invalid key.
     pub fn decode(text: &[u8]) -> Result<Config, SettingsError> {
         if text.len() > MAX_CONFIG_BYTES {
             return Err(SettingsError::TooLong {
@@ -124,7 +122,7 @@
             });
         }
         let text = std::str::from_utf8(text)?;
-        // A text is JSON if it begins like a JSON object; anything else is YAML.
+        // A text that begins with `{` is decoded as JSON, any other text as YAML.
         let is_json = text.trim_start().starts_with('{');
         let from_yaml = if is_json {
             None
@@ -133,10 +131,10 @@
         };
         let text = from_yaml.as_deref().unwrap_or(text);
         let json: ConfigJson = from_json(text)?;
-        within("drain_s", json.drain_s, 0.0..=MAX_TIME_S)?;
+        check_range("drain_s", json.drain_s, 0.0..=MAX_TIME_S)?;
         if let Some(limits) = &json.limits {
-            within("limits.sockets", limits.sockets, MIN_SOCKETS..=MAX_COUNT)?;
-            within(
+            check_range("limits.sockets", limits.sockets, MIN_SOCKETS..=MAX_COUNT)?;
+            check_range(
                 "limits.memory_mb",
                 limits.memory_mb,
                 MIN_MEMORY_MB..=MAX_COUNT,
@@ -151,21 +149,21 @@
         })
     }
 
-    /// Reads and decodes the file of a configuration.
+    /// Reads and decodes a configuration file.
     pub fn read(path: &Path) -> Result<Config, SettingsError> {
         let mut text = Vec::new();
-        // One byte more than the bound shows that there is more.
+        // Reading one byte beyond the limit makes `decode` reject a longer file without reading it to the end.
         File::open(path)?
             .take(MAX_CONFIG_BYTES as u64 + 1)
             .read_to_end(&mut text)?;
         Config::decode(&text)
     }
 
-    /// Reads the file again for a running mixer, whose file in force has these keys. A file is rejected completely where
-    /// anything of this is wrong, or where it lacks one of these keys.
-    pub fn reload(path: &Path, in_force: &KeyPaths) -> Result<ReloadedConfig, SettingsError> {
+    /// Reads the file again for a running mixer whose configuration in use has the keys `in_use`. The whole file is rejected if
+    /// a value is invalid or one of these keys is missing.
+    pub fn reload(path: &Path, in_use: &KeyPaths) -> Result<ReloadedConfig, SettingsError> {
         let config = Config::read(path)?;
-        config.key_paths.check_includes(in_force)?;
+        config.key_paths.check_includes(in_use)?;
         Ok(ReloadedConfig {
             discovery: optional_address(config.file_discovery.as_deref(), "discovery")?,
             deployment: config.json.settings.deployment()?,
@@ -173,7 +171,7 @@
         })
     }
 
-    /// Puts the variables of the environment that are set in place of the file's keys.
+    /// Overrides keys of the file by the environment variables that are set.
     pub fn override_by(&mut self, variable: impl Fn(&str) -> Option<String>) {
         let json = &mut self.json;
         json.name = variable("LB_NAME").or(json.name.take());
@@ -182,7 +180,7 @@
         json.operator = variable("LB_OPERATOR").or(json.operator.take());
     }
 
-    /// One line for people, with the name and the addresses.
+    /// Returns one line with the name and the addresses for display.
     pub fn summary(&self) -> String {
         let json = &self.json;
         format!(
@@ -193,7 +191,7 @@
         )
     }
 
-    /// Checks the rest of the configuration and opens the store's folder; an error names the key at fault.
+    /// Validates the rest of the configuration and opens the store's data folder; an error names the invalid key.
     pub fn options(self) -> Result<Options, SettingsError> {
         let json = self.json;
         let store = json.store.map(StoreJson::setup).transpose()?;
@@ -230,7 +228,8 @@
     }
 }
 
-/// The deployment: what operators have put into the store and its folder has kept comes before the file.
+/// Returns the deployment. Settings that operators wrote to the store, and that its data folder holds, take precedence over the
+/// file.
 fn deployment(
     store: Option<&StoreSetup>,
     settings: SettingsJson,
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,38 +1,36 @@
-//! Why a configuration could not be used: the one error of its decoder.
-//!
-//! This file owns the wording, which operators see. It must never decode anything.
+//! The error type of the configuration decoder. Its messages are shown to operators.
 
 use super::fault::JsonFault;
 use super::yaml::YamlError;
 use crate::store::StoreError;
 use thiserror::Error;
 
-/// Why a configuration could not be used.
+/// Reason for which a configuration is rejected.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file could not be read.
     #[error("cannot be read: {0}")]
     Unreadable(#[from] std::io::Error),
-    /// The text is longer than any configuration.
+    /// The text exceeds the maximum length of a configuration.
     #[error("settings: more than {max_bytes} bytes")]
     TooLong {
-        /// The longest that is read.
+        /// Maximum length (bytes).
         max_bytes: usize,
     },
     /// The text is not UTF-8.
     #[error("settings are not UTF-8: {0}")]
-    NotText(#[from] std::str::Utf8Error),
-    /// The text is not YAML that has an equal in JSON.
+    NotUtf8(#[from] std::str::Utf8Error),
+    /// The text is not YAML, or is YAML that JSON cannot represent.
     #[error("settings: not YAML: {0}")]
     NotYaml(#[from] YamlError),
-    /// The text is not JSON of the expected form.
+    /// The text is not JSON, or its JSON does not match the configuration's structure.
     #[error("settings: {0}")]
     NotJson(#[from] JsonFault),
     /// A required key is missing.
     #[error("settings: {0} is missing")]
     Missing(&'static str),
-    /// A number is out of its bounds.
-    #[error("settings: {key}: {value} is not within {min} and {max}")]
+    /// A number is outside its range.
+    #[error("settings: {key}: {value} is not between {min} and {max}")]
     OutOfBounds {
         /// The path of the key.
         key: String,
@@ -43,9 +41,9 @@
         /// The greatest value that is accepted.
         max: f64,
     },
-    /// A number that counts something is out of its bounds or has a fraction.
-    #[error("settings: {key}: {value} is no whole number from {min} to {max}")]
-    NotWhole {
+    /// A count is outside its range or has a fractional part.
+    #[error("settings: {key}: {value} is not an integer from {min} to {max}")]
+    NotInteger {
         /// The path of the key.
         key: &'static str,
         /// Its value.
@@ -55,52 +53,52 @@
         /// The greatest value that is accepted.
         max: f64,
     },
-    /// A text is none of those that the key takes.
-    #[error("settings: {key}: {value:?} is none of {choices:?}")]
+    /// A string is not one of the values that the key accepts.
+    #[error("settings: {key}: {value:?} is not one of {choices:?}")]
     UnknownChoice {
         /// The path of the key.
         key: String,
         /// Its value.
         value: String,
-        /// What the key takes.
+        /// The accepted values.
         choices: &'static [&'static str],
     },
-    /// A text is no address.
-    #[error("settings: {key} is no address: {value:?}")]
+    /// A string cannot be parsed as an address.
+    #[error("settings: {key} is not an address: {value:?}")]
     NotAnAddress {
         /// The path of the key.
         key: &'static str,
         /// Its value.
         value: String,
     },
-    /// A key is missing that the configuration in force has.
-    #[error("settings: {0} is missing, and was there before")]
-    Lost(String),
-    /// There is no class.
-    #[error("settings: no class of query")]
+    /// A reloaded file lacks a key that the configuration in use has.
+    #[error("settings: {0} is missing, but is set in the configuration in use")]
+    RemovedKey(String),
+    /// `categories` is empty.
+    #[error("settings: categories defines no query class")]
     NoClasses,
-    /// A class has the name of another one, or an empty name.
-    #[error("settings: two classes of one name, or one without")]
+    /// Two classes have the same name, or a class has an empty name.
+    #[error("settings: categories: a class name is duplicated or empty")]
     AmbiguousClassNames,
     /// `permissions.sendCap` is 0.
-    #[error("settings: no attempt is allowed for a part")]
+    #[error("settings: permissions.sendCap: 0 allows no attempt for a part")]
     NoAttempts,
-    /// A list in `familyInfo` has fewer entries than there are classes.
-    #[error("settings: a list by class that is shorter than the classes")]
+    /// A per-class list in `familyInfo` has fewer entries than there are classes.
+    #[error("settings: familyInfo: a per-class list has fewer entries than there are classes")]
     ShortClassList,
     /// `phases.classes` names a class that does not exist.
     #[error("settings: phases.classes: there is no class {0:?}")]
     UnknownPhaseClass(String),
-    /// `phases.classes` names a class that is not idempotent, which allows no pre-check.
-    #[error("settings: phases.classes: {0:?} is not safe to repeat, and can't be asked ahead")]
+    /// `phases.classes` names a class that is not idempotent and therefore cannot have a pre-check.
+    #[error("settings: phases.classes: {0:?} is not idempotent, so it cannot have a pre-check")]
     PhaseClassNotIdempotent(String),
     /// `phases.classes` names a class twice.
-    #[error("settings: phases.classes: {0:?} stands there twice")]
+    #[error("settings: phases.classes: {0:?} is listed twice")]
     RepeatedPhaseClass(String),
-    /// `store.peers` has the node itself.
-    #[error("settings: store.peers names this node")]
+    /// `store.peers` contains the node itself.
+    #[error("settings: store.peers contains this node")]
     StorePeersNameThisNode,
-    /// The store's folder cannot be used.
+    /// The registers in `store.folder` cannot be opened.
     #[error("settings: store.folder {folder}: {error}")]
     StoreFolder {
         /// The folder.
@@ -109,10 +107,10 @@
         #[source]
         error: StoreError,
     },
-    /// `vrrp.listen` is an address of IPv6.
-    #[error("settings: vrrp.listen is not of IPv4")]
+    /// `vrrp.listen` is not an IPv4 address.
+    #[error("settings: vrrp.listen is not an IPv4 address")]
     VrrpNotIpv4,
-    /// VRRP has no address, or a priority or interval of 0.
-    #[error("settings: vrrp: no address, priority 0 or interval 0")]
+    /// `vrrp` has no address, or a priority or interval of 0.
+    #[error("settings: vrrp: addresses is empty, or priority or interval_cs is 0")]
     IncompleteVrrp,
 }
--- a/src/config/fault.rs
+++ b/src/config/fault.rs
@@ -1,86 +1,86 @@
-//! Finds the key at fault in a JSON text that could not be decoded.
+//! Locates the invalid value in a JSON text that could not be decoded.
 //!
-//! This file owns the search: from the top down, each value of an object is replaced, and entries of a list are left out,
-//! until the text decodes; what had to change is at fault, and the search goes on inside it. The number of attempts to decode
-//! grows with the depth and with the keys of the objects on the way, not with the length of a list. It must never know a key,
-//! a type or a setting, and never call a text valid that its decoder rejected.
+//! The search works from the top down and decodes modified copies of the text: values of an object are replaced in turn, and
+//! entries of a list are left out, until the text decodes. The value that had to change is invalid, and the search continues
+//! inside it. The number of decoding attempts grows with the depth and with the number of keys of the objects on the path, and
+//! with the logarithm of the length of a list.
 
 use miniserde::json::{self, Array, Number, Object, Value};
 use miniserde::Deserialize;
 use std::ops::Range;
 use thiserror::Error;
 
-/// Longest value that is shown (characters).
+/// Maximum length of a value in an error message (characters).
 const MAX_SHOWN_CHARS: usize = 60;
-/// Deepest value that is searched.
+/// Maximum depth of the search.
 const MAX_DEPTH: usize = 64;
 
-/// What keeps a text from being decoded.
+/// Reason for which a text cannot be decoded.
 #[derive(Debug, Error, PartialEq)]
 pub enum JsonFault {
     /// The text is not JSON.
-    #[error("not JSON, or cut off")]
+    #[error("not valid JSON, or truncated")]
     NotJson,
-    /// One value is at fault.
+    /// One value is invalid.
     #[error("{path}: {shown} is {}", .mismatch.label())]
     Value {
-        /// The path of the value.
+        /// Path of the value.
         path: String,
-        /// The value as JSON, cut to a bound.
+        /// The value as JSON, truncated to a bounded length.
         shown: String,
-        /// What the value is not.
+        /// The requirement that the value does not meet.
         mismatch: Mismatch,
     },
-    /// One entry of a list is at fault.
-    #[error("{list}: entry {index}, {shown}, is {}", Mismatch::OtherForm.label())]
+    /// One entry of a list is invalid.
+    #[error("{list}: entry {index}, {shown}, is {}", Mismatch::UnexpectedForm.label())]
     Entry {
-        /// The path of the list.
+        /// Path of the list.
         list: String,
-        /// The index of the entry.
+        /// Index of the entry.
         index: usize,
-        /// The entry as JSON, cut to a bound.
+        /// The entry as JSON, truncated to a bounded length.
         shown: String,
     },
-    /// No single value is at fault.
-    #[error("not of the expected form: several keys are wrong, or a needed one is missing")]
+    /// No change of a single value makes the text decodable.
+    #[error("not of the expected form: several values are invalid, or a required key is missing")]
     Several,
 }
 
-/// What a value is not.
+/// A requirement that a value does not meet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mismatch {
-    /// It is no number.
+    /// The value is not a number.
     NotNumber,
-    /// It is a number, but out of the bounds of its type.
-    NumberDoesNotFit,
-    /// It is no text.
-    NotText,
-    /// It is no boolean.
+    /// The value is a number that its integer type cannot represent.
+    NumberOutOfRange,
+    /// The value is not a string.
+    NotString,
+    /// The value is not a boolean.
     NotBoolean,
-    /// It is no list, or an entry lacks a key.
+    /// The value is not a list, or one of its entries lacks a key.
     NotList,
-    /// It is no object, or lacks a key.
+    /// The value is not an object, or lacks a key.
     NotObject,
-    /// Nothing but its absence makes the text decodable.
-    OtherForm,
+    /// Only `null` in place of the value, or leaving the entry out, makes the text decodable.
+    UnexpectedForm,
 }
 
 impl Mismatch {
-    /// Its words in the error text, which operators see.
+    /// Returns the text that follows "is" in the error message.
     pub fn label(self) -> &'static str {
         match self {
-            Mismatch::NotNumber => "no number",
-            Mismatch::NumberDoesNotFit => "no whole number that fits",
-            Mismatch::NotText => "no text",
-            Mismatch::NotBoolean => "neither true nor false",
-            Mismatch::NotList => "no list of the expected form, or an entry of it lacks a key",
-            Mismatch::NotObject => "no object with its keys",
-            Mismatch::OtherForm => "not of the expected form, or lacks a key",
+            Mismatch::NotNumber => "not a number",
+            Mismatch::NumberOutOfRange => "not an integer within range",
+            Mismatch::NotString => "not a string",
+            Mismatch::NotBoolean => "not a boolean",
+            Mismatch::NotList => "not a list of the expected form, or an entry lacks a key",
+            Mismatch::NotObject => "not an object with the required keys",
+            Mismatch::UnexpectedForm => "not of the expected form, or lacks a key",
         }
     }
 }
 
-/// Finds what keeps a text from being decoded as a `T`, which its decoder has rejected.
+/// Locates the value that prevents a text from being decoded as a `T`. The decoder must have rejected the text.
 pub fn find<T: Deserialize>(text: &str) -> JsonFault {
     let Ok(mut complete) = json::from_str::<Value>(text) else {
         return JsonFault::NotJson;
@@ -109,11 +109,13 @@
         .take(MAX_SHOWN_CHARS)
         .collect();
     match path.split_last() {
-        Some((Step::Index(index), list)) if mismatch == Mismatch::OtherForm => JsonFault::Entry {
-            list: path_text(list),
-            index: *index,
-            shown,
-        },
+        Some((Step::Index(index), list)) if mismatch == Mismatch::UnexpectedForm => {
+            JsonFault::Entry {
+                list: path_text(list),
+                index: *index,
+                shown,
+            }
+        }
         _ => JsonFault::Value {
             path: path_text(path),
             shown,
@@ -122,25 +124,25 @@
     }
 }
 
-/// A step from a value to one inside it.
+/// One element of a path: the key of an object or the index of a list.
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     Key(String),
     Index(usize),
 }
 
-/// A value without which, or with another one in its place, the text decodes.
+/// An invalid value: the text decodes if the value is replaced or, in a list, left out.
 struct Fault {
     step: Step,
     mismatch: Mismatch,
-    /// What may stand there.
+    /// Value with which the text decodes.
     replacement: Value,
 }
 
-/// What is tried in place of a value.
+/// A candidate value that is tried in place of another.
 struct Replacement {
     value: Value,
-    /// What the value is not, if the text decodes with this one.
+    /// Mismatch of the original value if the text decodes with this candidate.
     mismatch: Mismatch,
 }
 
@@ -148,11 +150,11 @@
     let replacement = |value, mismatch| Replacement { value, mismatch };
     [
         replacement(Value::Number(Number::U64(1)), Mismatch::NotNumber),
-        replacement(Value::String(String::new()), Mismatch::NotText),
+        replacement(Value::String(String::new()), Mismatch::NotString),
         replacement(Value::Bool(true), Mismatch::NotBoolean),
         replacement(Value::Array(Array::new()), Mismatch::NotList),
         replacement(Value::Object(Object::new()), Mismatch::NotObject),
-        replacement(Value::Null, Mismatch::OtherForm),
+        replacement(Value::Null, Mismatch::UnexpectedForm),
     ]
 }
 
@@ -160,42 +162,46 @@
     json::from_str::<T>(&json::to_string(complete)).is_ok()
 }
 
-/// The one value directly inside the value at `path` that is at fault, if there is one.
+/// Returns the invalid value directly inside the value at `path`, if changing that value alone makes the text decodable.
 fn faulty_child<T: Deserialize>(complete: &mut Value, path: &[Step]) -> Option<Fault> {
     match value_at(complete, path)? {
         Value::Object(object) => {
             let keys: Vec<Step> = object.keys().map(|key| Step::Key(key.clone())).collect();
             keys.into_iter()
-                .find_map(|step| replaceable::<T>(complete, path, step))
+                .find_map(|step| try_replacements::<T>(complete, path, step))
         }
         Value::Array(values) => {
-            let all = 0..values.len();
-            let index = faulty_entry::<T>(complete, path, all)?;
+            let all_entries = 0..values.len();
+            let index = faulty_entry::<T>(complete, path, all_entries)?;
             let removed = Fault {
                 step: Step::Index(index),
-                mismatch: Mismatch::OtherForm,
+                mismatch: Mismatch::UnexpectedForm,
                 replacement: Value::Null,
             };
-            Some(replaceable::<T>(complete, path, Step::Index(index)).unwrap_or(removed))
+            Some(try_replacements::<T>(complete, path, Step::Index(index)).unwrap_or(removed))
         }
         _ => None,
     }
 }
 
-/// Whether another value in that place makes the text decode. The value itself stays as it was.
-fn replaceable<T: Deserialize>(complete: &mut Value, path: &[Step], step: Step) -> Option<Fault> {
+/// Returns the fault if another value in that place makes the text decodable. The original value is restored.
+fn try_replacements<T: Deserialize>(
+    complete: &mut Value,
+    path: &[Step],
+    step: Step,
+) -> Option<Fault> {
     let place: Vec<Step> = path.iter().cloned().chain([step.clone()]).collect();
-    let own = std::mem::replace(value_at(complete, &place)?, Value::Null);
+    let original = std::mem::replace(value_at(complete, &place)?, Value::Null);
     let mut fault = None;
     for Replacement { value, mismatch } in replacements() {
-        // Where another number decodes, the one that is there is out of its bounds.
-        let is_number = matches!((&own, &value), (Value::Number(_), Value::Number(_)));
+        // If another number decodes, the type matches and the original number is out of range.
+        let is_number = matches!((&original, &value), (Value::Number(_), Value::Number(_)));
         *value_at(complete, &place)? = value.clone();
         if decodes::<T>(complete) {
             fault = Some(Fault {
                 step,
                 mismatch: if is_number {
-                    Mismatch::NumberDoesNotFit
+                    Mismatch::NumberOutOfRange
                 } else {
                     mismatch
                 },
@@ -204,11 +210,11 @@
             break;
         }
     }
-    *value_at(complete, &place)? = own;
+    *value_at(complete, &place)? = original;
     fault
 }
 
-/// The index of the one entry of a list without which the text decodes, by binary search.
+/// Returns the index of the only invalid entry of the list at `path`, found by binary search: without it the text decodes.
 fn faulty_entry<T: Deserialize>(
     complete: &mut Value,
     path: &[Step],
@@ -228,7 +234,7 @@
     Some(within.start)
 }
 
-/// Whether the text decodes without these entries of the list at `path`.
+/// Returns whether the text decodes without these entries of the list at `path`.
 fn decodes_without<T: Deserialize>(
     complete: &mut Value,
     path: &[Step],
@@ -237,19 +243,19 @@
     let Value::Array(list) = value_at(complete, path)? else {
         return None;
     };
-    let own = std::mem::take(list);
-    let kept = own
+    let original = std::mem::take(list);
+    let kept = original
         .iter()
         .enumerate()
         .filter(|(index, _)| !without.contains(index));
     *list = kept.map(|(_, value)| value.clone()).collect();
     let decodes = decodes::<T>(complete);
-    *value_at(complete, path)? = Value::Array(own);
+    *value_at(complete, path)? = Value::Array(original);
     Some(decodes)
 }
 
-/// Puts short values in place of the siblings of the value at fault, which bounds the time of the search: a list of servers
-/// may be a thousand times as long as the settings beside it.
+/// Replaces the siblings of the invalid value by short values, so that later decoding attempts are fast: a list of servers may
+/// be a thousand times as long as the settings.
 fn shrink_siblings<T: Deserialize>(complete: &mut Value, fault: &Fault) {
     let Value::Object(object) = complete else {
         return;
@@ -259,16 +265,17 @@
     let Some(faulty) = value_at(complete, place) else {
         return;
     };
-    let own = std::mem::replace(faulty, fault.replacement.clone());
+    let original = std::mem::replace(faulty, fault.replacement.clone());
     for step in keys.into_iter().filter(|step| *step != fault.step) {
-        if let Some(Fault { replacement, .. }) = replaceable::<T>(complete, &[], step.clone()) {
+        if let Some(Fault { replacement, .. }) = try_replacements::<T>(complete, &[], step.clone())
+        {
             if let Some(value) = value_at(complete, &[step]) {
                 *value = replacement;
             }
         }
     }
     if let Some(value) = value_at(complete, place) {
-        *value = own;
+        *value = original;
     }
 }
 
@@ -281,7 +288,7 @@
         })
 }
 
-/// A path as operators know it, such as `settings.categories[2].name`.
+/// Formats a path as in error messages, such as `settings.categories[2].name`.
 fn path_text(path: &[Step]) -> String {
     let mut text = String::new();
     for step in path {
--- a/src/config/key_paths.rs
+++ b/src/config/key_paths.rs
@@ -1,13 +1,11 @@
-//! The paths of the keys that a configuration has, by which a file is noticed that has lost some.
-//!
-//! This file owns which keys may go missing. It must never know what a key means.
+//! The set of key paths in a configuration, used on reload to detect a file that lacks keys of the configuration in use.
 
 use super::SettingsError;
 use miniserde::json::Value;
 use std::collections::BTreeSet;
 
-/// Keys that may be missing though the configuration in force has them: what they set up counts at a start only, or has a
-/// default that operators may want back.
+/// Keys that a reloaded file may lack although the configuration in use has them: they take effect only at a start, or
+/// operators may remove them to return to the default.
 const OPTIONAL: [&str; 11] = [
     "settings.phases",
     "known",
@@ -22,22 +20,22 @@
     "settings.rules.ratioSpanS",
 ];
 
-/// The paths of a configuration's keys, such as `settings.categories[].name`. In a list of objects, those that all entries
-/// have.
+/// Paths of the keys in a configuration, such as `settings.categories[].name`. For a list of objects, only the keys that all
+/// entries have are included.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct KeyPaths(BTreeSet<String>);
 
 impl KeyPaths {
-    /// The paths of the keys of a whole configuration.
+    /// Collects the key paths of a complete configuration.
     pub(super) fn of(configuration: &Value) -> KeyPaths {
         KeyPaths(paths_below(configuration, ""))
     }
 
-    /// Checks that no key is missing that the configuration in force has. A file that was cut, or lost a line, would
-    /// otherwise mean the defaults of what it lacks.
-    pub(super) fn check_includes(&self, in_force: &KeyPaths) -> Result<(), SettingsError> {
-        match in_force.0.difference(&self.0).next() {
-            Some(path) => Err(SettingsError::Lost(path.clone())),
+    /// Returns an error if a key of the configuration in use is missing. A truncated file, or one with a line removed by
+    /// mistake, would otherwise silently reset the missing keys to their defaults.
+    pub(super) fn check_includes(&self, in_use: &KeyPaths) -> Result<(), SettingsError> {
+        match in_use.0.difference(&self.0).next() {
+            Some(path) => Err(SettingsError::RemovedKey(path.clone())),
             None => Ok(()),
         }
     }
@@ -61,8 +59,10 @@
         }
         Value::Array(values) => {
             let entry = format!("{at}[]");
-            let each = values.iter().map(|value| paths_below(value, &entry));
-            paths = each.reduce(|all, one| &all & &one).unwrap_or_default();
+            let entry_paths = values.iter().map(|value| paths_below(value, &entry));
+            paths = entry_paths
+                .reduce(|common, paths| &common & &paths)
+                .unwrap_or_default();
         }
         _ => {}
     }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration: its one decoder, its bounds, and errors that name the key at fault.
+//! Decoding and validation of the configuration. Errors name the invalid key.
 
 mod bounds;
 mod configuration;
--- a/src/config/options.rs
+++ b/src/config/options.rs
@@ -1,6 +1,4 @@
-//! What the program is started with, decoded and checked.
-//!
-//! This file owns these types only. It must never know a key of the configuration.
+//! The decoded and validated start options of the mixer.
 
 use super::key_paths::KeyPaths;
 use super::settings::Deployment;
@@ -11,70 +9,70 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// What the program is started with.
+/// Start options of the mixer, from the configuration file and the environment.
 pub struct Options {
-    /// The mixer's name.
+    /// Name of the mixer.
     pub name: String,
-    /// Where clients of the platform's protocol connect.
+    /// Listen address for clients of the platform's protocol.
     pub listen: SocketAddr,
-    /// Where clients of the search API connect, where that front is on.
+    /// Listen address for clients of the search API; `None` if it is disabled.
     pub search: Option<SocketAddr>,
-    /// The tenant of search clients that name none.
+    /// Tenant of search requests that do not name a tenant.
     pub search_tenant: Option<String>,
-    /// The admin interface, where it is on.
+    /// Listen address of the admin interface; `None` if it is disabled.
     pub operator: Option<SocketAddr>,
-    /// Discovery, where there is one.
+    /// Address of discovery, if one is configured.
     pub discovery: Option<SocketAddr>,
-    /// Discovery as the configuration's file names it, whatever the environment says.
+    /// Address of discovery in the configuration file, before the environment overrides it.
     pub file_discovery: Option<SocketAddr>,
-    /// What the platform holds for all processes of this mixer, where it does.
+    /// Listener that the platform keeps open across processes of this mixer, if it does.
     pub inherited: Option<InheritedListener>,
-    /// The paths of the keys in the configuration's file.
+    /// Paths of the keys in the configuration file.
     pub key_paths: KeyPaths,
-    /// The seed of random draws.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Descriptors that the process may have open.
+    /// Maximum number of open descriptors of the process.
     pub max_sockets: usize,
-    /// Memory that the process may use (bytes).
+    /// Maximum memory of the process (bytes).
     pub max_memory_bytes: usize,
-    /// The endpoint list as last known.
+    /// Initial endpoint list, from `known` in the configuration file.
     pub known_list: Option<Value>,
-    /// After SIGTERM clients are served for so long before the listeners close (seconds).
+    /// Time after SIGTERM during which the listeners stay open and clients are served (seconds).
     pub drain_s: f64,
-    /// The store, where it is set up.
+    /// Options of the replicated store; `None` if it is disabled.
     pub store: Option<StoreSetup>,
-    /// VRRP, where it is set up.
+    /// Options of VRRP; `None` if it is disabled.
     pub vrrp: Option<VrrpSetup>,
-    /// The settings.
+    /// Settings of the deployment.
     pub deployment: Deployment,
 }
 
-/// The clients' listener that the platform holds for all processes of a mixer.
+/// Client listener that the platform keeps open across processes of a mixer.
 pub struct InheritedListener {
-    /// The listener.
+    /// The listening socket.
     pub listener: std::net::TcpListener,
-    /// The path of the socket at which these processes connect to each other.
+    /// Path of the Unix socket over which the processes perform a handover.
     pub rendezvous_path: PathBuf,
 }
 
-/// The set-up of the store.
+/// Options of the replicated store.
 pub struct StoreSetup {
-    /// The id of this node.
+    /// Id of this node.
     pub node: u32,
-    /// Where its peers connect.
+    /// Listen address for the other nodes.
     pub listen: SocketAddr,
-    /// The other nodes, by id.
+    /// Addresses of the other nodes, by id.
     pub peers: BTreeMap<u32, SocketAddr>,
-    /// Its registers, with what its folder has kept.
+    /// Registers of this node, loaded from the data folder if there is one.
     pub registers: Registers,
 }
 
-/// The set-up of VRRP.
+/// Options of VRRP.
 pub struct VrrpSetup {
-    /// The state machine's own set-up.
+    /// Configuration of the virtual router.
     pub router: vrrp::Setup,
-    /// Where advertisements are received, and sent from.
+    /// Address at which advertisements are received and from which they are sent.
     pub listen: SocketAddr,
-    /// The other routers.
+    /// Addresses of the other routers.
     pub peers: Vec<SocketAddr>,
 }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,13 +1,13 @@
-//! The settings of a deployment: one decoder for the simulator's first message and for `LB_CONFIG`.
+//! Decodes the settings of a deployment, both from the simulator's first message and from the file that `LB_CONFIG` names.
 //!
-//! This file and its modules own the names, bounds and defaults of the settings on the wire. There must be no second type
-//! for the same keys: whoever needs a setting takes it from [`Deployment`].
+//! This module and its submodules define the names, ranges and defaults of all keys of `settings`. Other code reads settings
+//! from [`Deployment`], so that names and defaults are defined only once.
 
 mod classes;
 mod phases;
 mod sections;
 
-use super::bounds::{one_of, within};
+use super::bounds::{check_choice, check_range};
 use super::fault;
 use super::SettingsError;
 use crate::decisions::api::Settings;
@@ -25,13 +25,13 @@
 const CONNECT_TIMEOUT_S: f64 = 0.25;
 /// Default of [`Deployment::connection_idle_s`].
 const CONNECTION_IDLE_S: f64 = 15.0;
-/// Longest tick of the decision module (seconds).
+/// Maximum tick of the decision module (seconds).
 const MAX_TICK_S: f64 = 10.0;
 
-/// A deployment's settings: those of the decision module, and those that only a real mixer needs.
+/// Settings of a deployment: those of the decision module, and those that only a real mixer needs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Deployment {
-    /// The decision module's settings.
+    /// Settings of the decision module.
     pub policy: Settings,
     /// Names of the classes, in the module's order.
     pub classes: Vec<String>,
@@ -41,19 +41,19 @@
     pub zones: Vec<String>,
     /// Number of shards.
     pub shards: u32,
-    /// Queries and parts that are open at once, at most.
+    /// Maximum number of queries and parts that are open at the same time.
     pub max_in_flight: usize,
-    /// Parts that one connection carries at a time.
+    /// Maximum number of parts in flight on one connection.
     pub streams_per_connection: usize,
-    /// A connection that is not established within this time is given up (seconds).
+    /// Timeout for establishing a connection (seconds).
     pub connect_timeout_s: f64,
-    /// A connection that is idle for so long is closed by the other side (seconds).
+    /// Idle time after which the other side closes a connection (seconds).
     pub connection_idle_s: f64,
-    /// The pre-check phases; no class has them where this is empty.
+    /// Configuration of the pre-check phases. No class has them if its list of classes is empty.
     pub phases: two_phase::Setup,
 }
 
-/// The settings in JSON. Unknown keys are skipped; optional ones may be missing.
+/// JSON form of the settings. Unknown keys are ignored.
 #[derive(Deserialize)]
 pub(super) struct SettingsJson {
     categories: Option<Vec<CategoryJson>>,
@@ -77,21 +77,21 @@
     phases: Option<PhasesJson>,
 }
 
-/// Decodes JSON; an error names the key at fault.
+/// Decodes JSON; an error names the invalid key.
 pub(super) fn from_json<T: Deserialize>(text: &str) -> Result<T, SettingsError> {
     let decoded = miniserde::json::from_str(text);
     decoded.map_err(|_| SettingsError::NotJson(fault::find::<T>(text)))
 }
 
-/// Decodes settings from their JSON text; an error names the key at fault.
+/// Decodes settings from JSON text; an error names the invalid key.
 pub fn decode(text: &[u8]) -> Result<Deployment, SettingsError> {
     let text = std::str::from_utf8(text)?;
     from_json::<SettingsJson>(text)?.deployment()
 }
 
 impl SettingsJson {
-    /// Checks each value by itself, so that settings that cannot be served end a start or a reload with the key and the
-    /// value.
+    /// Checks the range of each value, so that invalid settings are rejected at a start or reload with an error that names the
+    /// key and the value.
     fn check(&self) -> Result<(), SettingsError> {
         for (index, class) in self.categories.iter().flatten().enumerate() {
             class.check(index)?;
@@ -99,10 +99,10 @@
         for (index, tenant) in self.tenants.iter().flatten().enumerate() {
             tenant.check(index)?;
         }
-        within("overShareWorth", self.over_quota_weight, 0.0..=1.0)?;
-        within("roundS", self.tick_s, 0.0..=MAX_TICK_S)?;
+        check_range("overShareWorth", self.over_quota_weight, 0.0..=1.0)?;
+        check_range("roundS", self.tick_s, 0.0..=MAX_TICK_S)?;
         let discovery = self.discovery.as_deref();
-        one_of("discovery", discovery, &["automatic", "subscribe"])?;
+        check_choice("discovery", discovery, &["automatic", "subscribe"])?;
         if let Some(family) = &self.family {
             family.check()?;
         }
@@ -115,7 +115,7 @@
         Ok(())
     }
 
-    /// The deployment that these settings describe; an error names the key at fault.
+    /// Validates the settings and converts them; an error names the invalid key.
     pub(super) fn deployment(self) -> Result<Deployment, SettingsError> {
         self.check()?;
         let policy_base = self.policy();
@@ -159,7 +159,7 @@
         })
     }
 
-    /// The decision module's settings, with what the keys outside the sections say.
+    /// Returns the decision module's settings with the values of the top-level keys; the sections are applied later.
     fn policy(&self) -> Settings {
         let base = Settings::default();
         Settings {
--- a/src/config/settings/classes.rs
+++ b/src/config/settings/classes.rs
@@ -1,18 +1,16 @@
-//! The classes of queries in the settings.
-//!
-//! This file owns the keys of `categories`. What `familyInfo` says by class is merged in here.
+//! The settings section `categories`, which defines the query classes. The per-class lists of `familyInfo` are merged in.
 
 use super::sections::FamilyJson;
-use crate::config::bounds::{one_of, within, MAX_COUNT, MAX_TIME_S};
+use crate::config::bounds::{check_choice, check_range, MAX_COUNT, MAX_TIME_S};
 use crate::config::SettingsError;
 use crate::decisions::api::{ClassSettings, Effect};
 use miniserde::Deserialize;
 use std::collections::BTreeSet;
 
-/// Shortest latency objective and deadline (seconds).
+/// Minimum latency objective and deadline (seconds).
 const MIN_TIME_S: f64 = 1e-4;
 
-/// One class.
+/// An entry of `categories`.
 #[derive(Deserialize)]
 pub(super) struct CategoryJson {
     name: Option<String>,
@@ -34,25 +32,25 @@
         let key = |key: &str| format!("categories[{index}].{key}");
         let times_s = MIN_TIME_S..=MAX_TIME_S;
         let latency_objective_s = Some(self.latency_objective_s);
-        within(key("aimS"), latency_objective_s, times_s.clone())?;
-        within(key("giveUpS"), Some(self.deadline_s), times_s)?;
-        within(key("windowS"), self.idempotency_window_s, 0.0..=MAX_TIME_S)?;
-        within(key("lateWorth"), self.late_weight, 0.0..=1.0)?;
-        within(key("worth"), self.priority_weight, 0.0..=MAX_COUNT)?;
+        check_range(key("aimS"), latency_objective_s, times_s.clone())?;
+        check_range(key("giveUpS"), Some(self.deadline_s), times_s)?;
+        check_range(key("windowS"), self.idempotency_window_s, 0.0..=MAX_TIME_S)?;
+        check_range(key("lateWorth"), self.late_weight, 0.0..=1.0)?;
+        check_range(key("worth"), self.priority_weight, 0.0..=MAX_COUNT)?;
         let effect = self.effect.as_deref();
-        one_of(key("effect"), effect, &["retryable", "dedup", "fragile"])
+        check_choice(key("effect"), effect, &["retryable", "dedup", "fragile"])
     }
 
     pub(super) fn has_name(&self, name: &str) -> bool {
         self.name.as_deref() == Some(name)
     }
 
-    /// Its name; empty where it has none.
+    /// Returns the name, or an empty string if none is set.
     pub(super) fn name(self) -> String {
         self.name.unwrap_or_default()
     }
 
-    /// The decision module's settings of this class, which is the one at `index`.
+    /// Returns the decision module's settings of this class, whose index is `index`.
     pub(super) fn class_settings(&self, family: &FamilyJson, index: usize) -> ClassSettings {
         let base = ClassSettings::default();
         let effect = match self.effect.as_deref() {
@@ -77,12 +75,13 @@
     }
 }
 
-/// The entry of a class in a list by class, where there is one.
+/// Returns the entry of a class in a per-class list, if there is one.
 fn entry<T: Copy>(list: &Option<Vec<T>>, index: usize) -> Option<T> {
     list.as_ref()?.get(index).copied()
 }
 
-/// Checks that there is a class, and that no two have one name. A single class may have none.
+/// Checks that there is at least one class, that names are unique, and that no name is an empty string. Classes without a name
+/// are accepted.
 pub(super) fn check_names(categories: &[CategoryJson]) -> Result<(), SettingsError> {
     if categories.is_empty() {
         return Err(SettingsError::NoClasses);
--- a/src/config/settings/phases.rs
+++ b/src/config/settings/phases.rs
@@ -1,21 +1,19 @@
-//! The pre-check phases in the settings.
-//!
-//! This file owns the keys of `phases`.
+//! The settings section `phases`, which configures the pre-check phases.
 
 use super::classes::CategoryJson;
-use crate::config::bounds::{whole, within};
+use crate::config::bounds::{check_range, integer_or_default};
 use crate::config::SettingsError;
 use crate::decisions::api::{ClassSettings, Effect};
 use crate::decisions::two_phase;
 use miniserde::Deserialize;
 use std::ops::RangeInclusive;
 
-/// Bounds of the counts.
+/// Range of the counts.
 const COUNTS: RangeInclusive<f64> = 1.0..=1e6;
-/// Bounds of a first phase's share of a query's time.
+/// Range of the pre-check phase's share of a query's time.
 const SHARES: RangeInclusive<f64> = 0.05..=0.8;
 
-/// The pre-check phases; they are off where this is missing.
+/// The section `phases`. Pre-checks are disabled if it is missing.
 #[derive(Default, Deserialize)]
 pub(super) struct PhasesJson {
     classes: Vec<String>,
@@ -28,7 +26,7 @@
 }
 
 impl PhasesJson {
-    /// The set-up of the phases of these classes.
+    /// Returns the configuration of the pre-check phases.
     pub(super) fn setup(
         &self,
         categories: &[CategoryJson],
@@ -36,13 +34,18 @@
     ) -> Result<two_phase::Setup, SettingsError> {
         let base = two_phase::Setup::default();
         let indices = self.class_indices(categories, classes)?;
-        within("phases.mostShare", self.max_share, SHARES)?;
+        check_range("phases.mostShare", self.max_share, SHARES)?;
         let retry_every = self.retry_every;
         Ok(two_phase::Setup {
             classes: indices,
             max_share: self.max_share.unwrap_or(base.max_share),
-            min_parts: whole("phases.leastParts", self.min_parts, COUNTS, base.min_parts)?,
-            try_again_every: whole(
+            min_parts: integer_or_default(
+                "phases.leastParts",
+                self.min_parts,
+                COUNTS,
+                base.min_parts,
+            )?,
+            try_again_every: integer_or_default(
                 "phases.tryAgainEvery",
                 retry_every,
                 COUNTS,
@@ -51,7 +54,8 @@
         })
     }
 
-    /// The indices of the classes that have phases: idempotent ones, each once.
+    /// Returns the indices of the classes that have pre-check phases. A class that is unknown, listed twice or not idempotent is an
+    /// error.
     fn class_indices(
         &self,
         categories: &[CategoryJson],
--- a/src/config/settings/sections.rs
+++ b/src/config/settings/sections.rs
@@ -1,21 +1,21 @@
-//! The sections of the settings: tenants, family, permissions and rules.
+//! The settings sections `tenants`, `familyInfo`, `permissions` and `rules`: their keys and bounds.
 //!
-//! This file owns their keys and bounds. Each section writes what it says into the decision module's settings, and leaves
-//! the defaults there of what it does not say.
+//! Each section overwrites the fields of the decision module's settings for which it has a value, and leaves the defaults of
+//! the others.
 
-use crate::config::bounds::{within, MAX_COUNT, MAX_TIME_S};
+use crate::config::bounds::{check_range, MAX_COUNT, MAX_TIME_S};
 use crate::config::SettingsError;
 use crate::decisions::api::{RetryBudget, Settings, TenantSettings};
 use miniserde::Deserialize;
 
-/// Greatest number of cells.
+/// Maximum number of cells.
 const MAX_CELLS: f64 = 1e6;
-/// Least share of a complete answer that may be called complete.
+/// Minimum share of the parts from which an answer may count as complete.
 const MIN_COMPLETE_SHARE: f64 = 1e-6;
-/// Shortest time, for times that must not be 0 (seconds).
+/// Minimum of the times that must not be 0 (seconds).
 const MIN_TIME_S: f64 = 1e-3;
 
-/// One tenant.
+/// An entry of `tenants`.
 #[derive(Deserialize)]
 pub(super) struct TenantJson {
     name: Option<String>,
@@ -27,11 +27,11 @@
 impl TenantJson {
     pub(super) fn check(&self, index: usize) -> Result<(), SettingsError> {
         let key = |key: &str| format!("tenants[{index}].{key}");
-        within(key("share"), self.share, 0.0..=MAX_COUNT)?;
-        within(key("allowancePerS"), self.allowance_per_s, 0.0..=f64::MAX)
+        check_range(key("share"), self.share, 0.0..=MAX_COUNT)?;
+        check_range(key("allowancePerS"), self.allowance_per_s, 0.0..=f64::MAX)
     }
 
-    /// Its name; empty where it has none.
+    /// Returns the name, or an empty string if none is set.
     pub(super) fn name(self) -> String {
         self.name.unwrap_or_default()
     }
@@ -44,7 +44,8 @@
     }
 }
 
-/// The layout of the leaf servers, and what an answer needs; lists are by class.
+/// The section `familyInfo`: the layout of the leaf servers and the requirements on answers. Lists have one entry for each
+/// class.
 #[derive(Default, Deserialize)]
 pub(super) struct FamilyJson {
     cells: Option<u32>,
@@ -70,9 +71,9 @@
     pub(super) fn check(&self) -> Result<(), SettingsError> {
         let cells = self.cells.map(f64::from);
         let shards = self.shards.map(f64::from);
-        within("familyInfo.cells", cells, 1.0..=MAX_CELLS)?;
-        within("familyInfo.slabs", shards, 1.0..=MAX_COUNT)?;
-        within(
+        check_range("familyInfo.cells", cells, 1.0..=MAX_CELLS)?;
+        check_range("familyInfo.slabs", shards, 1.0..=MAX_COUNT)?;
+        check_range(
             "familyInfo.perCallWorkS",
             self.call_work_s,
             0.0..=MAX_TIME_S,
@@ -82,7 +83,7 @@
         check_shares("floorByClass", &self.floor_by_class, 0.0)
     }
 
-    /// Checks that each list of shares has an entry for each class.
+    /// Returns an error if a list of shares has fewer entries than there are classes.
     pub(super) fn check_class_lists(&self, classes: usize) -> Result<(), SettingsError> {
         let mut lists = [
             &self.partial_weights,
@@ -110,7 +111,7 @@
 
 fn check_shares(key: &str, shares: &Option<Vec<f64>>, min: f64) -> Result<(), SettingsError> {
     for (index, share) in shares.iter().flatten().enumerate() {
-        within(
+        check_range(
             format!("familyInfo.{key}[{index}]"),
             Some(*share),
             min..=1.0,
@@ -119,7 +120,7 @@
     Ok(())
 }
 
-/// What the mixer is allowed to do; what is missing is not allowed, or unlimited.
+/// The section `permissions`: optional features and limits of the mixer. A feature that is not set is disabled.
 #[derive(Default, Deserialize)]
 pub(super) struct PermissionsJson {
     cancelling: Option<bool>,
@@ -146,25 +147,25 @@
     pub(super) fn check(&self) -> Result<(), SettingsError> {
         let times_s = 0.0..=MAX_TIME_S;
         let max_in_flight = self.max_in_flight.map(f64::from);
-        within(
+        check_range(
             "permissions.connIdleS",
             self.connection_idle_s,
             times_s.clone(),
         )?;
-        within(
+        check_range(
             "permissions.connectTimeoutS",
             self.connect_timeout_s,
             times_s.clone(),
         )?;
-        within(
+        check_range(
             "permissions.maxRetryAfterS",
             self.max_retry_after_s,
             times_s,
         )?;
-        within("permissions.mostHeld", max_in_flight, 1.0..=MAX_COUNT)
+        check_range("permissions.mostHeld", max_in_flight, 1.0..=MAX_COUNT)
     }
 
-    /// Checks that a part may be sent at all.
+    /// Returns an error if no attempt is allowed for a part.
     pub(super) fn check_attempts(&self) -> Result<(), SettingsError> {
         if self.max_attempts == Some(0) {
             return Err(SettingsError::NoAttempts);
@@ -185,7 +186,7 @@
     }
 }
 
-/// The operators' rules that a mixer has to keep.
+/// The section `rules`: invariants that operators require of the mixer.
 #[derive(Default, Deserialize)]
 pub(super) struct RulesJson {
     #[serde(rename = "askWithinS")]
@@ -211,7 +212,7 @@
 impl RulesJson {
     pub(super) fn check(&self) -> Result<(), SettingsError> {
         let check = |key: &str, value: Option<f64>, min: f64, max: f64| {
-            within(format!("rules.{key}"), value, min..=max)
+            check_range(format!("rules.{key}"), value, min..=max)
         };
         check("askWithinS", self.poll_within_s, MIN_TIME_S, MAX_TIME_S)?;
         check("coldFrom", self.slow_start_from, 0.0, 1.0)?;
@@ -236,7 +237,7 @@
         Ok(())
     }
 
-    /// The retry budget; retries are unlimited where none of its keys is given.
+    /// Returns the retry budget; `None` (unlimited retries) if neither `extraFloor` nor `furtherRatio` is set.
     fn retry_budget(&self) -> Result<Option<RetryBudget>, SettingsError> {
         if self.free_retries.is_none() && self.retry_share.is_none() {
             return Ok(None);
@@ -245,7 +246,9 @@
         Ok(Some(RetryBudget {
             free: self.free_retries.unwrap_or(0.0),
             share: self.retry_share.unwrap_or(0.0),
-            window_s: window_s.ok_or(SettingsError::Missing("ratioSpanS beside a ration"))?,
+            window_s: window_s.ok_or(SettingsError::Missing(
+                "rules.ratioSpanS (required with extraFloor or furtherRatio)",
+            ))?,
         }))
     }
 }
--- a/src/config/settings/tests.rs
+++ b/src/config/settings/tests.rs
@@ -1,23 +1,24 @@
-//! Tests of the settings and of the configuration around them.
+//! Tests of the settings and of the configuration file.
 
 use super::*;
 use crate::config::configuration::Config;
 use crate::store::Registers;
 use std::path::Path;
 
-/// A file that is cut anywhere is rejected, and one that lacks a key in force, but for keys that count at a start only.
+/// A file truncated at any byte is rejected, and so is one that lacks a key of the configuration in use, unless the key takes
+/// effect only at a start.
 #[test]
-fn a_file_that_is_cut_or_lacks_a_key_in_force_is_rejected() {
+fn a_file_that_is_truncated_or_lacks_a_key_in_use_is_rejected() {
     let text = include_str!("../../../examples/config.json");
     for end in 0..text.trim_end().len() {
         assert!(
             Config::decode(&text.as_bytes()[..end]).is_err(),
-            "cut after {end} bytes"
+            "truncated after {end} bytes"
         );
     }
     let key_paths = |text: &str| Config::decode(text.as_bytes()).unwrap().key_paths;
     let without = |line: &str| {
-        assert!(text.contains(line), "{line} is not there");
+        assert!(text.contains(line), "{line} is not in the file");
         key_paths(&text.replacen(line, "", 1)).check_includes(&key_paths(text))
     };
     for line in [
@@ -27,14 +28,14 @@
         "\"limits\": {\"sockets\": 1024},",
     ] {
         assert!(
-            matches!(without(line), Err(SettingsError::Lost(_))),
-            "{line} is not missed"
+            matches!(without(line), Err(SettingsError::RemovedKey(_))),
+            "the missing {line} is not detected"
         );
     }
     assert!(without("\"operator\": \"127.0.0.1:7300\",").is_ok());
 }
 
-/// The operators' examples are accepted, in JSON and YAML, with the values that they show.
+/// The example configurations are accepted, in JSON and YAML, with the values that they contain.
 #[test]
 fn the_files_under_deploy_are_valid() {
     let yaml = include_str!("../../../deploy/two-phase.yaml");
@@ -70,25 +71,25 @@
     Config::decode(text.as_bytes()).unwrap().json.settings
 }
 
-/// An invalid setting of phases is an error that names its key.
+/// An invalid value in `phases` is an error that names its key.
 #[rstest::rstest]
 #[case(
     "\"classes\": [\"nobody\"]",
     "phases.classes: there is no class \"nobody\""
 )]
-#[case("\"classes\": [\"stem-hold\"]", "\"stem-hold\" is not safe to repeat")]
-#[case("\"classes\": [\"slot-check\", \"slot-check\"]", "stands there twice")]
+#[case("\"classes\": [\"stem-hold\"]", "\"stem-hold\" is not idempotent")]
+#[case("\"classes\": [\"slot-check\", \"slot-check\"]", "is listed twice")]
 #[case(
     "\"classes\": [], \"leastParts\": 0",
-    "phases.leastParts: 0 is no whole number"
+    "phases.leastParts: 0 is not an integer from 1"
 )]
 #[case(
     "\"classes\": [], \"tryAgainEvery\": 1.5",
-    "phases.tryAgainEvery: 1.5 is no whole number"
+    "phases.tryAgainEvery: 1.5 is not an integer from 1"
 )]
 #[case(
     "\"classes\": [], \"mostShare\": 0.9",
-    "phases.mostShare: 0.9 is not within"
+    "phases.mostShare: 0.9 is not between"
 )]
 fn an_invalid_setting_of_phases_is_named(#[case] phases: &str, #[case] named: &str) {
     let file = include_str!("../../../deploy/operator.json");
@@ -100,7 +101,7 @@
     assert!(error.contains(named), "{error}");
 }
 
-/// Settings that the store's folder has kept override those of the file.
+/// Settings in the store's data folder override those of the file.
 #[test]
 fn stored_settings_override_those_of_the_file() {
     let folder = std::env::temp_dir().join(format!("wharfhub-settings-{}", std::process::id()));
@@ -132,80 +133,83 @@
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// An invalid value is rejected with its key, whether it is of the wrong type, out of its bounds, or an unknown choice; a text
-/// that is cut or no JSON is rejected as such.
+/// A value that has the wrong type, is out of range or is an unknown choice is rejected with its key. A text that is truncated or
+/// not JSON is rejected as such.
 #[rstest::rstest]
 #[case(
     "\"coldFrom\": 0.2",
     "\"coldFrom\": 1.5",
-    "rules.coldFrom: 1.5 is not within 0 and 1"
+    "rules.coldFrom: 1.5 is not between 0 and 1"
 )]
 #[case(
     "\"coldFrom\": 0.2",
     "\"coldFrom\": \"cold\"",
-    "settings.rules.coldFrom: \"cold\" is no number"
+    "settings.rules.coldFrom: \"cold\" is not a number"
 )]
 #[case(
     "\"mostHeld\": 214",
     "\"mostHeld\": -3",
-    "settings.permissions.mostHeld: -3 is no whole number that fits"
+    "settings.permissions.mostHeld: -3 is not an integer within range"
 )]
 #[case(
     "\"mostHeld\": 214",
     "\"mostHeld\": 0",
-    "permissions.mostHeld: 0 is not within 1 and"
+    "permissions.mostHeld: 0 is not between 1 and"
 )]
 #[case(
     "\"cells\": 2",
     "\"cells\": 0",
-    "familyInfo.cells: 0 is not within 1 and"
+    "familyInfo.cells: 0 is not between 1 and"
 )]
 #[case(
     "\"cells\": 2",
     "\"cells\": 2.5",
-    "settings.familyInfo.cells: 2.5 is no whole number that fits"
+    "settings.familyInfo.cells: 2.5 is not an integer within range"
 )]
 #[case(
     "\"cancelling\": true",
     "\"cancelling\": 1",
-    "settings.permissions.cancelling: 1 is neither true nor false"
+    "settings.permissions.cancelling: 1 is not a boolean"
 )]
 #[case(
     "\"replicasOfMe\"",
     "\"discovery\": \"guess\", \"replicasOfMe\"",
-    "discovery: \"guess\" is none of [\"automatic\", \"subscribe\"]"
+    "discovery: \"guess\" is not one of [\"automatic\", \"subscribe\"]"
 )]
-#[case("\"dedup\"", "\"once\"", "effect: \"once\" is none of")]
+#[case("\"dedup\"", "\"once\"", "effect: \"once\" is not one of")]
 #[case(
     "{\"sockets\": 1024}",
     "{\"sockets\": 16}",
-    "limits.sockets: 16 is not within 32 and"
+    "limits.sockets: 16 is not between 32 and"
 )]
 #[case(
     "{\"sockets\": 1024}",
     "{\"sockets\": [1024]}",
-    "limits.sockets: [1024] is no number"
+    "limits.sockets: [1024] is not a number"
 )]
 #[case(
     "{\"sockets\": 1024}",
     "1024",
-    "limits: 1024 is no object with its keys"
+    "limits: 1024 is not an object with the required keys"
 )]
 #[case("\"categories\"", "\"classes\"", "categories is missing")]
-#[case("}", "", "not JSON, or cut off")]
+#[case("}", "", "not valid JSON, or truncated")]
 fn an_invalid_value_is_named_with_its_key(
     #[case] old: &str,
     #[case] new: &str,
     #[case] named: &str,
 ) {
     let text = include_str!("../../../examples/config.json");
-    assert!(text.contains(old), "{old} is not there");
+    assert!(text.contains(old), "{old} is not in the file");
     let options = Config::decode(text.replacen(old, new, 1).as_bytes()).and_then(Config::options);
-    let error = options.err().expect("it can't be served").to_string();
+    let error = options
+        .err()
+        .expect("the configuration is invalid")
+        .to_string();
     assert!(error.contains(named), "{error}");
 }
 
-/// A configuration with a list of a fleet's servers is decoded from JSON and YAML; a wrong key beside it is named.
+/// A configuration with a long `known` list is decoded from JSON and YAML, and an invalid key elsewhere in it is named.
 #[rstest::rstest]
 fn a_known_list_of_a_fleet_is_decoded(#[values(1025, 5300, 10_000)] servers: usize) {
     let json = include_str!("../../../examples/config.json");
@@ -224,25 +228,25 @@
     for text in [&json, &yaml] {
         let options = Config::decode(text.as_bytes())
             .and_then(Config::options)
-            .expect("a configuration");
+            .expect("the configuration is valid");
         let mut directory = crate::endpoints::directory::Directory::new(Vec::new());
         let list = directory
-            .read(&options.known_list.expect("a list"))
-            .expect("a list");
+            .read(&options.known_list.expect("the configuration has a list"))
+            .expect("the list is valid");
         assert_eq!(list.entries.len(), servers, "{} bytes", text.len());
     }
     let wrong = json.replacen("\"coldFrom\": 0.2", "\"coldFrom\": \"cold\"", 1);
     let error = Config::decode(wrong.as_bytes())
         .err()
-        .expect("it can't be served")
+        .expect("the configuration is invalid")
         .to_string();
     assert!(
-        error.contains("settings.rules.coldFrom: \"cold\" is no number"),
+        error.contains("settings.rules.coldFrom: \"cold\" is not a number"),
         "{error}"
     );
 }
 
-/// The text without its `known` list, which ends with the next line that is not indented.
+/// Removes the `known` list, which ends before the next line that is not indented.
 fn without_known(yaml: &str) -> String {
     let mut known = false;
     let lines = yaml.lines().filter(|line| {
@@ -253,12 +257,12 @@
     lines.collect::<Vec<_>>().join("\n")
 }
 
-/// A file longer than any configuration is rejected by its length, and not read to its end.
+/// A file above the maximum length is rejected without being read to its end.
 #[test]
 fn a_file_over_the_bound_is_rejected_without_being_read_to_its_end() {
     let error = Config::read(Path::new("/dev/zero"))
         .err()
-        .expect("refused")
+        .expect("the file is too long")
         .to_string();
     assert!(error.contains("more than 16777216 bytes"), "{error}");
 }
