--- a/src/config/settings/sections.rs
+++ b/src/config/settings/sections.rs
@@ -10,7 +10,7 @@
 
 /// Maximum number of cells.
 const MAX_CELLS: f64 = 1e6;
-/// Minimum share of the parts from which an answer may count as complete.
+/// Minimum share of the weight of all parts from which an answer may count as complete.
 const MIN_COMPLETE_SHARE: f64 = 1e-6;
 /// Minimum of the times that must not be 0 (seconds).
 const MIN_TIME_S: f64 = 1e-3;
