--- a/src/net/discovery/client.rs
+++ b/src/net/discovery/client.rs
@@ -3,7 +3,7 @@
 use crate::decisions::api::{ReplicaEntry, Settings};
 use crate::endpoints::directory::List;
 use crate::endpoints::heartbeat::Fleet;
-use crate::endpoints::lease::{HandedLease, ListLease};
+use crate::endpoints::lease::{LeaseHandover, ListLease};
 use crate::net::discovery::lease::LeasePublisher;
 use crate::net::discovery::link::DiscoveryLink;
 use crate::net::discovery::list;
@@ -67,7 +67,7 @@
 
     /// Returns the time until which the list in use may be used.
     pub(in crate::net) fn list_until(&self, now: f64) -> f64 {
-        self.lease.until(now)
+        self.lease.expires_at(now)
     }
 
     /// Returns whether the list may be used now.
@@ -81,12 +81,12 @@
     }
 
     /// Returns the lease as the successor process inherits it.
-    pub(in crate::net) fn hand_over_lease(&self, now: f64) -> HandedLease {
+    pub(in crate::net) fn hand_over_lease(&self, now: f64) -> LeaseHandover {
         self.lease.hand_over(now)
     }
 
     /// Adopts the predecessor's lease.
-    pub(in crate::net) fn inherit_lease(&mut self, now: f64, handed: HandedLease) {
+    pub(in crate::net) fn inherit_lease(&mut self, now: f64, handed: LeaseHandover) {
         self.lease.inherit(now, handed);
     }
 
@@ -143,7 +143,7 @@
         let notified_since = self
             .lease
             .notified_since(runtime.now, runtime.previous_iteration_at);
-        runtime.directory.date_unready(notified_since);
+        runtime.directory.set_unready_since(notified_since);
     }
 
     /// Publishes the time until which the list may be used to the decision module, and logs changes of the lease.
@@ -174,7 +174,7 @@
     pub(super) fn switch_to(&mut self, runtime: &mut Runtime, address: SocketAddr) {
         self.address = Some(address);
         self.revision = None;
-        self.lease.discovery_moved(runtime.now);
+        self.lease.discovery_changed(runtime.now);
         for key in self.connections() {
             self.abandon_call(runtime, key);
         }
--- a/src/net/discovery/routing.rs
+++ b/src/net/discovery/routing.rs
@@ -246,7 +246,7 @@
                 connection.is_removed,
             );
         }
-        self.runtime.directory.forget_gone();
+        self.runtime.directory.drop_removed();
         self.check_readiness();
     }
 
@@ -255,7 +255,7 @@
             .directory
             .unready()
             .flat_map(|endpoint| {
-                let is_removed = endpoint.is_gone();
+                let is_removed = endpoint.is_removed();
                 endpoint
                     .connections
                     .iter()
