--- a/src/config/settings/sections.rs
+++ b/src/config/settings/sections.rs
@@ -39,7 +39,7 @@
     pub(super) fn tenant_settings(&self) -> TenantSettings {
         TenantSettings {
             share: self.share.unwrap_or(1.0),
-            allowance_per_s: self.allowance_per_s.unwrap_or(f64::MAX),
+            quota_per_s: self.allowance_per_s.unwrap_or(f64::MAX),
         }
     }
 }
@@ -103,7 +103,7 @@
         settings.replication_factor = replication_factor
             .unwrap_or(settings.replication_factor)
             .max(1);
-        settings.call_parts = self.call_parts.unwrap_or(settings.call_parts).max(1);
+        settings.max_call_parts = self.call_parts.unwrap_or(settings.max_call_parts).max(1);
         settings.call_work_s = self.call_work_s.unwrap_or(settings.call_work_s);
     }
 }
@@ -173,10 +173,10 @@
     }
 
     pub(super) fn apply(&self, settings: &mut Settings) {
-        settings.cancel = self.cancelling.unwrap_or(false);
-        settings.probes = self.probes.unwrap_or(false);
-        settings.hedging = self.hedging.unwrap_or(false);
-        settings.retry_after_s = if self.retry_after.unwrap_or(false) {
+        settings.can_cancel = self.cancelling.unwrap_or(false);
+        settings.can_probe = self.probes.unwrap_or(false);
+        settings.can_hedge = self.hedging.unwrap_or(false);
+        settings.max_retry_after_s = if self.retry_after.unwrap_or(false) {
             self.max_retry_after_s.unwrap_or(0.0)
         } else {
             0.0
@@ -226,9 +226,10 @@
 
     pub(super) fn apply(&self, settings: &mut Settings) -> Result<(), SettingsError> {
         let or = |value: Option<f64>, default: f64| value.unwrap_or(default);
-        settings.poll_within_s = or(self.poll_within_s, settings.poll_within_s);
+        settings.max_poll_interval_s = or(self.poll_within_s, settings.max_poll_interval_s);
         settings.drain_grace_s = or(self.drain_grace_s, settings.drain_grace_s);
-        settings.slow_start_from = or(self.slow_start_from, settings.slow_start_from);
+        settings.slow_start_min_capacity =
+            or(self.slow_start_from, settings.slow_start_min_capacity);
         settings.slow_start_s = or(self.slow_start_s, settings.slow_start_s);
         settings.overload_multiple = or(self.overload_multiple, settings.overload_multiple);
         settings.overload_window_s = or(self.overload_window_s, settings.overload_window_s);
@@ -243,8 +244,8 @@
         }
         let window_s = self.retry_window_s;
         Ok(Some(RetryBudget {
-            free: self.free_retries.unwrap_or(0.0),
-            share: self.retry_share.unwrap_or(0.0),
+            min_retries: self.free_retries.unwrap_or(0.0),
+            retries_per_accepted: self.retry_share.unwrap_or(0.0),
             window_s: window_s.ok_or(SettingsError::Missing("ratioSpanS beside a ration"))?,
         }))
     }
--- a/src/config/settings/tests.rs
+++ b/src/config/settings/tests.rs
@@ -58,12 +58,12 @@
         (
             policy.cells,
             policy.replication_factor,
-            policy.call_parts,
+            policy.max_call_parts,
             policy.max_attempts
         ),
         (2, 1, 8, 3)
     );
-    assert!(!policy.hedging && !policy.must_poll && policy.call_work_s > 0.05);
+    assert!(!policy.can_hedge && !policy.must_poll && policy.call_work_s > 0.05);
 }
 
 fn decode_file(text: &str) -> SettingsJson {
--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -44,7 +44,7 @@
 
 /// The cheapest parts that make up a complete answer, with their prices.
 pub(crate) fn offers(view: &View, query: &Query) -> Offers {
-    let need = view.class(query.class).need;
+    let need = view.class(query.class).complete_share;
     let needs_all = need >= 1.0;
     let offer = |id: &PartId| {
         let prices = eligible_holders(view, view.queries.parts[id].shard, query.class)
@@ -106,7 +106,7 @@
 
 /// The Retry-After of a query that is rejected before its price is known (seconds).
 pub(crate) fn min_retry_after_s(settings: &Settings) -> f64 {
-    MIN_RETRY_AFTER_S.min(settings.retry_after_s)
+    MIN_RETRY_AFTER_S.min(settings.max_retry_after_s)
 }
 
 /// The Retry-After of a rejected query: when its price will have fallen at the latest (seconds).
@@ -114,7 +114,7 @@
     let objective_s = class.map_or(0.0, |class| settings.classes[class].latency_objective_s);
     max_fall_time_s(price, objective_s)
         .max(MIN_RETRY_AFTER_S)
-        .min(settings.retry_after_s)
+        .min(settings.max_retry_after_s)
 }
 
 /// Counts a query of a tenant, and returns the weight that its quota leaves the query, from 0 to 1.
@@ -134,8 +134,7 @@
     let decay = (-(now - queries.updated_at) / TENANT_DECAY_S).exp();
     queries.count = 1.0 + queries.count * decay;
     queries.updated_at = now;
-    let expected =
-        tenant_settings.allowance_per_s * TENANT_DECAY_S / f64::from(settings.aggregators);
+    let expected = tenant_settings.quota_per_s * TENANT_DECAY_S / f64::from(settings.aggregators);
     let within_quota = ((1.0 + expected) / queries.count).min(1.0);
     within_quota + (1.0 - within_quota) * settings.over_quota_weight.clamp(0.0, 1.0)
 }
--- a/src/decisions/aggregator.rs
+++ b/src/decisions/aggregator.rs
@@ -67,7 +67,7 @@
         };
         let watch = settings
             .must_poll
-            .then(|| WatchSchedule::new(settings.aggregators, settings.poll_within_s, now));
+            .then(|| WatchSchedule::new(settings.aggregators, settings.max_poll_interval_s, now));
         Aggregator {
             rng: oorandom::Rand64::new(u128::from(seed)),
             now,
--- a/src/decisions/api.rs
+++ b/src/decisions/api.rs
@@ -45,13 +45,13 @@
     /// With an idempotency key: how long replicas discard repeats (seconds).
     pub idempotency_window_s: f64,
     /// Share of the first step's weight that makes a complete answer.
-    pub need: f64,
+    pub complete_share: f64,
     /// Least share for a partial answer.
-    pub floor: f64,
+    pub min_partial_share: f64,
     /// Weight of a partial answer, as a multiple of share / need.
     pub partial_weight: f64,
     /// Parts of the second step; 0 for none.
-    pub second_step: u32,
+    pub second_step_parts: u32,
 }
 
 impl Default for ClassSettings {
@@ -63,10 +63,10 @@
             late_weight: 0.0,
             effect: Effect::Idempotent,
             idempotency_window_s: 0.0,
-            need: 1.0,
-            floor: 1.0,
+            complete_share: 1.0,
+            min_partial_share: 1.0,
             partial_weight: 1.0,
-            second_step: 0,
+            second_step_parts: 0,
         }
     }
 }
@@ -77,16 +77,16 @@
     /// Its share of the service.
     pub share: f64,
     /// Its quota: queries a second over all aggregators together.
-    pub allowance_per_s: f64,
+    pub quota_per_s: f64,
 }
 
 /// Limits the attempts beyond each part's first.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
     /// Allowed in any window even without traffic.
-    pub free: f64,
+    pub min_retries: f64,
     /// Allowed in addition for each query and part accepted in the window.
-    pub share: f64,
+    pub retries_per_accepted: f64,
     /// Length of the window (seconds).
     pub window_s: f64,
 }
@@ -111,7 +111,7 @@
     /// Consecutive cells that hold a shard.
     pub replication_factor: u32,
     /// Most parts that one call carries: those sent to one replica in one round share a call.
-    pub call_parts: u32,
+    pub max_call_parts: u32,
     /// Work that a call costs its replica in addition to that of its parts (seconds).
     pub call_work_s: f64,
     /// Shortest time between two rounds of events (seconds).
@@ -119,15 +119,15 @@
     /// Whether endpoint lists come only when polled.
     pub must_poll: bool,
     /// Where lists must be polled: the longest time without a poll (seconds).
-    pub poll_within_s: f64,
+    pub max_poll_interval_s: f64,
     /// Whether an attempt may be cancelled.
-    pub cancel: bool,
+    pub can_cancel: bool,
     /// Whether replicas may get health checks.
-    pub probes: bool,
+    pub can_probe: bool,
     /// Whether a part may have two attempts in flight at once.
-    pub hedging: bool,
+    pub can_hedge: bool,
     /// Longest Retry-After that clients follow (seconds); 0 where they get none.
-    pub retry_after_s: f64,
+    pub max_retry_after_s: f64,
     /// Most attempts for one part.
     pub max_attempts: u32,
     /// Budget of retries, where one is set.
@@ -135,7 +135,7 @@
     /// Nothing may be sent to a draining replica later than this after the notification (seconds).
     pub drain_grace_s: f64,
     /// A replica starts at this share of its capacity or more.
-    pub slow_start_from: f64,
+    pub slow_start_min_capacity: f64,
     /// Length of a replica's slow start (seconds).
     pub slow_start_s: f64,
     /// A replica in slow start falls over at this multiple of its present capacity ...
@@ -155,19 +155,19 @@
             aggregators: 1,
             cells: 1,
             replication_factor: 1,
-            call_parts: 1,
+            max_call_parts: 1,
             call_work_s: 0.0,
             tick_s: 0.001,
             must_poll: false,
-            poll_within_s: 10.0,
-            cancel: true,
-            probes: false,
-            hedging: true,
-            retry_after_s: 0.0,
+            max_poll_interval_s: 10.0,
+            can_cancel: true,
+            can_probe: false,
+            can_hedge: true,
+            max_retry_after_s: 0.0,
             max_attempts: 4,
             retry_budget: None,
             drain_grace_s: 0.25,
-            slow_start_from: 0.2,
+            slow_start_min_capacity: 0.2,
             slow_start_s: 15.0,
             overload_multiple: 2.0,
             overload_window_s: 2.0,
--- a/src/decisions/attempts.rs
+++ b/src/decisions/attempts.rs
@@ -151,7 +151,7 @@
         let replica = replica.expect("holders are listed");
         let window_start = self.now - self.settings.overload_window_s;
         time_window::add(&mut replica.statistics.sent_times, self.now, window_start);
-        replica.part_sent(self.now, self.settings.call_parts);
+        replica.part_sent(self.now, self.settings.max_call_parts);
         let statistics = &mut replica.statistics;
         statistics.ejection.part_sent(self.now);
         statistics.classes[planned.measured_class]
@@ -206,14 +206,14 @@
         let view = self.view();
         let part = &self.queries.parts[&id];
         let can_recall = may_recall
-            && self.settings.cancel
+            && self.settings.can_cancel
             && view.is_idempotent(part.class)
             && part.attempts.len() < part.max_attempts;
-        let can_act = self.settings.hedging || can_recall;
+        let can_act = self.settings.can_hedge || can_recall;
         if !can_act || !retry::is_worthwhile(&view, part, false) {
             return false;
         }
-        if self.settings.hedging {
+        if self.settings.can_hedge {
             return self.send(id, out);
         }
         let part = self.queries.parts.get_mut(&id).expect("it is held");
@@ -231,7 +231,7 @@
         let Some(query) = self.queries.query_of(&self.queries.parts[&late]) else {
             return false;
         };
-        let has_spares = self.settings.classes[query.class].need < 1.0;
+        let has_spares = self.settings.classes[query.class].complete_share < 1.0;
         let place = query.progress.first_spare().filter(|_| has_spares);
         let Some(spare) = place.map(|place| query.parts[place]) else {
             return false;
@@ -279,7 +279,7 @@
                 query.is_harmless = true;
             }
         }
-        if is_answered && self.settings.cancel {
+        if is_answered && self.settings.can_cancel {
             out.extend(others.into_iter().map(|other| Action::Cancel {
                 part: end.part,
                 attempt: other as u8,
--- a/src/decisions/completion.rs
+++ b/src/decisions/completion.rs
@@ -36,7 +36,7 @@
     let need = if query.is_in_second_step {
         1.0
     } else {
-        class.need
+        class.complete_share
     };
     let answered = share(query.progress.answered());
     if has_all_parts && answered + WEIGHT_ROUNDING >= need {
@@ -45,14 +45,15 @@
         };
     }
     let reachable = reachable_share(view, query, need < 1.0);
-    let has_partial_answer =
-        answered > 0.0 && answered + WEIGHT_ROUNDING >= class.floor && class.floor < class.need;
+    let has_partial_answer = answered > 0.0
+        && answered + WEIGHT_ROUNDING >= class.min_partial_share
+        && class.min_partial_share < class.complete_share;
     let is_partial_due = view.now >= view.partial_answer_due(query);
     let can_grow = reachable > answered + WEIGHT_ROUNDING;
     if has_partial_answer && (is_partial_due || !can_grow || is_due) {
         return NextStep::Answer { is_complete: false };
     }
-    if is_due || reachable + WEIGHT_ROUNDING < class.floor {
+    if is_due || reachable + WEIGHT_ROUNDING < class.min_partial_share {
         return NextStep::GiveUp;
     }
     NextStep::CheckParts
--- a/src/decisions/query_lifecycle.rs
+++ b/src/decisions/query_lifecycle.rs
@@ -141,7 +141,7 @@
             .collect();
         let weights = chosen.iter().map(|part| self.queries.parts[part].weight);
         let bought: f64 = weights.sum();
-        let is_too_little = bought + WEIGHT_ROUNDING < class.floor;
+        let is_too_little = bought + WEIGHT_ROUNDING < class.min_partial_share;
         let is_crash_inducing =
             self.crash_inducing
                 .is_rejected(self.now, &query.fingerprint, query.is_repeat);
@@ -270,7 +270,7 @@
         let class = &self.settings.classes[query.class];
         self.congestion
             .query_answered(self.now, class.latency_objective_s);
-        let second_step_parts = class.second_step as usize;
+        let second_step_parts = class.second_step_parts as usize;
         if second_step_parts == 0 || query.is_in_second_step {
             return self.end_query(id, out);
         }
@@ -301,7 +301,7 @@
             let part = self.queries.parts.get_mut(&id);
             let part = part.expect("parts of open queries are held");
             part.query = None;
-            if self.settings.cancel {
+            if self.settings.can_cancel {
                 let to_cancel = part
                     .in_flight()
                     .filter(|(_, attempt)| !attempt.is_cancelled);
--- a/src/decisions/replica_selection.rs
+++ b/src/decisions/replica_selection.rs
@@ -110,7 +110,7 @@
 fn relative_call_work(view: &View, part: &Part, replica: &Replica, joins_call: bool) -> f64 {
     let settings = view.settings;
     let call_work_s = settings.call_work_s;
-    if settings.call_parts < 2 || call_work_s <= 0.0 {
+    if settings.max_call_parts < 2 || call_work_s <= 0.0 {
         return 1.0;
     }
     let cells = settings.cells;
@@ -118,7 +118,7 @@
         .map(|step| (replica.entry.cell + cells - step) % cells);
     let query = view.queries.query_of(part);
     let can_follow = query.map_or(0, |query| query.progress.untried(first_cells));
-    let sharing = can_follow.clamp(1, settings.call_parts as usize) as f64;
+    let sharing = can_follow.clamp(1, settings.max_call_parts as usize) as f64;
     let median_s = view.statistics.latencies[part.class].median_s;
     let part_work_s = part.cost_hint_s.unwrap_or(median_s);
     let added_call_work_s = if joins_call {
--- a/src/decisions/retry.rs
+++ b/src/decisions/retry.rs
@@ -17,7 +17,7 @@
 
 /// Whether one more attempt of this part is allowed now: by the effect of repeating it, and by the limits on attempts.
 pub(crate) fn is_attempt_allowed(view: &View, part: &Part) -> bool {
-    let max_others_in_flight = usize::from(view.settings.hedging);
+    let max_others_in_flight = usize::from(view.settings.can_hedge);
     is_repeat_safe(view, part)
         && part.in_flight().count() <= max_others_in_flight
         && part.attempts.len() < part.max_attempts
@@ -47,7 +47,7 @@
     let tick_s = view.settings.tick_s;
     let accepted = time_window::since(&view.statistics.accepted_times, window_start + tick_s);
     let retries = time_window::since(&view.statistics.retry_times, window_start - tick_s);
-    let allowed = budget.free + budget.share * accepted as f64;
+    let allowed = budget.min_retries + budget.retries_per_accepted * accepted as f64;
     (retries as f64) < (allowed.floor() * share).floor()
 }
 
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -45,7 +45,8 @@
         return 1.0;
     }
     let ramp = ((now - started_at) / settings.slow_start_s.max(MIN_SLOW_START_S)).clamp(0.0, 1.0);
-    (settings.slow_start_from + (1.0 - settings.slow_start_from) * ramp).clamp(MIN_CAPACITY, 1.0)
+    (settings.slow_start_min_capacity + (1.0 - settings.slow_start_min_capacity) * ramp)
+        .clamp(MIN_CAPACITY, 1.0)
 }
 
 /// The quota for a replica of that capacity; `parts_per_s` is what the aggregator sends to each replica on average.
--- a/src/decisions/view.rs
+++ b/src/decisions/view.rs
@@ -70,7 +70,7 @@
     /// When a partial answer earns more than waiting: just before the latency objective, less the time of a second step.
     pub(crate) fn partial_answer_due(&self, query: &Query) -> f64 {
         let class = self.class(query.class);
-        let has_second_step = class.second_step > 0 && !query.is_in_second_step;
+        let has_second_step = class.second_step_parts > 0 && !query.is_in_second_step;
         let second_step_s =
             (2.0 * self.overdue_s(query.class)).min(class.latency_objective_s / 2.0);
         let can_meet_objective =
--- a/src/net/client/opensearch/request.rs
+++ b/src/net/client/opensearch/request.rs
@@ -43,7 +43,7 @@
             from: options.from(),
             size: options.size(),
             opaque: opaque.map(String::from),
-            max_retry_after_s: deployment.policy.retry_after_s,
+            max_retry_after_s: deployment.policy.max_retry_after_s,
         }
     }
 }
--- a/src/requests/coordinator.rs
+++ b/src/requests/coordinator.rs
@@ -153,8 +153,8 @@
             return;
         };
         if on {
-            retry_budget.free = 0.0;
-            retry_budget.share = 0.0;
+            retry_budget.min_retries = 0.0;
+            retry_budget.retries_per_accepted = 0.0;
         }
         let unchanged = |count: usize| (0..count).map(Some).collect();
         let classes = unchanged(settings.classes.len());
@@ -329,7 +329,7 @@
             // The decision module never learns of a request beyond the limit.
             let last = FinalAnswer::Rejected {
                 reason: Reason::Held,
-                retry_after_s: self.deployment.policy.retry_after_s / 2.0,
+                retry_after_s: self.deployment.policy.max_retry_after_s / 2.0,
             };
             self.finish(now, key, last, out);
             return key;
@@ -472,7 +472,7 @@
             }
             self.actions = actions;
         }
-        let max_parts = self.deployment.policy.call_parts.max(1) as usize;
+        let max_parts = self.deployment.policy.max_call_parts.max(1) as usize;
         self.calls.drain(max_parts, |replica, parts| {
             out.push(Command::Call { replica, parts });
         });
--- a/src/requests/coordinator/attempts.rs
+++ b/src/requests/coordinator/attempts.rs
@@ -35,7 +35,7 @@
     out: &mut Vec<Command>,
 ) -> bool {
     let number = part.next_number();
-    let repeat = part.repeat(&request.class_settings, policy.hedging);
+    let repeat = part.repeat(&request.class_settings, policy.can_hedge);
     let verdict = if number == 0 {
         Ok(())
     } else {
@@ -173,7 +173,7 @@
 
     /// Withdraws the unsent attempts of a request that has ended, where the module may not cancel them.
     pub(super) fn withdraw_unsent(&mut self, now: f64, request: &Request, out: &mut Vec<Command>) {
-        if self.deployment.policy.cancel {
+        if self.deployment.policy.can_cancel {
             return;
         }
         let parts = request.parts.iter().filter_map(|id| self.parts.get(id));
--- a/src/requests/module_settings.rs
+++ b/src/requests/module_settings.rs
@@ -12,7 +12,7 @@
     let mut settings = deployment.policy.clone();
     // Neither front has a second answer to one request: the first answer is the last.
     for class in &mut settings.classes {
-        class.second_step = 0;
+        class.second_step_parts = 0;
     }
     let pre_check: Vec<_> = deployment
         .phases
--- a/src/requests/response.rs
+++ b/src/requests/response.rs
@@ -71,8 +71,8 @@
     /// class needs it is not complete all the same, and below its floor it is a failure.
     pub(super) fn answer(&self, complete: bool) -> FinalAnswer {
         let share = self.served_share();
-        let complete = complete && share + WEIGHT_TOLERANCE >= self.class_settings.need;
-        if share <= 0.0 || share + WEIGHT_TOLERANCE < self.class_settings.floor {
+        let complete = complete && share + WEIGHT_TOLERANCE >= self.class_settings.complete_share;
+        if share <= 0.0 || share + WEIGHT_TOLERANCE < self.class_settings.min_partial_share {
             self.failure(Reason::GivenUp)
         } else if self.query_request.complete_only && !complete {
             self.failure(Reason::Incomplete)
--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -197,7 +197,7 @@
         ..class()
     };
     let mut driver = warm_fleet(Settings {
-        hedging: false,
+        can_hedge: false,
         ..settings(class)
     });
     for id in 100..130 {
@@ -227,7 +227,7 @@
 #[test]
 fn holders_in_slow_start_are_no_reason_to_reject() {
     let mut driver = warm_fleet(Settings {
-        slow_start_from: 0.3,
+        slow_start_min_capacity: 0.3,
         overload_multiple: 20.0,
         ..settings(class())
     });
@@ -252,7 +252,7 @@
 fn a_tenant_beyond_its_quota_is_rejected_first() {
     let tenant = TenantSettings {
         share: 0.5,
-        allowance_per_s: 3.0,
+        quota_per_s: 3.0,
     };
     let two = Settings {
         tenants: vec![tenant.clone(), tenant],
--- a/tests/decisions/hedging.rs
+++ b/tests/decisions/hedging.rs
@@ -54,7 +54,7 @@
 #[test]
 fn without_hedging_an_overdue_part_is_cancelled_first() {
     let mut single = settings(class());
-    single.hedging = false;
+    single.can_hedge = false;
     let mut driver = Driver::new(single, &[replica(1), replica(2)]);
     for id in 1..100 {
         driver.round_trip(id, 0, 0.05);
@@ -79,7 +79,7 @@
 fn without_hedging_the_next_attempt_waits_for_the_end_of_the_cancelled_one() {
     let mut driver = Driver::new(
         Settings {
-            hedging: false,
+            can_hedge: false,
             ..settings(class())
         },
         &fleet(3),
--- a/tests/decisions/partial_answers.rs
+++ b/tests/decisions/partial_answers.rs
@@ -8,8 +8,8 @@
 #[test]
 fn parts_that_a_complete_answer_does_not_need_are_spares() {
     let sample = ClassSettings {
-        need: 0.67,
-        floor: 0.67,
+        complete_share: 0.67,
+        min_partial_share: 0.67,
         ..class()
     };
     let mut driver = Driver::new(settings(sample), &fleet(20));
@@ -33,7 +33,7 @@
 #[test]
 fn a_partial_answer_comes_just_before_the_objective_and_is_not_complete() {
     let partial = ClassSettings {
-        floor: 0.5,
+        min_partial_share: 0.5,
         ..class()
     };
     let mut driver = Driver::new(settings(partial), &[replica(1)]);
@@ -49,8 +49,8 @@
 #[test]
 fn a_second_step_is_fetched_and_answered() {
     let steps = ClassSettings {
-        second_step: 2,
-        floor: 0.4,
+        second_step_parts: 2,
+        min_partial_share: 0.4,
         ..class()
     };
     let mut driver = Driver::new(settings(steps), &fleet(8));
@@ -90,7 +90,7 @@
 #[test]
 fn a_query_with_partial_answers_goes_without_the_parts_it_cannot_pay() {
     let partial = ClassSettings {
-        floor: 0.8,
+        min_partial_share: 0.8,
         ..class()
     };
     let cells = Settings {
@@ -132,7 +132,7 @@
 #[test]
 fn a_partial_answer_waits_for_parts_in_flight() {
     let partial = ClassSettings {
-        floor: 0.5,
+        min_partial_share: 0.5,
         ..class()
     };
     let mut driver = Driver::new(
--- a/tests/decisions/retry.rs
+++ b/tests/decisions/retry.rs
@@ -63,7 +63,7 @@
     ] {
         let one = Settings {
             max_attempts: 1,
-            retry_after_s: 1.0,
+            max_retry_after_s: 1.0,
             ..settings(ClassSettings { effect, ..class() })
         };
         let mut driver = Driver::new(one, &fleet(3));
@@ -133,8 +133,8 @@
 #[test]
 fn the_retry_budget_holds_at_low_rates() {
     let retry_budget = RetryBudget {
-        free: 2.0,
-        share: 0.2,
+        min_retries: 2.0,
+        retries_per_accepted: 0.2,
         window_s: 5.0,
     };
     let mut driver = Driver::new(
--- a/tests/decisions/selection.rs
+++ b/tests/decisions/selection.rs
@@ -69,7 +69,7 @@
     let calls = Settings {
         cells: 12,
         replication_factor: 3,
-        call_parts: 4,
+        max_call_parts: 4,
         call_work_s: 0.06,
         ..settings(class())
     };
@@ -89,7 +89,7 @@
 #[test]
 fn a_call_has_a_limited_number_of_parts() {
     let calls = Settings {
-        call_parts: 2,
+        max_call_parts: 2,
         call_work_s: 0.06,
         cells: 2,
         ..settings(class())
--- a/tests/decisions/two_phase.rs
+++ b/tests/decisions/two_phase.rs
@@ -115,8 +115,8 @@
     let mut settings = settings(class());
     settings.classes.push(settings.classes[0].clone());
     settings.retry_budget = Some(RetryBudget {
-        free: 0.0,
-        share: 0.0,
+        min_retries: 0.0,
+        retries_per_accepted: 0.0,
         window_s: 5.0,
     });
     let mut driver = Driver::new(settings, &[pre_checking(1), pre_checking(2)]);
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -62,16 +62,16 @@
                 ..ClassSettings::default()
             };
             let steps = ClassSettings {
-                floor: 0.4,
-                second_step: 2,
+                min_partial_share: 0.4,
+                second_step_parts: 2,
                 late_weight: 0.0,
                 ..base.clone()
             };
             let keyed = ClassSettings {
                 effect: Effect::IdempotentWithKey,
                 idempotency_window_s: 0.2,
-                need: 0.67,
-                floor: 0.67,
+                complete_share: 0.67,
+                min_partial_share: 0.67,
                 ..base.clone()
             };
             let non_idempotent = ClassSettings {
@@ -81,26 +81,26 @@
             Settings {
                 classes: vec![base, steps, keyed, non_idempotent],
                 tick_s: 0.005,
-                hedging,
+                can_hedge: hedging,
                 retry_budget: retry_budget.then_some(RetryBudget {
-                    free: 3.0,
-                    share: 0.1,
+                    min_retries: 3.0,
+                    retries_per_accepted: 0.1,
                     window_s: 2.0,
                 }),
-                cancel,
+                can_cancel: cancel,
                 cells,
                 replication_factor: 1,
                 tenants: vec![
                     TenantSettings {
                         share: 0.5,
-                        allowance_per_s: 1.0
+                        quota_per_s: 1.0
                     };
                     2
                 ],
                 over_quota_weight: 0.1,
-                call_parts: 1 + cells,
+                max_call_parts: 1 + cells,
                 call_work_s: 0.05,
-                retry_after_s: 1.0,
+                max_retry_after_s: 1.0,
                 ..Settings::default()
             }
         },
@@ -379,11 +379,11 @@
     };
     Settings {
         classes: vec![non_idempotent, class()],
-        hedging: false,
+        can_hedge: false,
         max_attempts: 1,
         retry_budget: Some(RetryBudget {
-            free: 0.0,
-            share: 0.0,
+            min_retries: 0.0,
+            retries_per_accepted: 0.0,
             window_s: 2.0,
         }),
         ..Settings::default()
--- a/tests/rules/referee.rs
+++ b/tests/rules/referee.rs
@@ -133,15 +133,19 @@
             .filter(|p| p.answered)
             .map(|p| p.weight)
             .sum();
-        let need = if query.step == 0 { class.need } else { 1.0 };
+        let need = if query.step == 0 {
+            class.complete_share
+        } else {
+            1.0
+        };
         let honest =
             !complete || (share > need - 0.0001 && (query.step == 0 || query.first_complete));
-        if share < class.floor - 0.0001 || !honest {
+        if share < class.min_partial_share - 0.0001 || !honest {
             self.breaches.push(format!(
                 "honest: query {id} answered from {share}, complete {complete}"
             ));
         }
-        if class.second_step > 0 && query.step == 0 {
+        if class.second_step_parts > 0 && query.step == 0 {
             let parts_in = query
                 .step_parts
                 .iter()
@@ -151,7 +155,7 @@
             query.step = 1;
             query.first_complete = complete;
             query.step_parts.clear();
-            query.expected = parts_in.min(class.second_step as usize);
+            query.expected = parts_in.min(class.second_step_parts as usize);
         } else {
             self.ended(now, id);
         }
@@ -197,7 +201,7 @@
             _ => false,
         };
         let has_other_in_flight = part.attempts.iter().any(Attempt::is_in_flight);
-        if is_breach || (has_other_in_flight && !self.settings.hedging) {
+        if is_breach || (has_other_in_flight && !self.settings.can_hedge) {
             self.breaches.push(format!("effect: part {id} sent again"));
         }
     }
@@ -210,7 +214,7 @@
         let within = |times: &[f64]| times.iter().filter(|at| **at > window_start).count() as f64;
         let retries = within(&self.retries);
         let accepted = within(&self.accepted);
-        if retries > budget.free + budget.share * accepted {
+        if retries > budget.min_retries + budget.retries_per_accepted * accepted {
             self.breaches.push(format!(
                 "budget: {retries} retries of {accepted} accepted at {now}"
             ));
@@ -225,7 +229,8 @@
         let settings = &self.settings;
         let age = (now - start) / settings.slow_start_s;
         if age < 1.0 {
-            let capacity = settings.slow_start_from + (1.0 - settings.slow_start_from) * age;
+            let capacity =
+                settings.slow_start_min_capacity + (1.0 - settings.slow_start_min_capacity) * age;
             let recent = |replica: Option<ReplicaId>, window_s: f64| {
                 let is_counted = |sent: &&Sent| {
                     sent.at > now - window_s
