--- a/crates/wharfhub-testbed/src/world/faults.rs
+++ b/crates/wharfhub-testbed/src/world/faults.rs
@@ -46,11 +46,11 @@
         match fault {
             Fault::Dead(_) => {
                 self.dies(leaf_server);
-                self.notify(leaf_server, Lifecycle::Gone);
+                self.notify(leaf_server, Lifecycle::Removed);
             }
             Fault::ZoneLoss(..) => {
                 server.fault = ServerFault::Lost;
-                self.notify(leaf_server, Lifecycle::Gone);
+                self.notify(leaf_server, Lifecycle::Removed);
             }
             Fault::Silent(_) => server.fault = ServerFault::Silent,
             Fault::Fails(_, share) => server.fault = ServerFault::Fails(*share),
--- a/crates/wharfhub-testbed/src/world/mod.rs
+++ b/crates/wharfhub-testbed/src/world/mod.rs
@@ -327,7 +327,7 @@
             cell,
             lifecycle,
             started_at,
-            pre_check,
+            supports_pre_check: pre_check,
         }
     }
 
@@ -493,7 +493,7 @@
         self.rules
             .notified_start(mixer as u32, leaf_server, entry.started_at);
         match entry.lifecycle {
-            Lifecycle::Gone => self.mixers[mixer].list.remove(&entry.id),
+            Lifecycle::Removed => self.mixers[mixer].list.remove(&entry.id),
             _ => self.mixers[mixer].list.insert(entry.id, entry),
         };
         self.drive(mixer, |coordinator, now, out| {
--- a/src/decisions/aggregator.rs
+++ b/src/decisions/aggregator.rs
@@ -90,14 +90,14 @@
     }
 
     /// How many listed replicas get nothing new now but probe requests: they drain, or are ejected for every class.
-    pub fn avoided(&self) -> usize {
+    pub fn unavailable_replicas(&self) -> usize {
         let is_ejected = |replica: &Replica| {
             (0..replica.statistics.classes.len()).all(|class| replica.is_ejected(class))
         };
         let is_avoided = |replica: &Replica| match replica.entry.lifecycle {
             Lifecycle::Ready => is_ejected(replica),
             Lifecycle::Draining => true,
-            Lifecycle::Gone => false,
+            Lifecycle::Removed => false,
         };
         let replicas = self.replicas.iter();
         replicas.filter(|(_, replica)| is_avoided(replica)).count()
@@ -158,7 +158,7 @@
             self.statistics.count_accepted(self.now, self.retention_s);
         }
         match event {
-            Event::List { full, entries } => self.handle_list(full, &entries),
+            Event::List { is_full, entries } => self.handle_list(is_full, &entries),
             Event::ListFailed => self.handle_failed_list(),
             Event::ListLease { until } => self.replicas.valid_until = until,
             Event::Query(query) => self.handle_query(query, out),
@@ -170,7 +170,7 @@
                 tenants,
             } => self.handle_settings(*settings, &classes, &tenants),
             Event::PredecessorLoad(load) => self.handle_predecessor_load(&load),
-            Event::ClientLeft(query) => self.end_query(query, out),
+            Event::ClientDisconnected(query) => self.end_query(query, out),
             Event::Timer(CHECK_TIMER) => self.check_all(out),
             Event::Start | Event::Timer(_) | Event::Probed { .. } => {}
         }
--- a/src/decisions/api.rs
+++ b/src/decisions/api.rs
@@ -184,7 +184,7 @@
     /// It finishes its work; send nothing new.
     Draining,
     /// It has been removed.
-    Gone,
+    Removed,
 }
 
 /// One entry of the endpoint list.
@@ -201,7 +201,7 @@
     /// When it last started (0: long ago).
     pub started_at: f64,
     /// Whether it answers pre-checks.
-    pub pre_check: bool,
+    pub supports_pre_check: bool,
 }
 
 /// A query's first phase: the first attempt of each part is a pre-check, which asks whether anything there may match.
@@ -229,7 +229,7 @@
     /// How many parts its first step has.
     pub parts: u32,
     /// Whether the client marked it as a repeat.
-    pub repeat: bool,
+    pub is_repeat: bool,
     /// A key of what it is about; 0 where the deployment has no keys.
     pub key: u64,
     /// Its first phase, where it has one. Only idempotent classes may have one.
@@ -295,7 +295,7 @@
     /// A watch event from discovery: the complete endpoint list, or the entries that changed.
     List {
         /// Whether these are all the replicas there are.
-        full: bool,
+        is_full: bool,
         /// The entries.
         entries: Arc<[ReplicaEntry]>,
     },
@@ -324,7 +324,7 @@
     /// What the process that this one takes over from still does.
     PredecessorLoad(PredecessorLoad),
     /// The client of a query has left.
-    ClientLeft(QueryId),
+    ClientDisconnected(QueryId),
     /// The caller has started, and nothing else may come before its timers: the periodic check begins.
     Start,
     /// A timer has expired.
@@ -352,7 +352,7 @@
         /// Longest timeout (seconds).
         max_timeout_s: f64,
         /// Whether it is a pre-check.
-        pre_check: bool,
+        is_pre_check: bool,
     },
     /// Stop waiting for an attempt.
     Cancel {
@@ -366,7 +366,7 @@
         /// Which query.
         query: QueryId,
         /// Whether the answer is complete.
-        complete: bool,
+        is_complete: bool,
     },
     /// Reject a query: asking again does no harm.
     Reject {
--- a/src/decisions/attempts.rs
+++ b/src/decisions/attempts.rs
@@ -64,7 +64,7 @@
             part: id,
             replica: target,
             max_timeout_s: planned.until - self.now,
-            pre_check: planned.is_pre_check,
+            is_pre_check: planned.is_pre_check,
         });
         true
     }
@@ -116,7 +116,7 @@
         query.pre_check.filter(|pre_check| {
             part.attempts.is_empty()
                 && self.now < pre_check.until
-                && replica.entry.pre_check
+                && replica.entry.supports_pre_check
                 && !replica.is_ejected(pre_check.class.into())
         })
     }
--- a/src/decisions/query_lifecycle.rs
+++ b/src/decisions/query_lifecycle.rs
@@ -53,7 +53,7 @@
         Query {
             number: new.number,
             class,
-            is_repeat: new.repeat,
+            is_repeat: new.is_repeat,
             pre_check: new.pre_check.filter(may_pre_check),
             fingerprint: RequestFingerprint {
                 class: new.class,
@@ -264,7 +264,7 @@
     fn answer(&mut self, id: QueryId, is_complete: bool, out: &mut Vec<Action>) {
         out.push(Action::Answer {
             query: id,
-            complete: is_complete,
+            is_complete,
         });
         let query = &self.queries.open[&id];
         let class = &self.settings.classes[query.class];
--- a/src/decisions/replica_table.rs
+++ b/src/decisions/replica_table.rs
@@ -102,8 +102,8 @@
             .iter_mut()
             .filter(|(id, _)| !named.contains(id));
         for (_, replica) in unlisted {
-            if replica.entry.lifecycle != Lifecycle::Gone {
-                replica.entry.lifecycle = Lifecycle::Gone;
+            if replica.entry.lifecycle != Lifecycle::Removed {
+                replica.entry.lifecycle = Lifecycle::Removed;
                 replica.statistics.lifecycle_changed_at = now;
             }
         }
@@ -127,14 +127,14 @@
     /// returns within the slow start is still warming up, so it is kept for that long.
     fn forget_gone(&mut self, slow_start_s: f64, now: f64) {
         self.replicas.retain(|_, replica| {
-            replica.entry.lifecycle != Lifecycle::Gone
+            replica.entry.lifecycle != Lifecycle::Removed
                 || replica.in_flight > 0
                 || now < replica.statistics.lifecycle_changed_at + slow_start_s
         });
     }
 
     fn index_cells(&mut self, cells: u32) {
-        let is_listed = |replica: &&Replica| replica.entry.lifecycle != Lifecycle::Gone;
+        let is_listed = |replica: &&Replica| replica.entry.lifecycle != Lifecycle::Removed;
         self.listed = self.replicas.values().filter(is_listed).count().max(1);
         self.by_cell = vec![Vec::new(); cells as usize];
         for replica in self.replicas.values() {
--- a/src/endpoints/directory.rs
+++ b/src/endpoints/directory.rs
@@ -77,7 +77,7 @@
     /// Whether it was removed from the list.
     pub fn is_gone(&self) -> bool {
         self.listed
-            .is_none_or(|entry| entry.lifecycle == Lifecycle::Gone)
+            .is_none_or(|entry| entry.lifecycle == Lifecycle::Removed)
     }
 
     /// Takes over what a line of the list says of how to reach it; what the line leaves out stays.
@@ -168,7 +168,7 @@
     fn line_json(&self, endpoint: &Endpoint) -> Option<LineJson> {
         let entry = endpoint
             .listed
-            .filter(|entry| entry.lifecycle != Lifecycle::Gone)?;
+            .filter(|entry| entry.lifecycle != Lifecycle::Removed)?;
         Some(LineJson {
             name: endpoint.name.clone(),
             address: endpoint.address.map(|address| address.to_string()),
@@ -177,7 +177,7 @@
             phase: list_format::phase_name(entry.lifecycle).into(),
             started_at_ms: entry.started_at * 1000.0,
             wire_format: list_format::wire_format_name(endpoint.wire_format).into(),
-            pre_check: entry.pre_check,
+            pre_check: entry.supports_pre_check,
         })
     }
 
@@ -290,7 +290,7 @@
             cell: line.cell,
             lifecycle: line.lifecycle,
             started_at: line.started_at,
-            pre_check: line.pre_check,
+            supports_pre_check: line.pre_check,
         });
         self.update_readiness(id)
     }
--- a/src/endpoints/list_format.rs
+++ b/src/endpoints/list_format.rs
@@ -132,11 +132,11 @@
         "Ready" => Lifecycle::Ready,
         "Terminating" => Lifecycle::Draining,
         // Nothing may be sent to a replica in an unknown phase.
-        _ => Lifecycle::Gone,
+        _ => Lifecycle::Removed,
     };
     let cell = match cell(line) {
         Some(cell) => cell,
-        None if lifecycle == Lifecycle::Gone => 0,
+        None if lifecycle == Lifecycle::Removed => 0,
         None => return None,
     };
     Some(ParsedLine {
--- a/src/requests/coordinator.rs
+++ b/src/requests/coordinator.rs
@@ -207,7 +207,7 @@
 
     /// How many replicas of the list are avoided now, as ejected or slow.
     pub fn avoided_replicas(&self) -> usize {
-        self.module.avoided()
+        self.module.unavailable_replicas()
     }
 
     /// Within what time nearly all answers come, in the slowest class (seconds).
@@ -276,7 +276,14 @@
         out: &mut Vec<Command>,
     ) {
         let entries = entries.into();
-        self.feed(now, Event::List { full, entries }, out);
+        self.feed(
+            now,
+            Event::List {
+                is_full: full,
+                entries,
+            },
+            out,
+        );
     }
 
     /// Puts other settings into force. Open requests keep the class settings with which they were accepted.
@@ -348,7 +355,7 @@
             metrics.left += 1;
         }
         self.withdraw_unsent(now, &request, out);
-        self.feed(now, Event::ClientLeft(request.query), out);
+        self.feed(now, Event::ClientDisconnected(request.query), out);
     }
 
     /// An attempt ended. `value` is what the replica answered for the part, where it served it.
@@ -380,7 +387,7 @@
                     let query = request.query;
                     let last = request.failure(Reason::DeadlineExceeded);
                     self.finish(now, key, last, out);
-                    self.feed(now, Event::ClientLeft(query), out);
+                    self.feed(now, Event::ClientDisconnected(query), out);
                 }
             }
         }
@@ -435,7 +442,7 @@
             tenant: query_request.tenant,
             deadline,
             parts: query_request.parts.len() as u32,
-            repeat: query_request.repeat,
+            is_repeat: query_request.repeat,
             key: query_request.key,
             pre_check,
         }));
@@ -485,7 +492,7 @@
                 part,
                 replica,
                 max_timeout_s,
-                pre_check,
+                is_pre_check: pre_check,
             } => {
                 let dispatch = Dispatch {
                     part,
@@ -496,7 +503,10 @@
                 self.send(now, &dispatch, out);
             }
             Action::Cancel { part, attempt } => self.cancel(now, part, attempt, out),
-            Action::Answer { query, complete } => {
+            Action::Answer {
+                query,
+                is_complete: complete,
+            } => {
                 self.finish_query(now, query, out, |request| request.answer(complete));
             }
             Action::Reject {
--- a/src/simulator/pipe/batch.rs
+++ b/src/simulator/pipe/batch.rs
@@ -146,7 +146,7 @@
             code::ENDPOINTS => self.endpoints(cursor)?,
             code::INGRESS => ingress(cursor)?,
             code::DONE => done(cursor)?,
-            code::TIMED_OUT_CLIENT => Event::ClientLeft(QueryId(cursor.u32()?)),
+            code::TIMED_OUT_CLIENT => Event::ClientDisconnected(QueryId(cursor.u32()?)),
             code::DEADLINE_HIT => Event::Timer(cursor.u64()?),
             code::PING_RESULT => probed(cursor)?,
             _ => return Err(unknown_code),
@@ -188,7 +188,7 @@
         };
         match self.lists.get(number) {
             Some(Some(entries)) => Ok(Event::List {
-                full,
+                is_full: full,
                 entries: entries.clone(),
             }),
             _ => Err(cursor.bad(FieldError::UndefinedList(number))),
@@ -234,7 +234,7 @@
     cursor.u8()?; // not used
     let cell = u32::from(cursor.u16()?);
     let lifecycle = match cursor.u8()? {
-        0 => Lifecycle::Gone,
+        0 => Lifecycle::Removed,
         1 => Lifecycle::Ready,
         2 => Lifecycle::Draining,
         other => return Err(cursor.bad(FieldError::UnknownReplicaState(other))),
@@ -247,7 +247,7 @@
         cell,
         lifecycle,
         started_at,
-        pre_check: false,
+        supports_pre_check: false,
     })
 }
 
@@ -271,7 +271,7 @@
             tenant,
             deadline,
             parts: amount as u32,
-            repeat: flags & FLAG_REPEAT != 0,
+            is_repeat: flags & FLAG_REPEAT != 0,
             key,
             pre_check: None,
         }));
--- a/src/simulator/pipe/reply.rs
+++ b/src/simulator/pipe/reply.rs
@@ -26,7 +26,7 @@
             part,
             replica,
             max_timeout_s,
-            pre_check: _,
+            is_pre_check: _,
         } => {
             fields.begin(code::SEND, instance);
             fields.u32(part.0);
@@ -61,7 +61,10 @@
             fields.begin(code::WATCH, instance);
             fields.u8(1);
         }
-        Action::Answer { query, complete } => {
+        Action::Answer {
+            query,
+            is_complete: complete,
+        } => {
             fields.id(code::ANSWER, instance, query.0);
             fields.u8(u8::from(*complete));
         }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -67,7 +67,7 @@
 
     pub fn list(&mut self, full: bool, entries: &[ReplicaEntry]) -> Vec<Action> {
         self.event(Event::List {
-            full,
+            is_full: full,
             entries: entries.to_vec().into(),
         })
     }
@@ -104,7 +104,7 @@
             class,
             deadline: self.now + timeout_s,
             parts,
-            repeat,
+            is_repeat: repeat,
             key: u64::from(parts),
             tenant: 0,
             pre_check: None,
--- a/tests/decisions/crash_detection.rs
+++ b/tests/decisions/crash_detection.rs
@@ -117,7 +117,7 @@
     }
     assert!(driver.actions.contains(&Action::Answer {
         query: QueryId(500),
-        complete: true
+        is_complete: true
     }));
     assert!(!rejected(&driver.query_of(
         0,
--- a/tests/decisions/hedging.rs
+++ b/tests/decisions/hedging.rs
@@ -22,7 +22,7 @@
     }));
     assert!(out.contains(&Action::Answer {
         query: QueryId(500),
-        complete: true
+        is_complete: true
     }));
 }
 
--- a/tests/decisions/lifecycle.rs
+++ b/tests/decisions/lifecycle.rs
@@ -36,7 +36,9 @@
         "no plausible deadline"
     );
     driver.list(true, &[replica(1)]);
-    assert!(driver.event(Event::ClientLeft(QueryId(77))).is_empty());
+    assert!(driver
+        .event(Event::ClientDisconnected(QueryId(77)))
+        .is_empty());
     assert!(driver.end(7777, 0, ReplicaId(5), f64::NAN, OK).is_empty());
     assert!(driver.part(888, 888, 0, 1.0).is_empty());
     let (part, at) = sends(&driver.query(6, &[0], 3.0))[0];
@@ -111,7 +113,7 @@
         }
     }
     assert_eq!(
-        driver.aggregator.avoided(),
+        driver.aggregator.unavailable_replicas(),
         1,
         "a reset connection ejects a replica"
     );
@@ -136,7 +138,11 @@
         classes: [Some(1), Some(0)].into(),
         tenants: [].into(),
     });
-    assert_eq!(driver.aggregator.avoided(), 1, "the ejection is forgotten");
+    assert_eq!(
+        driver.aggregator.unavailable_replicas(),
+        1,
+        "the ejection is forgotten"
+    );
     let out = driver.end(open[0].0, 0, open[0].1, 0.05, Outcome::Error);
     assert!(
         failed(&out) && sends(&out).is_empty(),
--- a/tests/decisions/partial_answers.rs
+++ b/tests/decisions/partial_answers.rs
@@ -26,7 +26,7 @@
     let out = driver.end(spare[0].0, 0, spare[0].1, 0.05, OK);
     assert!(out.contains(&Action::Answer {
         query: QueryId(1),
-        complete: true
+        is_complete: true
     }));
 }
 
@@ -42,7 +42,7 @@
     assert!(driver.pass(0.9).is_empty());
     assert!(driver.pass(0.1).contains(&Action::Answer {
         query: QueryId(1),
-        complete: false
+        is_complete: false
     }));
 }
 
@@ -59,7 +59,7 @@
     }
     let first = Action::Answer {
         query: QueryId(1),
-        complete: true,
+        is_complete: true,
     };
     assert_eq!(
         driver
@@ -113,7 +113,7 @@
             .last();
         let answer = [Action::Answer {
             query: QueryId(id),
-            complete: false,
+            is_complete: false,
         }];
         in_part += usize::from(sent.len() == 4 && last.is_some_and(|last| last == answer));
         whole_rejections += usize::from(rejected(&driver.query(200 + id, &[2, 3], 3.0)));
@@ -154,7 +154,7 @@
         out,
         [Action::Answer {
             query: QueryId(1),
-            complete: false
+            is_complete: false
         }]
     );
 }
--- a/tests/decisions/selection.rs
+++ b/tests/decisions/selection.rs
@@ -164,7 +164,7 @@
     driver.list(
         false,
         &[ReplicaEntry {
-            lifecycle: Lifecycle::Gone,
+            lifecycle: Lifecycle::Removed,
             ..replica(2)
         }],
     );
@@ -199,7 +199,7 @@
     let mut driver = Driver::new(settings(class()), &[replica(1)]);
     for id in 2..500 {
         let gone = ReplicaEntry {
-            lifecycle: Lifecycle::Gone,
+            lifecycle: Lifecycle::Removed,
             ..replica(id - 1)
         };
         driver.list(false, &[replica(id), gone]);
--- a/tests/decisions/two_phase.rs
+++ b/tests/decisions/two_phase.rs
@@ -8,7 +8,7 @@
 /// A replica that answers pre-checks.
 fn pre_checking(id: u32) -> ReplicaEntry {
     ReplicaEntry {
-        pre_check: true,
+        supports_pre_check: true,
         ..replica(id)
     }
 }
@@ -69,7 +69,7 @@
         Action::Send {
             part,
             replica,
-            pre_check,
+            is_pre_check: pre_check,
             ..
         } => Some(SentPart {
             part: part.0,
@@ -95,7 +95,7 @@
         out,
         [Action::Answer {
             query: QueryId(100),
-            complete: true
+            is_complete: true
         }]
     );
     let first = query_with_pre_check(&mut driver, 101, &[0], 0.3);
@@ -104,7 +104,7 @@
         out,
         [Action::Answer {
             query: QueryId(101),
-            complete: true
+            is_complete: true
         }],
         "pruned by its replica's pre-check answer"
     );
@@ -143,7 +143,7 @@
     #[case] pre_check: bool,
 ) {
     let replicas = [1, 2].map(|id| ReplicaEntry {
-        pre_check,
+        supports_pre_check: pre_check,
         ..replica(id)
     });
     let mut driver = two_phase_driver(effect, &replicas);
@@ -235,7 +235,7 @@
     assert_eq!(
         out.contains(&Action::Answer {
             query: QueryId(200),
-            complete: true
+            is_complete: true
         }),
         ends
     );
@@ -332,7 +332,7 @@
         out,
         [Action::Answer {
             query: QueryId(100),
-            complete: true
+            is_complete: true
         }]
     );
 }
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -238,7 +238,7 @@
             tenant: id % 3,
             deadline,
             parts,
-            repeat,
+            is_repeat: repeat,
             key: u64::from(id % 5),
             pre_check: None,
         }));
@@ -285,7 +285,7 @@
     }
 
     fn list(&mut self, id: u32, state: usize, is_restart: bool) {
-        let lifecycle = [Lifecycle::Ready, Lifecycle::Draining, Lifecycle::Gone][state];
+        let lifecycle = [Lifecycle::Ready, Lifecycle::Draining, Lifecycle::Removed][state];
         let started_at = if is_restart { self.driver.now } else { 0.0 };
         let entry = ReplicaEntry {
             lifecycle,
@@ -299,7 +299,7 @@
         } else {
             self.referee.not_ready_since.insert(entry.id, now);
         }
-        if lifecycle == Lifecycle::Gone {
+        if lifecycle == Lifecycle::Removed {
             self.referee.gone.insert(entry.id);
         } else {
             self.referee.gone.remove(&entry.id);
@@ -425,7 +425,7 @@
         part: PartId(part),
         replica: ReplicaId(1),
         max_timeout_s: 1.0,
-        pre_check: false,
+        is_pre_check: false,
     };
     let warm = -100.0;
     let seen = |actions: &[Action]| breaches_in(warm, false, actions);
@@ -436,7 +436,7 @@
     };
     let answer = Action::Answer {
         query: QueryId(1),
-        complete: true,
+        is_complete: true,
     };
     assert_eq!(seen(&[send(1), fail.clone()]), "");
     assert!(seen(&[fail.clone(), fail.clone()]).contains("lost"));
--- a/tests/rules/referee.rs
+++ b/tests/rules/referee.rs
@@ -93,7 +93,10 @@
     pub fn act(&mut self, now: f64, action: &Action) {
         match action {
             Action::Send { part, replica, .. } => self.sent(now, part.0, *replica),
-            Action::Answer { query, complete } => self.answered(now, query.0, *complete),
+            Action::Answer {
+                query,
+                is_complete: complete,
+            } => self.answered(now, query.0, *complete),
             Action::Reject { query, .. } => self.rejected(now, query.0),
             Action::Fail { query } => self.ended(now, query.0),
             _ => {}
