--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -11,7 +11,7 @@
 use super::fault;
 use super::SettingsError;
 use crate::decisions::api::Settings;
-use crate::decisions::two_phase;
+use crate::decisions::two_phase::TwoPhaseSettings;
 use classes::CategoryJson;
 use miniserde::Deserialize;
 use phases::PhasesJson;
@@ -50,7 +50,7 @@
     /// A connection that is idle for so long is closed by the other side (seconds).
     pub connection_idle_s: f64,
     /// The pre-check phases; no class has them where this is empty.
-    pub phases: two_phase::Setup,
+    pub phases: TwoPhaseSettings,
 }
 
 /// The settings in JSON. Unknown keys are skipped; optional ones may be missing.
--- a/src/config/settings/phases.rs
+++ b/src/config/settings/phases.rs
@@ -6,7 +6,7 @@
 use crate::config::bounds::{whole, within};
 use crate::config::SettingsError;
 use crate::decisions::api::{ClassSettings, Effect};
-use crate::decisions::two_phase;
+use crate::decisions::two_phase::TwoPhaseSettings;
 use miniserde::Deserialize;
 use std::ops::RangeInclusive;
 
@@ -33,20 +33,20 @@
         &self,
         categories: &[CategoryJson],
         classes: &[ClassSettings],
-    ) -> Result<two_phase::Setup, SettingsError> {
-        let base = two_phase::Setup::default();
+    ) -> Result<TwoPhaseSettings, SettingsError> {
+        let base = TwoPhaseSettings::default();
         let indices = self.class_indices(categories, classes)?;
         within("phases.mostShare", self.max_share, SHARES)?;
         let retry_every = self.retry_every;
-        Ok(two_phase::Setup {
+        Ok(TwoPhaseSettings {
             classes: indices,
             max_share: self.max_share.unwrap_or(base.max_share),
             min_parts: whole("phases.leastParts", self.min_parts, COUNTS, base.min_parts)?,
-            try_again_every: whole(
+            trial_interval_queries: whole(
                 "phases.tryAgainEvery",
                 retry_every,
                 COUNTS,
-                base.try_again_every,
+                base.trial_interval_queries,
             )?,
         })
     }
--- a/src/decisions/two_phase.rs
+++ b/src/decisions/two_phase.rs
@@ -39,7 +39,7 @@
 
 /// The operators' settings.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Setup {
+pub struct TwoPhaseSettings {
     /// Places of the classes that may have two phases; those that are not idempotent are ignored.
     pub classes: Vec<usize>,
     /// Queries of fewer parts have one phase.
@@ -47,16 +47,16 @@
     /// Largest share of a query's useful time for the first phase.
     pub max_share: f64,
     /// Where phases don't pay, one query in this many tries them again, and down to a sixteenth of that when futile.
-    pub try_again_every: u32,
+    pub trial_interval_queries: u32,
 }
 
-impl Default for Setup {
-    fn default() -> Setup {
-        Setup {
+impl Default for TwoPhaseSettings {
+    fn default() -> TwoPhaseSettings {
+        TwoPhaseSettings {
             classes: Vec::new(),
             min_parts: 4,
             max_share: 0.4,
-            try_again_every: 100,
+            trial_interval_queries: 100,
         }
     }
 }
@@ -136,7 +136,7 @@
 
 /// How phases did since the start. Counters never go down.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Metrics {
+pub struct PhaseMetrics {
     /// Queries that had a first phase.
     pub two_phase: u64,
     /// Queries of such classes that had none.
@@ -146,18 +146,18 @@
     /// Pre-checks by which something may match.
     pub matching: u64,
     /// Pre-checks without an answer.
-    pub silent: u64,
+    pub unanswered: u64,
 }
 
 struct Class {
     latency_objective_s: f64,
     statistics: PhaseStatistics,
-    metrics: Metrics,
+    metrics: PhaseMetrics,
 }
 
 /// The phases of one mixer, by class.
-pub struct Phases {
-    setup: Setup,
+pub struct TwoPhasePlanner {
+    settings: TwoPhaseSettings,
     classes: Vec<Class>,
 }
 
@@ -215,10 +215,10 @@
 
     /// Where phases don't pay: counts a query, and returns whether it tries them. Futile trials become rarer, down to a bound;
     /// one that brought an improvement is soon followed by the next.
-    fn count_for_trial(&mut self, try_again_every: u32) -> bool {
+    fn count_for_trial(&mut self, trial_interval_queries: u32) -> bool {
         self.queries_since_trial += 1;
         let rarity = 1 << self.futile_trials.min(MAX_FUTILE_TRIALS);
-        if self.queries_since_trial < try_again_every.saturating_mul(rarity) {
+        if self.queries_since_trial < trial_interval_queries.saturating_mul(rarity) {
             return false;
         }
         let saved_share = self.saved_share().unwrap_or(0.0);
@@ -269,19 +269,23 @@
     }
 }
 
-impl Metrics {
+impl PhaseMetrics {
     fn count_pre_check(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::Ok => self.pruned += 1,
             Outcome::Matches => self.matching += 1,
-            _ => self.silent += 1,
+            _ => self.unanswered += 1,
         }
     }
 }
 
-impl Phases {
-    /// Phases of which nothing is known. `names` and `rules` are those of all classes, in the order of their places.
-    pub fn new(setup: &Setup, names: &[String], rules: &[ClassSettings]) -> Phases {
+impl TwoPhasePlanner {
+    /// TwoPhasePlanner of which nothing is known. `names` and `rules` are those of all classes, in the order of their places.
+    pub fn new(
+        settings: &TwoPhaseSettings,
+        names: &[String],
+        rules: &[ClassSettings],
+    ) -> TwoPhasePlanner {
         let is_idempotent = |place: &&usize| {
             let rules = rules.get(**place);
             rules.is_some_and(|rules| rules.effect == Effect::Idempotent)
@@ -292,12 +296,12 @@
             Class {
                 latency_objective_s,
                 statistics: PhaseStatistics::new(name, latency_objective_s),
-                metrics: Metrics::default(),
+                metrics: PhaseMetrics::default(),
             }
         };
-        let classes = setup.classes.iter().filter(is_idempotent).map(class);
-        Phases {
-            setup: setup.clone(),
+        let classes = settings.classes.iter().filter(is_idempotent).map(class);
+        TwoPhasePlanner {
+            settings: settings.clone(),
             classes: classes.collect(),
         }
     }
@@ -309,7 +313,7 @@
     }
 
     /// Statistics and metrics of each class.
-    pub fn classes(&self) -> impl Iterator<Item = (&PhaseStatistics, &Metrics)> {
+    pub fn classes(&self) -> impl Iterator<Item = (&PhaseStatistics, &PhaseMetrics)> {
         let classes = self.classes.iter();
         classes.map(|class| (&class.statistics, &class.metrics))
     }
@@ -327,7 +331,7 @@
     }
 
     /// Takes over the metrics from the former settings, since counters never go down.
-    pub fn keep_metrics(&mut self, former: &Phases) {
+    pub fn keep_metrics(&mut self, former: &TwoPhasePlanner) {
         for class in &mut self.classes {
             let name = &class.statistics.class;
             let same = former
@@ -345,16 +349,16 @@
         class: &str,
         parts: usize,
         timeout_s: f64,
-        above: Option<u32>,
+        only_above_parts: Option<u32>,
     ) -> Option<f64> {
-        let setup = &self.setup;
+        let settings = &self.settings;
         let class = find_class(&mut self.classes, class)?;
-        let has_enough_parts = match above {
-            Some(above) => parts > above as usize,
-            None => parts >= setup.min_parts as usize,
+        let has_enough_parts = match only_above_parts {
+            Some(limit) => parts > limit as usize,
+            None => parts >= settings.min_parts as usize,
         };
         let length_s = if has_enough_parts {
-            class.first_phase_s(timeout_s, setup.max_share)
+            class.first_phase_s(timeout_s, settings.max_share)
         } else {
             None
         };
@@ -362,7 +366,10 @@
         let pays = saved_share.is_none_or(|saved_share| saved_share > MIN_SAVED_SHARE);
         let planned_s = length_s.filter(|length_s| {
             let is_long_enough = *length_s >= class.statistics.pre_check_latencies.median_s;
-            (pays && is_long_enough) || class.statistics.count_for_trial(setup.try_again_every)
+            (pays && is_long_enough)
+                || class
+                    .statistics
+                    .count_for_trial(settings.trial_interval_queries)
         });
         match planned_s {
             Some(_) => class.metrics.two_phase += 1,
--- a/src/decisions/two_phase/tests.rs
+++ b/src/decisions/two_phase/tests.rs
@@ -4,7 +4,7 @@
 
 const OK: Outcome = Outcome::Ok;
 
-fn phases(latency_objective_s: f64) -> Phases {
+fn phases(latency_objective_s: f64) -> TwoPhasePlanner {
     let rules = ClassSettings {
         latency_objective_s,
         deadline_s: 3.0,
@@ -14,16 +14,20 @@
         effect: Effect::IdempotentWithKey,
         ..rules.clone()
     };
-    let setup = Setup {
+    let settings = TwoPhaseSettings {
         classes: vec![0, 1],
-        try_again_every: 10,
-        ..Setup::default()
+        trial_interval_queries: 10,
+        ..TwoPhaseSettings::default()
     };
-    Phases::new(&setup, &["search".into(), "hold".into()], &[rules, keyed])
+    TwoPhasePlanner::new(
+        &settings,
+        &["search".into(), "hold".into()],
+        &[rules, keyed],
+    )
 }
 
 /// Plays pre-checks, of which that share matches, and as many full attempts, with these latencies (seconds).
-fn play(phases: &mut Phases, attempts: u32, matching: f64, pre_check_s: f64, full_s: f64) {
+fn play(phases: &mut TwoPhasePlanner, attempts: u32, matching: f64, pre_check_s: f64, full_s: f64) {
     for number in 0..attempts {
         let matches = f64::from(number % 20) < 20.0 * matching;
         phases.attempt_ended(
@@ -82,7 +86,7 @@
             50.0,
         );
     }
-    let trials = |phases: &mut Phases, of: u32| {
+    let trials = |phases: &mut TwoPhasePlanner, of: u32| {
         (0..of)
             .filter(|_| phases.plan("search", 8, 3.0, None).is_some())
             .count()
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -15,7 +15,7 @@
 //! let mut aggregator = Aggregator::new(settings, 42, 0.0);
 //! let mut actions = Vec::new();
 //! let replicas = vec![ReplicaEntry { id: ReplicaId(7), ..ReplicaEntry::default() }];
-//! aggregator.handle(0.0, Event::List { full: true, entries: replicas.into() }, &mut actions);
+//! aggregator.handle(0.0, Event::List { is_full: true, entries: replicas.into() }, &mut actions);
 //!
 //! // A query of one part arrives; its part is sent at once.
 //! actions.clear();
@@ -31,7 +31,7 @@
 //!     part: PartId(2), attempt: 0, replica: ReplicaId(7), took_s: 0.03, outcome: Outcome::Ok,
 //! };
 //! aggregator.handle(0.03, Event::AttemptEnded(done), &mut actions);
-//! assert_eq!(actions, [Action::Answer { query: QueryId(1), complete: true }]);
+//! assert_eq!(actions, [Action::Answer { query: QueryId(1), is_complete: true }]);
 //! ```
 //!
 //! Timers asked for by [`Action::SetTimer`](decisions::api::Action::SetTimer) must come back as
--- a/src/net/admin/metrics_text.rs
+++ b/src/net/admin/metrics_text.rs
@@ -140,7 +140,7 @@
             let pre_check_answers = [
                 ("none", metrics.pruned),
                 ("match", metrics.matching),
-                ("silent", metrics.silent),
+                ("silent", metrics.unanswered),
             ];
             for (answer, count) in pre_check_answers {
                 let _ = writeln!(
--- a/src/requests/coordinator.rs
+++ b/src/requests/coordinator.rs
@@ -20,7 +20,7 @@
 use crate::config::Deployment;
 use crate::decisions::api::*;
 use crate::decisions::learned_state::LearnedState;
-use crate::decisions::two_phase::{PhaseStatistics, Phases};
+use crate::decisions::two_phase::{PhaseStatistics, TwoPhasePlanner};
 use crate::requests::attempt::{Attempt, CallQueue};
 use crate::requests::invariants::Invariants;
 use crate::requests::metrics::Metrics;
@@ -38,7 +38,7 @@
 
 /// The length of a query's pre-check phase (seconds), where it is to have one.
 fn plan_pre_check(
-    phases: &mut Phases,
+    phases: &mut TwoPhasePlanner,
     query_request: &QueryRequest,
     timeout_s: f64,
 ) -> Option<f64> {
@@ -75,7 +75,7 @@
     calls: CallQueue,
     /// By protocol.
     metrics: [Metrics; 2],
-    phases: Phases,
+    phases: TwoPhasePlanner,
     /// The attempts that a successor has not been notified of.
     recorder: AttemptRecorder,
     /// The load of the process that this one takes over from.
@@ -128,7 +128,7 @@
     }
 
     /// The pre-check phases and their metrics, by class.
-    pub fn phases(&self) -> &Phases {
+    pub fn phases(&self) -> &TwoPhasePlanner {
         &self.phases
     }
 
--- a/src/requests/module_settings.rs
+++ b/src/requests/module_settings.rs
@@ -5,7 +5,7 @@
 
 use crate::config::Deployment;
 use crate::decisions::api::Settings;
-use crate::decisions::two_phase::Phases;
+use crate::decisions::two_phase::TwoPhasePlanner;
 
 /// The decision module's settings.
 pub(super) fn module_settings(deployment: &Deployment) -> Settings {
@@ -47,8 +47,8 @@
 }
 
 /// The state of the pre-check phases of a deployment, with nothing learned yet.
-pub(super) fn new_phases(deployment: &Deployment) -> Phases {
-    Phases::new(
+pub(super) fn new_phases(deployment: &Deployment) -> TwoPhasePlanner {
+    TwoPhasePlanner::new(
         &deployment.phases,
         &deployment.classes,
         &deployment.policy.classes,
