--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -11,7 +11,7 @@
 use super::fault;
 use super::SettingsError;
 use crate::decisions::api::Settings;
-use crate::decisions::two_phase;
+use crate::decisions::two_phase::TwoPhaseSettings;
 use classes::CategoryJson;
 use miniserde::Deserialize;
 use phases::PhasesJson;
@@ -50,7 +50,7 @@
     /// Idle time after which the other side closes a connection (seconds).
     pub connection_idle_s: f64,
     /// Configuration of the pre-check phases. No class has them if its list of classes is empty.
-    pub phases: two_phase::Setup,
+    pub phases: TwoPhaseSettings,
 }
 
 /// JSON form of the settings. Unknown keys are ignored.
--- a/src/config/settings/phases.rs
+++ b/src/config/settings/phases.rs
@@ -4,7 +4,7 @@
 use crate::config::bounds::{check_range, integer_or_default};
 use crate::config::SettingsError;
 use crate::decisions::api::{ClassSettings, Effect};
-use crate::decisions::two_phase;
+use crate::decisions::two_phase::TwoPhaseSettings;
 use miniserde::Deserialize;
 use std::ops::RangeInclusive;
 
@@ -31,12 +31,12 @@
         &self,
         categories: &[CategoryJson],
         classes: &[ClassSettings],
-    ) -> Result<two_phase::Setup, SettingsError> {
-        let base = two_phase::Setup::default();
+    ) -> Result<TwoPhaseSettings, SettingsError> {
+        let base = TwoPhaseSettings::default();
         let indices = self.class_indices(categories, classes)?;
         check_range("phases.mostShare", self.max_share, SHARES)?;
         let retry_every = self.retry_every;
-        Ok(two_phase::Setup {
+        Ok(TwoPhaseSettings {
             classes: indices,
             max_share: self.max_share.unwrap_or(base.max_share),
             min_parts: integer_or_default(
@@ -45,11 +45,11 @@
                 COUNTS,
                 base.min_parts,
             )?,
-            try_again_every: integer_or_default(
+            trial_interval_queries: integer_or_default(
                 "phases.tryAgainEvery",
                 retry_every,
                 COUNTS,
-                base.try_again_every,
+                base.trial_interval_queries,
             )?,
         })
     }
--- a/src/requests/module_settings.rs
+++ b/src/requests/module_settings.rs
@@ -3,14 +3,14 @@
 
 use crate::config::Deployment;
 use crate::decisions::api::Settings;
-use crate::decisions::two_phase::Phases;
+use crate::decisions::two_phase::TwoPhasePlanner;
 
 /// Returns the settings of the decision module.
 pub(super) fn module_settings(deployment: &Deployment) -> Settings {
     let mut settings = deployment.policy.clone();
     // Neither front can send a second answer to a request, so the first answer is final.
     for class in &mut settings.classes {
-        class.second_step = 0;
+        class.second_step_parts = 0;
     }
     let pre_check: Vec<_> = deployment
         .phases
@@ -46,8 +46,8 @@
 }
 
 /// Returns the state of the deployment's pre-check phases without any statistics.
-pub(super) fn new_phases(deployment: &Deployment) -> Phases {
-    Phases::new(
+pub(super) fn new_phases(deployment: &Deployment) -> TwoPhasePlanner {
+    TwoPhasePlanner::new(
         &deployment.phases,
         &deployment.classes,
         &deployment.policy.classes,
--- a/src/requests/response.rs
+++ b/src/requests/response.rs
@@ -73,8 +73,8 @@
     /// the floor of the class.
     pub(super) fn answer(&self, complete: bool) -> FinalAnswer {
         let share = self.served_share();
-        let complete = complete && share + WEIGHT_TOLERANCE >= self.class_settings.need;
-        if share <= 0.0 || share + WEIGHT_TOLERANCE < self.class_settings.floor {
+        let complete = complete && share + WEIGHT_TOLERANCE >= self.class_settings.complete_share;
+        if share <= 0.0 || share + WEIGHT_TOLERANCE < self.class_settings.min_partial_share {
             self.failure(Reason::Abandoned)
         } else if self.query_request.complete_only && !complete {
             self.failure(Reason::Incomplete)
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -62,16 +62,16 @@
                 ..ClassSettings::default()
             };
             let steps = ClassSettings {
-                floor: 0.4,
-                second_step: 2,
+                min_partial_share: 0.4,
+                second_step_parts: 2,
                 late_weight: 0.0,
                 ..base.clone()
             };
             let keyed = ClassSettings {
                 effect: Effect::IdempotentWithKey,
                 idempotency_window_s: 0.2,
-                need: 0.67,
-                floor: 0.67,
+                complete_share: 0.67,
+                min_partial_share: 0.67,
                 ..base.clone()
             };
             let non_idempotent = ClassSettings {
@@ -81,26 +81,26 @@
             Settings {
                 classes: vec![base, steps, keyed, non_idempotent],
                 tick_s: 0.005,
-                hedging,
+                can_hedge: hedging,
                 retry_budget: retry_budget.then_some(RetryBudget {
-                    free: 3.0,
-                    share: 0.1,
+                    min_retries: 3.0,
+                    retries_per_accepted: 0.1,
                     window_s: 2.0,
                 }),
-                cancel,
+                can_cancel: cancel,
                 cells,
                 replication_factor: 1,
                 tenants: vec![
                     TenantSettings {
                         share: 0.5,
-                        allowance_per_s: 1.0
+                        quota_per_s: 1.0
                     };
                     2
                 ],
                 over_quota_weight: 0.1,
-                call_parts: 1 + cells,
+                max_call_parts: 1 + cells,
                 call_work_s: 0.05,
-                retry_after_s: 1.0,
+                max_retry_after_s: 1.0,
                 ..Settings::default()
             }
         },
@@ -238,7 +238,7 @@
             tenant: id % 3,
             deadline,
             parts,
-            repeat,
+            is_repeat: repeat,
             key: u64::from(id % 5),
             pre_check: None,
         }));
@@ -285,7 +285,7 @@
     }
 
     fn list(&mut self, id: u32, state: usize, is_restart: bool) {
-        let lifecycle = [Lifecycle::Ready, Lifecycle::Draining, Lifecycle::Gone][state];
+        let lifecycle = [Lifecycle::Ready, Lifecycle::Draining, Lifecycle::Removed][state];
         let started_at = if is_restart { self.driver.now } else { 0.0 };
         let entry = ReplicaEntry {
             lifecycle,
@@ -299,7 +299,7 @@
         } else {
             self.referee.not_ready_since.insert(entry.id, now);
         }
-        if lifecycle == Lifecycle::Gone {
+        if lifecycle == Lifecycle::Removed {
             self.referee.gone.insert(entry.id);
         } else {
             self.referee.gone.remove(&entry.id);
@@ -379,11 +379,11 @@
     };
     Settings {
         classes: vec![non_idempotent, class()],
-        hedging: false,
+        can_hedge: false,
         max_attempts: 1,
         retry_budget: Some(RetryBudget {
-            free: 0.0,
-            share: 0.0,
+            min_retries: 0.0,
+            retries_per_accepted: 0.0,
             window_s: 2.0,
         }),
         ..Settings::default()
@@ -425,7 +425,7 @@
         part: PartId(part),
         replica: ReplicaId(1),
         max_timeout_s: 1.0,
-        pre_check: false,
+        is_pre_check: false,
     };
     let warm = -100.0;
     let seen = |actions: &[Action]| breaches_in(warm, false, actions);
@@ -436,7 +436,7 @@
     };
     let answer = Action::Answer {
         query: QueryId(1),
-        complete: true,
+        is_complete: true,
     };
     assert_eq!(seen(&[send(1), fail.clone()]), "");
     assert!(seen(&[fail.clone(), fail.clone()]).contains("lost"));
