--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration: its one decoder, its bounds, and errors that name the key at fault.
+//! Decoding and validation of the configuration. Errors name the invalid key.
 
 mod bounds;
 mod configuration;
@@ -9,7 +9,7 @@
 mod settings;
 mod yaml;
 
-pub use configuration::{Config, Reread};
+pub use configuration::{Config, ReloadedConfig};
 pub use error::SettingsError;
 pub use fault::{JsonFault, Mismatch};
 pub use key_paths::KeyPaths;
--- a/src/net/discovery/answers.rs
+++ b/src/net/discovery/answers.rs
@@ -117,7 +117,7 @@
     /// Reads from a connection that has an event.
     pub(super) fn receive(&mut self, runtime: &mut Runtime, key: ConnectionKey) -> ReadOutcome {
         let now = runtime.now;
-        let previous_turn_at = runtime.previous_turn_at;
+        let previous_iteration_at = runtime.previous_iteration_at;
         let Some(connection) = connection_mut(runtime, key) else {
             return ReadOutcome::NotConnected;
         };
@@ -132,7 +132,7 @@
         } else {
             f64::MAX
         };
-        let received = connection.receive(previous_turn_at, now);
+        let received = connection.receive(previous_iteration_at, now);
         let due = connection.due;
         if due != due_before && due < f64::MAX {
             runtime.timers.add(due, Deadline::Connection(key));
@@ -220,7 +220,7 @@
         if list != ListAnswer::Outdated {
             let outcome = CallOutcome::Confirmed {
                 made_at: open.made_at,
-                answer_not_before: runtime.previous_turn_at,
+                answer_not_before: runtime.previous_iteration_at,
             };
             self.call_ended(runtime, outcome, false);
         }
@@ -277,12 +277,12 @@
         let connection = connection(runtime, key)?;
         let role = connection.role;
         let end = connection.call_end(&reason);
-        let open = connection.open_call.filter(|_| end == CallEnd::GivenUp)?;
+        let open = connection.open_call.filter(|_| end == CallEnd::TimedOut)?;
         self.set_overdue(runtime, key);
         let outcome = CallOutcome::Failed {
             began_at: open.made_at,
             end,
-            answer_not_before: runtime.previous_turn_at,
+            answer_not_before: runtime.previous_iteration_at,
         };
         self.call_ended(runtime, outcome, false);
         Some(FailedCall {
@@ -299,7 +299,7 @@
         let end = connection(runtime, key)
             .map(|connection| connection.call_end(&DiscoveryError::TimedOut));
         match end {
-            Some(CallEnd::GivenUp) => self.set_overdue(runtime, key),
+            Some(CallEnd::TimedOut) => self.set_overdue(runtime, key),
             Some(CallEnd::CutOff) => self.add_overdue(runtime, key),
             _ => self.close(runtime, key),
         }
@@ -429,7 +429,7 @@
         let end = connection.call_end(&reason);
         let answer_not_before = connection
             .answer_arriving_since()
-            .unwrap_or(runtime.previous_turn_at);
+            .unwrap_or(runtime.previous_iteration_at);
         let failure = if self.link.overdue.contains(key) {
             Failure::EndedOverdue
         } else {
--- a/src/net/discovery/client.rs
+++ b/src/net/discovery/client.rs
@@ -3,11 +3,11 @@
 use crate::decisions::api::{ReplicaEntry, Settings};
 use crate::endpoints::directory::List;
 use crate::endpoints::heartbeat::Fleet;
-use crate::endpoints::lease::{HandedLease, ListLease};
+use crate::endpoints::lease::{LeaseHandover, ListLease};
 use crate::net::discovery::lease::LeasePublisher;
 use crate::net::discovery::link::DiscoveryLink;
 use crate::net::discovery::list;
-use crate::net::event_loop::{ListInForce, ListObserver};
+use crate::net::event_loop::{EndpointListInUse, EndpointListObserver};
 use crate::net::runtime::Runtime;
 use crate::net::ConnectionKey;
 use miniserde::json::Value;
@@ -26,7 +26,7 @@
     pub(super) lease_publisher: LeasePublisher,
     /// Whether another discovery was configured that has not answered yet; the old list stays in use until then.
     pub(super) is_switching: bool,
-    list_observer: Option<ListObserver>,
+    list_observer: Option<EndpointListObserver>,
 }
 
 impl DiscoveryClient {
@@ -67,7 +67,7 @@
 
     /// Returns the time until which the list in use may be used.
     pub(in crate::net) fn list_until(&self, now: f64) -> f64 {
-        self.lease.until(now)
+        self.lease.expires_at(now)
     }
 
     /// Returns whether the list may be used now.
@@ -81,12 +81,12 @@
     }
 
     /// Returns the lease as the successor process inherits it.
-    pub(in crate::net) fn hand_over_lease(&self, now: f64) -> HandedLease {
+    pub(in crate::net) fn hand_over_lease(&self, now: f64) -> LeaseHandover {
         self.lease.hand_over(now)
     }
 
     /// Adopts the predecessor's lease.
-    pub(in crate::net) fn inherit_lease(&mut self, now: f64, handed: HandedLease) {
+    pub(in crate::net) fn inherit_lease(&mut self, now: f64, handed: LeaseHandover) {
         self.lease.inherit(now, handed);
     }
 
@@ -96,14 +96,14 @@
     }
 
     /// Sets the observer that is notified of each list that is applied from now on.
-    pub(in crate::net) fn observe_lists(&mut self, observer: ListObserver) {
+    pub(in crate::net) fn observe_lists(&mut self, observer: EndpointListObserver) {
         self.list_observer = Some(observer);
     }
 
     /// Notifies the observer that the directory was updated by a list.
     pub(super) fn notify_observer(&mut self, runtime: &Runtime) {
         if let Some(observer) = &mut self.list_observer {
-            observer(ListInForce {
+            observer(EndpointListInUse {
                 revision: self.revision,
                 servers: runtime.directory.count(),
             });
@@ -142,8 +142,8 @@
             .update_endpoints(runtime.now, is_full, entries, &mut runtime.commands);
         let notified_since = self
             .lease
-            .notified_since(runtime.now, runtime.previous_turn_at);
-        runtime.directory.date_unready(notified_since);
+            .notified_since(runtime.now, runtime.previous_iteration_at);
+        runtime.directory.set_unready_since(notified_since);
     }
 
     /// Publishes the time until which the list may be used to the decision module, and logs changes of the lease.
@@ -174,7 +174,7 @@
     pub(super) fn switch_to(&mut self, runtime: &mut Runtime, address: SocketAddr) {
         self.address = Some(address);
         self.revision = None;
-        self.lease.discovery_moved(runtime.now);
+        self.lease.discovery_changed(runtime.now);
         for key in self.connections() {
             self.abandon_call(runtime, key);
         }
--- a/src/net/discovery/routing.rs
+++ b/src/net/discovery/routing.rs
@@ -9,10 +9,10 @@
 use crate::net::discovery::calls::{PlannedCall, Step};
 use crate::net::discovery::connection::{Call, DiscoveryError, Role};
 use crate::net::discovery::lease::MAX_LOOP_DELAY_S;
-use crate::net::event_loop::{Mixer, TurnEvents};
+use crate::net::event_loop::{Mixer, PollEvents};
 use crate::net::http::Message;
 use crate::net::lifecycle::Phase;
-use crate::net::reload::{self, RereadOutcome};
+use crate::net::reload::{self, ReloadOutcome};
 use crate::net::tokens::token;
 use crate::net::ConnectionKey;
 use miniserde::json::Value;
@@ -96,9 +96,9 @@
 impl Mixer {
     /// Reads from discovery before any client is read: a change counts as notified from the time at which discovery wrote
     /// it, even if the event loop was delayed and a request was received earlier. Returns the tokens whose events have been
-    /// handled. The resulting commands are executed by [`Mixer::settle`].
-    pub(in crate::net) fn receive_from_discovery(&mut self, events: &TurnEvents) -> Vec<Token> {
-        let is_delayed = self.runtime.now > self.runtime.previous_turn_at + MAX_LOOP_DELAY_S;
+    /// handled. The resulting commands are executed by [`Mixer::process_commands`].
+    pub(in crate::net) fn receive_from_discovery(&mut self, events: &PollEvents) -> Vec<Token> {
+        let is_delayed = self.runtime.now > self.runtime.previous_iteration_at + MAX_LOOP_DELAY_S;
         let mut handled = Vec::new();
         for key in self.discovery.connections() {
             let token = token(key);
@@ -246,7 +246,7 @@
                 connection.is_removed,
             );
         }
-        self.runtime.directory.forget_gone();
+        self.runtime.directory.drop_removed();
         self.check_readiness();
     }
 
@@ -255,7 +255,7 @@
             .directory
             .unready()
             .flat_map(|endpoint| {
-                let is_removed = endpoint.is_gone();
+                let is_removed = endpoint.is_removed();
                 endpoint
                     .connections
                     .iter()
@@ -329,7 +329,7 @@
 
     /// Handles SIGHUP: reads the configuration again. Requests and connections are kept; an invalid file changes nothing.
     pub(in crate::net) fn reload_requested(&mut self) {
-        let RereadOutcome::Accepted {
+        let ReloadOutcome::Accepted {
             deployment,
             discovery,
         } = self.reload.reread(&mut self.runtime)
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -33,7 +33,7 @@
 }
 
 /// What reading the configuration again has brought.
-pub(super) enum RereadOutcome {
+pub(super) enum ReloadOutcome {
     /// The file is invalid; the old configuration stays in use.
     Rejected,
     /// The file is valid.
@@ -75,16 +75,16 @@
     }
 
     /// Reads the configuration again after one or more signals.
-    pub(super) fn reread(&mut self, runtime: &mut Runtime) -> RereadOutcome {
+    pub(super) fn reread(&mut self, runtime: &mut Runtime) -> ReloadOutcome {
         self.consume_signals();
-        let reread = match Config::reread(&self.config, &self.shape) {
+        let reread = match Config::reload(&self.config, &self.shape) {
             Ok(reread) => reread,
             Err(error) => {
                 self.rejected += 1;
                 runtime.log(&format!(
                     "reload: rejected, the old configuration stays in use: {error}"
                 ));
-                return RereadOutcome::Rejected;
+                return ReloadOutcome::Rejected;
             }
         };
         self.accepted += 1;
@@ -94,7 +94,7 @@
             .discovery
             .filter(|address| Some(*address) != self.file_discovery);
         self.file_discovery = discovery.or(self.file_discovery);
-        RereadOutcome::Accepted {
+        ReloadOutcome::Accepted {
             deployment: Box::new(reread.deployment),
             discovery,
         }
@@ -112,7 +112,7 @@
         if is_new {
             runtime
                 .timers
-                .add(runtime.now + APPLY_AFTER_S, Deadline::Settings);
+                .add(runtime.now + APPLY_AFTER_S, Deadline::ApplySettings);
             runtime.log("reload: new settings accepted; they are applied in 1 s");
         }
     }
--- a/src/net/replica/connection.rs
+++ b/src/net/replica/connection.rs
@@ -7,11 +7,11 @@
 use crate::decisions::api::{Outcome, ReplicaId};
 use crate::endpoints::directory::WireFormat;
 use crate::net::client::opensearch;
-use crate::net::http::Reader;
+use crate::net::http::MessageReader;
 use crate::net::replica::error::ReplicaError;
 use crate::net::replica::frames::{self, EncodedCall};
 use crate::net::replica::send_queue::{QueuedFrame, SendQueue, StartedCall, WriteStep};
-use crate::net::socket::came_up;
+use crate::net::socket::is_connected;
 use crate::requests::coordinator::{AttemptKey, CallPart};
 use crate::requests::invariants::CallTimes;
 use mio::net::TcpStream;
@@ -142,7 +142,7 @@
     pub(super) parts: Vec<PartInFlight>,
     pub(super) recent: VecDeque<RecentPart>,
     pub(super) input: Vec<u8>,
-    pub(super) reader: Reader,
+    pub(super) reader: MessageReader,
     /// Time since which an incomplete answer has been arriving.
     pub(super) answer_began_at: Option<f64>,
     /// Time since which a part is in flight and nothing has been received.
@@ -165,7 +165,7 @@
             parts: Vec::new(),
             recent: VecDeque::new(),
             input: Vec::new(),
-            reader: Reader::responses(frames::MAX_FRAME_BYTES),
+            reader: MessageReader::responses(frames::MAX_FRAME_BYTES),
             answer_began_at: None,
             silent_since: None,
             local_close: None,
@@ -194,7 +194,7 @@
 
     /// Checks whether the socket is connected by now; an error means that connecting has failed.
     pub(super) fn poll_connected(&self) -> io::Result<bool> {
-        came_up(&self.stream)
+        is_connected(&self.stream)
     }
 
     /// Returns the time at which a call was last queued or an answer was received.
--- a/src/net/replica/pool.rs
+++ b/src/net/replica/pool.rs
@@ -6,7 +6,7 @@
 use crate::decisions::api::{Outcome, ReplicaId};
 use crate::endpoints::directory::WireFormat;
 use crate::net::connection_table::Connection;
-use crate::net::event_loop::IDLE_SHARE;
+use crate::net::event_loop::IDLE_TIMEOUT_FRACTION;
 use crate::net::replica::connection::{ReplicaConnection, ReplicaConnectionSetup};
 use crate::net::runtime::Runtime;
 use crate::net::timer_queue::Deadline;
@@ -427,7 +427,7 @@
         .classes
         .iter()
         .map(|class| class.latency_objective_s);
-    pool::doubt_after_s(
+    pool::suspect_after_s(
         objectives.fold(f64::MAX, f64::min),
         runtime.coordinator.slowest_class_p95_s(),
     )
@@ -436,5 +436,5 @@
 /// Returns the time for which a connection may stay unused (seconds): the mixer closes it before the leaf server does, so
 /// that no part is lost on a connection that the leaf server is closing.
 pub(super) fn max_idle_s(runtime: &Runtime) -> f64 {
-    IDLE_SHARE * runtime.deployment.connection_idle_s
+    IDLE_TIMEOUT_FRACTION * runtime.deployment.connection_idle_s
 }
--- a/src/net/replica/sending.rs
+++ b/src/net/replica/sending.rs
@@ -37,7 +37,7 @@
             return Ok(());
         }
         // A delayed event loop first reads what was received in the meantime, because it may forbid the call.
-        if runtime.is_held_up() {
+        if runtime.is_delayed() {
             self.postpone_write(key);
             return Ok(());
         }
@@ -135,7 +135,7 @@
     let server = runtime
         .directory
         .endpoint(replica)
-        .map_or(ServerState::Gone, |endpoint| endpoint.state());
+        .map_or(ServerState::Removed, |endpoint| endpoint.state());
     Destination {
         server,
         drain_grace_s: runtime.deployment.policy.drain_grace_s,
--- a/src/net/runtime.rs
+++ b/src/net/runtime.rs
@@ -26,9 +26,9 @@
     pub(in crate::net) clock: Clock,
     /// The time of this turn of the loop.
     pub(in crate::net) now: f64,
-    pub(in crate::net) turn_began_at: f64,
+    pub(in crate::net) iteration_started_at: f64,
     /// When the loop last looked at its sockets before this turn: whatever it finds now came after that.
-    pub(in crate::net) previous_turn_at: f64,
+    pub(in crate::net) previous_iteration_at: f64,
     pub(in crate::net) timers: TimerQueue,
     pub(in crate::net) log: Log,
     /// For jitter that keeps a fleet out of step.
@@ -45,20 +45,20 @@
 
 impl Runtime {
     /// Whether the loop has been held up since this turn began, so that sockets have not been read since.
-    pub(in crate::net) fn is_held_up(&self) -> bool {
+    pub(in crate::net) fn is_delayed(&self) -> bool {
         self.clock.now() > self.now + MAX_LOOP_DELAY_S
     }
 
     /// Writes a line about the mixer as a whole, within the limit on such lines.
     pub(in crate::net) fn log(&mut self, line: &str) {
         self.log
-            .write(self.now, self.clock.since_start(self.now), line);
+            .write(self.now, self.clock.elapsed_s(self.now), line);
     }
 
     /// Writes a line about one request, which `line` makes where the limit on such lines allows it.
     pub(in crate::net) fn log_request(&mut self, line: impl FnOnce() -> String) {
         self.log
-            .write_request(self.now, self.clock.since_start(self.now), line);
+            .write_request(self.now, self.clock.elapsed_s(self.now), line);
     }
 
     /// Asks the poll to watch a connection, again a little later where the system refuses it.
--- a/src/requests/coordinator.rs
+++ b/src/requests/coordinator.rs
@@ -20,7 +20,7 @@
 use crate::config::Deployment;
 use crate::decisions::api::*;
 use crate::decisions::learned_state::LearnedState;
-use crate::decisions::two_phase::{PhaseStatistics, Phases};
+use crate::decisions::two_phase::{PhaseStatistics, TwoPhasePlanner};
 use crate::requests::attempt::{Attempt, CallQueue};
 use crate::requests::invariants::Invariants;
 use crate::requests::metrics::Metrics;
@@ -38,7 +38,7 @@
 
 /// Returns the length of the pre-check phase of a query (seconds), or `None` if the query has no such phase.
 fn plan_pre_check(
-    phases: &mut Phases,
+    phases: &mut TwoPhasePlanner,
     query_request: &QueryRequest,
     timeout_s: f64,
 ) -> Option<f64> {
@@ -75,7 +75,7 @@
     calls: CallQueue,
     /// Metrics by protocol.
     metrics: [Metrics; 2],
-    phases: Phases,
+    phases: TwoPhasePlanner,
     /// Recorder of attempts that have not been reported to the successor process.
     recorder: AttemptRecorder,
     /// Load of the predecessor process during an upgrade.
@@ -129,7 +129,7 @@
     }
 
     /// Returns the pre-check phases and their metrics, by class.
-    pub fn phases(&self) -> &Phases {
+    pub fn phases(&self) -> &TwoPhasePlanner {
         &self.phases
     }
 
@@ -154,8 +154,8 @@
             return;
         };
         if on {
-            retry_budget.free = 0.0;
-            retry_budget.share = 0.0;
+            retry_budget.min_retries = 0.0;
+            retry_budget.retries_per_accepted = 0.0;
         }
         let unchanged = |count: usize| (0..count).map(Some).collect();
         let classes = unchanged(settings.classes.len());
@@ -208,7 +208,7 @@
 
     /// Returns the number of listed replicas that are currently avoided because they are ejected or slow.
     pub fn avoided_replicas(&self) -> usize {
-        self.decisions.avoided()
+        self.decisions.unavailable_replicas()
     }
 
     /// Returns the 95th percentile latency of the slowest class (seconds).
@@ -279,7 +279,14 @@
         out: &mut Vec<Command>,
     ) {
         let entries = entries.into();
-        self.handle_event(now, Event::List { full, entries }, out);
+        self.handle_event(
+            now,
+            Event::List {
+                is_full: full,
+                entries,
+            },
+            out,
+        );
     }
 
     /// Applies new settings. Open requests keep the class settings with which they were accepted.
@@ -333,7 +340,7 @@
             // The decision module is not notified of a request beyond the limit.
             let answer = FinalAnswer::Rejected {
                 reason: Reason::TooManyOpen,
-                retry_after_s: self.deployment.policy.retry_after_s / 2.0,
+                retry_after_s: self.deployment.policy.max_retry_after_s / 2.0,
             };
             self.finish(now, key, answer, out);
             return key;
@@ -352,7 +359,7 @@
             metrics.client_disconnected += 1;
         }
         self.withdraw_unsent(now, &request, out);
-        self.handle_event(now, Event::ClientLeft(request.query), out);
+        self.handle_event(now, Event::ClientDisconnected(request.query), out);
     }
 
     /// Records the end of an attempt. `value` is the replica's answer for the part, if the part was served.
@@ -384,7 +391,7 @@
                     let query = request.query;
                     let answer = request.failure(Reason::DeadlineExceeded);
                     self.finish(now, key, answer, out);
-                    self.handle_event(now, Event::ClientLeft(query), out);
+                    self.handle_event(now, Event::ClientDisconnected(query), out);
                 }
             }
         }
@@ -439,7 +446,7 @@
             tenant: query_request.tenant,
             deadline,
             parts: query_request.parts.len() as u32,
-            repeat: query_request.is_client_retry,
+            is_repeat: query_request.is_client_retry,
             key: query_request.key,
             pre_check,
         }));
@@ -477,7 +484,7 @@
             }
             self.actions = actions;
         }
-        let max_parts = self.deployment.policy.call_parts.max(1) as usize;
+        let max_parts = self.deployment.policy.max_call_parts.max(1) as usize;
         self.calls.drain(max_parts, |replica, parts| {
             out.push(Command::Call { replica, parts });
         });
@@ -490,7 +497,7 @@
                 part,
                 replica,
                 max_timeout_s,
-                pre_check,
+                is_pre_check: pre_check,
             } => {
                 let dispatch = Dispatch {
                     part,
@@ -501,7 +508,10 @@
                 self.send(now, &dispatch, out);
             }
             Action::Cancel { part, attempt } => self.cancel(now, part, attempt, out),
-            Action::Answer { query, complete } => {
+            Action::Answer {
+                query,
+                is_complete: complete,
+            } => {
                 self.finish_query(now, query, out, |request| request.answer(complete));
             }
             Action::Reject {
--- a/src/requests/invariants.rs
+++ b/src/requests/invariants.rs
@@ -184,7 +184,7 @@
         let latest = now + STALL_ALLOWANCE_S;
         let forbidden = match to.server {
             _ if now >= to.list_until => Some(Invariant::StaleList),
-            ServerState::Gone => Some(Invariant::Drain),
+            ServerState::Removed => Some(Invariant::Drain),
             ServerState::Draining { since } if latest >= since + to.drain_grace_s + TOLERANCE_S => {
                 Some(Invariant::Drain)
             }
@@ -280,7 +280,7 @@
         _ if written_at >= to.list_until + to.drain_grace_s + TOLERANCE_S => {
             Some(Invariant::StaleList)
         }
-        ServerState::Gone => Some(Invariant::Drain),
+        ServerState::Removed => Some(Invariant::Drain),
         ServerState::Draining { since } if written_at >= since + to.drain_grace_s + TOLERANCE_S => {
             Some(Invariant::Drain)
         }
