--- a/src/net/discovery/client.rs
+++ b/src/net/discovery/client.rs
@@ -50,12 +50,12 @@
         }
     }
 
-    /// Address of discovery, if one is configured.
+    /// Returns the address of discovery, if one is configured.
     pub(in crate::net) fn address(&self) -> Option<SocketAddr> {
         self.address
     }
 
-    /// Revision of the list in use, if the list has one.
+    /// Returns the revision of the list in use, if the list has one.
     pub(in crate::net) fn revision(&self) -> Option<u64> {
         self.revision
     }
@@ -65,12 +65,12 @@
         self.revision = revision;
     }
 
-    /// Returns the time until which the list in use may be used.
+    /// Returns the time until which the current list may be used.
     pub(in crate::net) fn list_until(&self, now: f64) -> f64 {
         self.lease.expires_at(now)
     }
 
-    /// Returns whether the list may be used now.
+    /// Returns whether the current list may be used now.
     pub(super) fn is_list_in_force(&self, now: f64) -> bool {
         self.lease.is_in_force(now)
     }
@@ -154,7 +154,7 @@
             .publish(runtime, &self.lease, self.revision);
     }
 
-    /// Returns whether the check of the lease that was scheduled last is due; an earlier check was replaced.
+    /// Returns whether the check of the lease that was scheduled last is due. Timers of earlier schedules are ignored.
     pub(super) fn is_lease_check_due(&self, now: f64) -> bool {
         self.lease_publisher.is_check_due(now)
     }
--- a/src/net/discovery/connection.rs
+++ b/src/net/discovery/connection.rs
@@ -204,7 +204,7 @@
         }
         match reason {
             DiscoveryError::Status(_) => CallEnd::Refused,
-            // The mixer keeps using the last list, as the log says, because no call can deliver this one.
+            // No call can deliver a list above the limit, so no answer counts as missing and the last list stays in use.
             DiscoveryError::ListTooLarge { .. } => CallEnd::Refused,
             _ if self.has_unusable_answer => CallEnd::Refused,
             _ if self.answer_arriving_since().is_some() => CallEnd::CutOff,
--- a/src/net/replica/connection.rs
+++ b/src/net/replica/connection.rs
@@ -26,11 +26,11 @@
 const MAX_RECENT_PARTS: usize = 64;
 /// Maximum number of parts in flight on an HTTP/1.1 connection.
 const MAX_HTTP_PARTS: usize = 1;
-/// Factor on the silence limit for HTTP/1.1, where each request has its own connection and a later request may be answered
-/// sooner.
+/// Factor on the silence limit for HTTP/1.1, where each request in flight has its own connection and a later request may be
+/// answered sooner.
 const HTTP_SILENCE_FACTOR: f64 = 2.0;
 
-/// A part in flight on a connection. After a cancellation the part stays here without its attempt: its answer may still
+/// A part in flight on a connection. After a cancellation the part is kept without its attempt: its answer may still
 /// arrive, and must not be taken for the answer to a later attempt of the same part.
 pub(super) struct PartInFlight {
     pub(super) attempt: Option<AttemptKey>,
@@ -342,7 +342,8 @@
         let _ = self.stream.set_nodelay(true);
     }
 
-    /// Encodes calls that have waited for the connection or the socket again, with the time that is left of their timeouts.
+    /// Encodes waiting calls again with the remaining timeouts of their parts, whether they waited for the connection or
+    /// for the socket.
     pub fn refresh_timeouts(&mut self, now: f64) {
         let setup = self.setup;
         self.queue
--- a/src/net/replica/pool.rs
+++ b/src/net/replica/pool.rs
@@ -1,6 +1,6 @@
 //! The pool of connections to leaf servers: selects the connection for a call, and decides when another one is opened.
-//! `sending.rs` writes, `events.rs` reads and closes. The decision module chooses the leaf server. Nothing new may wait in
-//! a queue for a draining leaf server.
+//! `sending.rs` writes, `events.rs` reads and closes. The decision module chooses the leaf server. Calls to a draining leaf
+//! server are never queued, because they could arrive after its drain grace.
 
 use crate::connections::pool;
 use crate::decisions::api::{Outcome, ReplicaId};
@@ -233,7 +233,7 @@
             self.in_flight.insert(part.attempt, key);
         }
         connection.queue_call(parts, runtime.now);
-        self.flush_or_end(runtime, key, list_until);
+        self.flush_or_close(runtime, key, list_until);
     }
 
     /// Makes room for another connection among `max_connections` by closing, if necessary, the connection that has been
@@ -379,10 +379,10 @@
         };
         // A draining leaf server still receives new calls for a short time, but only if they are written at once: a
         // connection that is being established, or has bytes waiting, could deliver them too late.
-        let can_write_now =
+        let arrives_in_time =
             required.is_ready || (connection.is_connected() && connection.has_nothing_to_send());
         if Some(connection.address()) != required.address
-            || !can_write_now
+            || !arrives_in_time
             || !connection.can_accept(parts, required.max_parts, runtime.now, required.silence_s)
         {
             continue;
@@ -419,7 +419,7 @@
     }
 }
 
-/// Returns the time of silence after which a connection is suspect (seconds).
+/// Returns the duration of silence after which a connection is suspect (seconds).
 pub(super) fn max_silence_s(runtime: &Runtime) -> f64 {
     let objectives = runtime
         .deployment
--- a/src/net/replica/routing.rs
+++ b/src/net/replica/routing.rs
@@ -84,7 +84,7 @@
         for key in self.replicas.take_postponed() {
             let list_until = self.list_until();
             self.replicas
-                .flush_or_end(&mut self.runtime, key, list_until);
+                .flush_or_close(&mut self.runtime, key, list_until);
             self.process_commands();
         }
     }
--- a/src/net/replica/send_queue.rs
+++ b/src/net/replica/send_queue.rs
@@ -174,7 +174,7 @@
         });
     }
 
-    /// Encodes calls that have waited again, with the time that is left of their timeouts.
+    /// Encodes calls that have waited for a while again, with the remaining timeouts of their parts.
     pub(super) fn refresh_timeouts(
         &mut self,
         now: f64,
--- a/src/net/replica/sending.rs
+++ b/src/net/replica/sending.rs
@@ -61,7 +61,7 @@
     }
 
     /// Writes as much as possible now. If the connection has failed, data received before the failure is still processed.
-    pub(super) fn flush_or_end(
+    pub(super) fn flush_or_close(
         &mut self,
         runtime: &mut Runtime,
         key: ConnectionKey,
@@ -89,7 +89,7 @@
         if connection.cancel(attempt, runtime.now, silence_s) {
             return self.drop_connection(runtime, key);
         }
-        self.flush_or_end(runtime, key, list_until);
+        self.flush_or_close(runtime, key, list_until);
     }
 
     /// Withdraws an attempt that no client waits for, where leaf servers accept no cancellations, so that only an attempt
--- a/src/requests/invariants/tests.rs
+++ b/src/requests/invariants/tests.rs
@@ -31,11 +31,11 @@
 #[rstest]
 #[case::ready(ready(), Ok(()))]
 #[case::stale_list(Destination { list_until: NOW, ..ready() }, Err(Invariant::StaleList))]
-#[case::gone(Destination { server: ServerState::Removed, ..ready() }, Err(Invariant::Drain))]
+#[case::removed(Destination { server: ServerState::Removed, ..ready() }, Err(Invariant::Drain))]
 #[case::draining_since_now(draining(NOW), Ok(()))]
 #[case::draining_with_a_possible_stall(draining(NOW - 0.42), Err(Invariant::Drain))]
 #[case::draining_past_its_grace(draining(NOW - 5.0), Err(Invariant::Drain))]
-fn a_destination_is_allowed_unless_stale_gone_or_past_its_drain_grace(
+fn a_destination_is_allowed_unless_stale_removed_or_past_its_drain_grace(
     #[case] to: Destination,
     #[case] expected: Result<(), Invariant>,
 ) {
@@ -64,7 +64,7 @@
 #[case::in_time(NOW, ready(), call(), Ok(()))]
 #[case::within_the_grace(NOW + 0.54, draining(NOW), call(), Ok(()))]
 #[case::after_the_grace(NOW + 0.56, draining(NOW), call(), Err(Invariant::Drain))]
-#[case::gone(NOW, Destination { server: ServerState::Removed, ..ready() }, call(), Err(Invariant::Drain))]
+#[case::removed(NOW, Destination { server: ServerState::Removed, ..ready() }, call(), Err(Invariant::Drain))]
 #[case::long_after_the_lease(NOW + 6.6, ready(), call(), Err(Invariant::StaleList))]
 #[case::beyond_the_window(NOW + 0.2, ready(), CallTimes { send_by: NOW, ..call() }, Err(Invariant::Repeat))]
 #[case::sent_timeout_too_long(NOW, ready(), CallTimes { sent_beyond_client_s: 0.2, ..call() }, Err(Invariant::SentTimeout))]
--- a/src/requests/response.rs
+++ b/src/requests/response.rs
@@ -1,7 +1,8 @@
 //! The final answer of a request, derived from the parts that have been served.
 //!
-//! The rules hold whatever the decision module asks for: an answer is called complete only at or above the class's `need`,
-//! no answer is below the class's floor, and nothing is rejected if something with an effect may have been executed.
+//! The rules hold whatever the decision module asks for: an answer is reported as complete only if the served share reaches
+//! the class's `complete_share`, no answer is below the class's `min_partial_share`, and nothing is rejected if something
+//! with an effect may have been executed.
 
 use crate::decisions::api::{Effect, Outcome};
 use crate::requests::request::Request;
@@ -69,8 +70,8 @@
     }
 
     /// Returns the answer from the parts that have been served. `complete` is the decision module's view: the answer is
-    /// reported as partial if the served share is below what the class needs, and the request fails if the share is below
-    /// the floor of the class.
+    /// reported as partial if the served share is below the class's `complete_share`, and the request fails if the share is
+    /// below its `min_partial_share`.
     pub(super) fn answer(&self, complete: bool) -> FinalAnswer {
         let share = self.served_share();
         let complete = complete && share + WEIGHT_TOLERANCE >= self.class_settings.complete_share;
