--- a/src/net/admin/call.rs
+++ b/src/net/admin/call.rs
@@ -8,7 +8,7 @@
 pub(in crate::net) const UNKNOWN_CALL_REPLY: &str =
     "fail unknown call: STATUS, METRICS, PAUSE or RESUME\n";
 
-/// Call of an operator.
+/// Call of an operator, parsed from its line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::net) enum AdminCall {
     /// Query of the readiness of the mixer.
--- a/src/net/client/connections.rs
+++ b/src/net/client/connections.rs
@@ -335,7 +335,7 @@
             let rule = Invariant::Unanswered;
             runtime.coordinator.invariants_mut().violated(rule);
             runtime.log(&format!(
-                "invariant violated: {}: closed as {} over a request",
+                "invariant violated: {}: client connection closed ({}) before the final answer",
                 rule.label(),
                 reason.label()
             ));
--- a/src/net/client/opensearch/hits.rs
+++ b/src/net/client/opensearch/hits.rs
@@ -16,7 +16,7 @@
     let mut total = 0u64;
     for (part, value) in query_request.parts.iter().zip(values) {
         let Some(text) = value else { continue };
-        match parse_object(text).and_then(take_hits) {
+        match parse_object(text).and_then(extract_hits) {
             Some(PartHits {
                 list,
                 total: reported,
@@ -44,7 +44,6 @@
     ])
 }
 
-/// Hits of one part.
 struct PartHits {
     list: Array,
     /// Total number of matches that the leaf server reports, if any.
@@ -52,7 +51,7 @@
 }
 
 /// Extracts the hits from the value of a part. Returns `None` if the value contains no list of hits.
-fn take_hits(mut answer: Object) -> Option<PartHits> {
+fn extract_hits(mut answer: Object) -> Option<PartHits> {
     let Some(Value::Array(list)) = answer.remove("hits") else {
         return None;
     };
--- a/src/net/client/opensearch/json_value.rs
+++ b/src/net/client/opensearch/json_value.rs
@@ -2,7 +2,6 @@
 
 use miniserde::json::{self, Number, Object, Value};
 
-/// Returns an object with the given members.
 pub(super) fn object<const N: usize>(members: [(&str, Value); N]) -> Value {
     let mut object = Object::new();
     for (key, value) in members {
--- a/src/net/client/opensearch/request.rs
+++ b/src/net/client/opensearch/request.rs
@@ -59,7 +59,6 @@
     Page,
 }
 
-/// Operation on an index.
 #[derive(Clone, Copy)]
 enum Operation<'a> {
     Search,
--- a/src/net/client/reading.rs
+++ b/src/net/client/reading.rs
@@ -119,7 +119,7 @@
             client.state_since = runtime.now;
             self.schedule_deadline(runtime, key);
         }
-        if is_large && !self.fits_memory(runtime, key, conditions) {
+        if is_large && !self.fits_memory_limit(runtime, key, conditions) {
             self.respond_with_error(runtime, key, ConnectionError::TooManyLargeRequests);
             return ControlFlow::Break(());
         }
@@ -144,7 +144,7 @@
 
     /// Returns whether the incomplete requests of all clients fit the memory limit for them. A request that is the only
     /// incomplete one always fits; its size has its own limit in the message reader.
-    fn fits_memory(
+    fn fits_memory_limit(
         &self,
         runtime: &Runtime,
         key: ConnectionKey,
