--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -13,7 +13,7 @@
 
 use crate::net::connection_table::Connection;
 use crate::net::error::NetError;
-use crate::net::event_loop::ACCEPT_AGAIN_S;
+use crate::net::event_loop::ACCEPT_RETRY_S;
 use crate::net::runtime::Runtime;
 use crate::net::socket::listen;
 use crate::net::timer_queue::{Deadline, TIMER_TOLERANCE_S};
@@ -144,7 +144,7 @@
     pub(in crate::net) fn schedule_accept_retry(&self, runtime: &mut Runtime) {
         runtime
             .timers
-            .add(runtime.now + ACCEPT_AGAIN_S, Deadline::AdminAccept);
+            .add(runtime.now + ACCEPT_RETRY_S, Deadline::AdminAccept);
     }
 
     /// Handles a readiness event of a connection. Returns the call once it is complete, after which the caller must call
--- a/src/net/admin/call.rs
+++ b/src/net/admin/call.rs
@@ -43,7 +43,7 @@
         Phase::Starting => "starting",
         Phase::Serving => "serving",
         Phase::Paused => "paused",
-        Phase::Leaving => "handed over",
+        Phase::HandedOver => "handed over",
         Phase::Draining { .. } | Phase::Closing { .. } | Phase::Stopped => "ending",
     }
 }
--- a/src/net/client/routing.rs
+++ b/src/net/client/routing.rs
@@ -10,7 +10,7 @@
 use crate::net::client::pages::Page;
 use crate::net::client::platform;
 use crate::net::client::writing::log_unsuccessful_request;
-use crate::net::event_loop::{Mixer, TurnEvents, ACCEPT_AGAIN_S};
+use crate::net::event_loop::{Mixer, PollEvents, ACCEPT_RETRY_S};
 use crate::net::http::{self, Message, StartLine};
 use crate::net::socket::is_out_of_descriptors;
 use crate::net::timer_queue::Deadline;
@@ -48,7 +48,7 @@
                         self.free_descriptor_after(&error);
                         self.runtime
                             .timers
-                            .add(self.runtime.now + ACCEPT_AGAIN_S, Deadline::Accept);
+                            .add(self.runtime.now + ACCEPT_RETRY_S, Deadline::Accept);
                         return;
                     }
                 },
@@ -155,16 +155,16 @@
             return;
         }
         // The request may have arrived right after the previous poll, so the client may already have waited since then.
-        let read_at = if self.runtime.is_held_up() {
+        let read_at = if self.runtime.is_delayed() {
             self.runtime.clock.now()
         } else {
             self.runtime.now
         };
-        let max_age_s = read_at - self.runtime.previous_turn_at;
+        let max_age_s = read_at - self.runtime.previous_iteration_at;
         let max_timeout_s = read_at - self.runtime.now + query_request.timeout_s;
         query_request.timeout_s = (query_request.timeout_s - max_age_s).max(0.0);
         query_request.timeout_uncertainty_s = max_timeout_s - query_request.timeout_s;
-        self.list_needed();
+        self.renew_lease_for_request();
         self.clients
             .submit(&mut self.runtime, key, query_request, search_context);
     }
@@ -216,7 +216,7 @@
     pub(in crate::net) fn close_idle_clients(&mut self, min_age_s: f64) {
         for key in self.clients.keys(&self.runtime) {
             self.end_if_idle(key, min_age_s);
-            self.settle();
+            self.process_commands();
         }
     }
 
@@ -228,9 +228,9 @@
 
     /// Handles disconnected clients before all other events of the iteration, so that their requests cause no further
     /// attempts even if an attempt is found to have failed in the same iteration. The resulting commands are left to
-    /// [`Mixer::settle`], because cancelling an attempt of one client may send parts that its leaf connection queues for
+    /// [`Mixer::process_commands`], because cancelling an attempt of one client may send parts that its leaf connection queues for
     /// another client.
-    pub(in crate::net) fn handle_client_disconnects(&mut self, events: &TurnEvents) {
+    pub(in crate::net) fn handle_client_disconnects(&mut self, events: &PollEvents) {
         let is_disconnect = |event: &&mio::event::Event| event.is_read_closed() || event.is_error();
         for event in events.iter().filter(is_disconnect) {
             let key = connection_key(event.token());
--- a/src/net/operator_routing.rs
+++ b/src/net/operator_routing.rs
@@ -233,7 +233,7 @@
         match change {
             StoredChange::EndpointList(list) => {
                 // A list from the store has no discovery revision.
-                self.take_list_without_revision(&list);
+                self.apply_list_without_revision(&list);
             }
             StoredChange::Draining(names) => {
                 match names.len() {
@@ -243,7 +243,7 @@
                         .log(&format!("store: draining {count} servers")),
                 }
                 let entries = self.runtime.directory.set_drain_marks(names);
-                self.take_entries(false, entries);
+                self.apply_entries(false, entries);
             }
             StoredChange::Settings(deployment) => {
                 self.runtime.log("store: new settings");
