--- a/src/net/admin/metrics_text.rs
+++ b/src/net/admin/metrics_text.rs
@@ -43,7 +43,7 @@
         self.write_summary(&metrics, &mut out);
         self.write_reasons(&metrics, &mut out);
         write_class_details(&metrics, &mut out);
-        self.write_phases(&mut out);
+        self.write_two_phase_counters(&mut out);
         out
     }
 
@@ -126,7 +126,7 @@
     }
 
     /// Writes the counters of two-phase queries, by class.
-    fn write_phases(&self, out: &mut String) {
+    fn write_two_phase_counters(&self, out: &mut String) {
         for (learned, metrics) in self.coordinator.phases().classes() {
             let group = escaped(&learned.class);
             let queries = [("two", metrics.two_phase), ("one", metrics.one_phase)];
--- a/src/net/client/opensearch/hits.rs
+++ b/src/net/client/opensearch/hits.rs
@@ -18,11 +18,11 @@
         let Some(text) = value else { continue };
         match parse_object(text).and_then(extract_hits) {
             Some(PartHits {
-                list,
-                total: reported,
+                hits: part_hits,
+                total: reported_total,
             }) => {
-                total = total.saturating_add(reported.unwrap_or(list.len() as u64));
-                hits.extend(list);
+                total = total.saturating_add(reported_total.unwrap_or(part_hits.len() as u64));
+                hits.extend(part_hits);
             }
             None => {
                 hits.push(hit_from_text(&context.index, part, text));
@@ -45,14 +45,14 @@
 }
 
 struct PartHits {
-    list: Array,
+    hits: Array,
     /// Total number of matches that the leaf server reports, if any.
     total: Option<u64>,
 }
 
 /// Extracts the hits from the value of a part. Returns `None` if the value contains no list of hits.
 fn extract_hits(mut answer: Object) -> Option<PartHits> {
-    let Some(Value::Array(list)) = answer.remove("hits") else {
+    let Some(Value::Array(hits)) = answer.remove("hits") else {
         return None;
     };
     let total = match answer.get("total") {
@@ -60,7 +60,7 @@
         Some(number) => as_count(number),
         None => None,
     };
-    Some(PartHits { list, total })
+    Some(PartHits { hits, total })
 }
 
 /// Converts a value that is not a list of hits, from a leaf server that uses the frame protocol, to a single hit.
--- a/src/net/client/opensearch/response.rs
+++ b/src/net/client/opensearch/response.rs
@@ -152,12 +152,12 @@
     let body = error_body(429, "rejected_execution_exception", reason, Vec::new());
     // Some clients only parse whole seconds, so the value is rounded up unless that exceeds the maximum.
     let whole_s = retry_after_s.ceil();
-    let sent_s = if whole_s <= max_retry_after_s {
+    let header_value_s = if whole_s <= max_retry_after_s {
         whole_s
     } else {
         retry_after_s
     };
-    let retry_after = (retry_after_s > 0.0).then(|| http::format_seconds(sent_s));
+    let retry_after = (retry_after_s > 0.0).then(|| http::format_seconds(header_value_s));
     envelope.render(429, &body, retry_after)
 }
 
--- a/src/net/client/routing.rs
+++ b/src/net/client/routing.rs
@@ -228,8 +228,8 @@
 
     /// Handles disconnected clients before all other events of the iteration, so that their requests cause no further
     /// attempts even if an attempt is found to have failed in the same iteration. The resulting commands are left to
-    /// [`Mixer::process_commands`], because cancelling an attempt of one client may send parts that its leaf connection queues for
-    /// another client.
+    /// [`Mixer::process_commands`], because cancelling an attempt of one client may send parts that the leaf connection
+    /// queues for another client.
     pub(in crate::net) fn handle_client_disconnects(&mut self, events: &PollEvents) {
         let is_disconnect = |event: &&mio::event::Event| event.is_read_closed() || event.is_error();
         for event in events.iter().filter(is_disconnect) {
