--- a/tests/decisions/partial_answers.rs
+++ b/tests/decisions/partial_answers.rs
@@ -8,8 +8,8 @@
 #[test]
 fn parts_that_a_complete_answer_does_not_need_are_spares() {
     let sample = ClassSettings {
-        need: 0.67,
-        floor: 0.67,
+        complete_share: 0.67,
+        min_partial_share: 0.67,
         ..class()
     };
     let mut driver = Driver::new(settings(sample), &fleet(20));
@@ -26,14 +26,14 @@
     let out = driver.end(spare[0].0, 0, spare[0].1, 0.05, OK);
     assert!(out.contains(&Action::Answer {
         query: QueryId(1),
-        complete: true
+        is_complete: true
     }));
 }
 
 #[test]
 fn a_partial_answer_comes_just_before_the_objective_and_is_not_complete() {
     let partial = ClassSettings {
-        floor: 0.5,
+        min_partial_share: 0.5,
         ..class()
     };
     let mut driver = Driver::new(settings(partial), &[replica(1)]);
@@ -42,15 +42,15 @@
     assert!(driver.pass(0.9).is_empty());
     assert!(driver.pass(0.1).contains(&Action::Answer {
         query: QueryId(1),
-        complete: false
+        is_complete: false
     }));
 }
 
 #[test]
 fn a_second_step_is_fetched_and_answered() {
     let steps = ClassSettings {
-        second_step: 2,
-        floor: 0.4,
+        second_step_parts: 2,
+        min_partial_share: 0.4,
         ..class()
     };
     let mut driver = Driver::new(settings(steps), &fleet(8));
@@ -59,7 +59,7 @@
     }
     let first = Action::Answer {
         query: QueryId(1),
-        complete: true,
+        is_complete: true,
     };
     assert_eq!(
         driver
@@ -90,7 +90,7 @@
 #[test]
 fn a_query_with_partial_answers_goes_without_the_parts_it_cannot_pay() {
     let partial = ClassSettings {
-        floor: 0.8,
+        min_partial_share: 0.8,
         ..class()
     };
     let cells = Settings {
@@ -113,7 +113,7 @@
             .last();
         let answer = [Action::Answer {
             query: QueryId(id),
-            complete: false,
+            is_complete: false,
         }];
         in_part += usize::from(sent.len() == 4 && last.is_some_and(|last| last == answer));
         whole_rejections += usize::from(rejected(&driver.query(200 + id, &[2, 3], 3.0)));
@@ -132,7 +132,7 @@
 #[test]
 fn a_partial_answer_waits_for_parts_in_flight() {
     let partial = ClassSettings {
-        floor: 0.5,
+        min_partial_share: 0.5,
         ..class()
     };
     let mut driver = Driver::new(
@@ -154,7 +154,7 @@
         out,
         [Action::Answer {
             query: QueryId(1),
-            complete: false
+            is_complete: false
         }]
     );
 }
