--- a/src/bin/wharfhub-adapter.rs
+++ b/src/bin/wharfhub-adapter.rs
@@ -1,4 +1,5 @@
-//! Runs the decision module on the simulator's pipe: batches on standard input, replies on standard output.
+//! Runs the decision module for the simulator: reads batches of events from standard input and writes replies with actions to
+//! standard output.
 
 use std::collections::BTreeMap;
 use std::io::{BufReader, BufWriter};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of a client that reads many shards for one query.
+//! A scatter-gather mixer: it sends the parts of a query to leaf servers and returns one answer.
 //!
-//! [`Aggregator`] is told what happens (a query and its parts arrive, an attempt ends, the list of
-//! replicas changes, a timer fires) and says what to do (send a part, answer, refuse, cancel). It does
-//! no I/O, reads no clock and keeps no global state: the caller owns sockets, time and threads.
+//! All decisions are made by [`Aggregator`], a state machine. It is notified of events (a query or a part arrives, an
+//! attempt ends, the list of replicas changes, a timer fires) and returns actions (send a part, answer, reject, cancel).
+//! It does no I/O, reads no clock and has no global state: the caller owns sockets, time and threads.
 //!
 //! ```
 //! use wharfhub::decisions::api::*;
@@ -17,7 +17,7 @@
 //! let replicas = vec![ReplicaEntry { id: ReplicaId(7), ..ReplicaEntry::default() }];
 //! aggregator.handle(0.0, Event::List { full: true, entries: replicas.into() }, &mut actions);
 //!
-//! // A query of one part arrives; its part is sent at once.
+//! // A query with one part arrives, and the part is sent at once.
 //! actions.clear();
 //! let query = NewQuery { id: QueryId(1), number: 0, parts: 1, deadline: 2.0, ..NewQuery::default() };
 //! aggregator.handle(0.0, Event::Query(query), &mut actions);
@@ -25,7 +25,7 @@
 //! aggregator.handle(0.0, Event::Part(part), &mut actions);
 //! assert!(matches!(actions[0], Action::Send { part: PartId(2), replica: ReplicaId(7), .. }));
 //!
-//! // Its answer comes in, and the query is answered whole.
+//! // The part is answered, and the query gets a complete answer.
 //! actions.clear();
 //! let done = AttemptEnd {
 //!     part: PartId(2), attempt: 0, replica: ReplicaId(7), took_s: 0.03, outcome: Outcome::Ok,
@@ -34,8 +34,8 @@
 //! assert_eq!(actions, [Action::Answer { query: QueryId(1), complete: true }]);
 //! ```
 //!
-//! Timers asked for by [`Action::SetTimer`](decisions::api::Action::SetTimer) must come back as
-//! [`Event::Timer`](decisions::api::Event::Timer): everything that depends on time passing hangs on them.
+//! The caller must return each timer set by [`Action::SetTimer`](decisions::api::Action::SetTimer) as an
+//! [`Event::Timer`](decisions::api::Event::Timer), because all timeouts depend on these events.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,4 @@
-//! The command line of the mixer.
-//!
-//! This file owns the sub-commands, where the configuration is, and the pipes of the signals. It must hold no decision and
-//! open no socket to anyone else.
+//! The command line of the mixer: the subcommands, the location of the configuration and the signal handlers.
 
 #![forbid(unsafe_code)]
 
@@ -12,7 +9,7 @@
 use wharfhub::config::{Config, InheritedListener};
 use wharfhub::net::{handover, Mixer, Signals};
 
-/// A scatter-gather mixer: one query in, its parts to the servers that hold them, one answer out.
+/// Scatter-gather mixer: sends the parts of each query to the servers that hold the data and returns one answer.
 #[derive(FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
@@ -27,11 +24,11 @@
     CheckConfig(CheckConfig),
 }
 
-/// serve clients until SIGTERM; SIGHUP rereads the configuration, which LB_CONFIG names
+/// serve clients until SIGTERM; SIGHUP reloads the configuration
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 struct Serve {
-    /// the configuration, in place of LB_CONFIG
+    /// path of the configuration file; the default is LB_CONFIG
     #[argh(option)]
     config: Option<String>,
 }
@@ -41,11 +38,11 @@
 #[argh(subcommand, name = "version")]
 struct Version {}
 
-/// read a configuration and say whether it can be used
+/// check whether a configuration is valid
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check-config")]
 struct CheckConfig {
-    /// the configuration, in place of LB_CONFIG
+    /// path of the configuration file; the default is LB_CONFIG
     #[argh(option)]
     config: Option<String>,
 }
@@ -69,7 +66,7 @@
     }
 }
 
-/// What ends the program, as it is shown to operators.
+/// An error that ends the program, as shown to operators.
 type CommandError = Box<dyn std::error::Error>;
 
 fn configuration_path(path: Option<String>) -> Result<String, CommandError> {
@@ -77,14 +74,14 @@
     path.ok_or_else(|| "no configuration: give --config or LB_CONFIG".into())
 }
 
-/// Reads the configuration, with the variables of the environment in place of its keys.
+/// Reads the configuration file; environment variables override its keys.
 fn read_configuration(path: &str) -> Result<Config, CommandError> {
     let mut config = Config::read(path.as_ref()).map_err(|error| format!("{path}: {error}"))?;
     config.override_by(|name| std::env::var(name).ok());
     Ok(config)
 }
 
-/// Reads all that a start would read, and listens on nothing.
+/// Validates everything that a start would read, without opening a socket.
 fn check_configuration(path: Option<String>) -> Result<(), CommandError> {
     let config = read_configuration(&configuration_path(path)?)?;
     let summary = config.summary();
@@ -93,9 +90,9 @@
     Ok(())
 }
 
-/// Serves clients until the program is to end.
+/// Serves clients until the process has been told to exit.
 fn serve(path: Option<String>) -> Result<(), CommandError> {
-    // Before anything else: a signal that comes early must not end the program.
+    // Signal handlers come first, so that an early signal does not kill the process.
     let (stop, stop_sender) = UnixStream::pair()?;
     let (reload, reload_sender) = UnixStream::pair()?;
     signal_hook::low_level::pipe::register(SIGTERM, stop_sender.try_clone()?)?;
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,11 +1,9 @@
-//! The one clock of the program.
-//!
-//! This file owns what time it is. Nothing else in the program reads a clock: every other file is given the time.
+//! The clock of the program. All other code reads the time through it or receives the time as an argument.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// The one clock, in Unix seconds: monotonic, tied to wall time once, so that a time told twice is twice the same,
-/// and means the same to the process that takes over.
+/// A monotonic clock in Unix seconds. It is aligned with wall time only at its start, so that its readings never go back, and a
+/// process that takes over can compare them with its own.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
@@ -13,7 +11,7 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock.
     pub fn start() -> Clock {
         let wall = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -24,22 +22,22 @@
         }
     }
 
-    /// The time now (seconds).
+    /// Returns the current time (seconds).
     pub fn now(&self) -> f64 {
         self.start_s + self.origin.elapsed().as_secs_f64()
     }
 
-    /// When it was started (seconds).
+    /// Returns the time at which the clock was started (seconds).
     pub fn started_at(&self) -> f64 {
         self.start_s
     }
 
-    /// How long it has run at that time (seconds).
+    /// Returns the time from the start of the clock to `now` (seconds).
     pub fn elapsed_s(&self, now: f64) -> f64 {
         now - self.start_s
     }
 
-    /// A time of this clock as a Unix time in milliseconds.
+    /// Converts a time of this clock to Unix time in milliseconds.
     pub fn unix_ms(&self, now: f64) -> u64 {
         (now * 1000.0).max(0.0) as u64
     }
--- a/src/net/connection_table.rs
+++ b/src/net/connection_table.rs
@@ -1,6 +1,4 @@
-//! The table of connections of every kind: to clients, leaf servers, discovery, peers of the store and operators.
-//!
-//! This file owns which kind a connection is. It must never read or write one itself.
+//! The entries of the connection table: connections to clients, leaf servers, discovery, peers of the store and operators.
 
 use crate::net::admin;
 use crate::net::client::connection::ClientConnection;
@@ -19,7 +17,7 @@
 }
 
 impl Connection {
-    /// Its socket, for the poll.
+    /// Returns the connection's socket, to be registered with the poll.
     pub(super) fn stream_mut(&mut self) -> &mut TcpStream {
         match self {
             Connection::Client(connection) => connection.stream_mut(),
--- a/src/net/error.rs
+++ b/src/net/error.rs
@@ -1,21 +1,21 @@
-//! Why the mixer could not start or go on.
+//! Errors that prevent the mixer from starting or end its event loop.
 
 use std::io;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why the mixer could not start or go on.
+/// An error that prevents the mixer from starting or ends its event loop.
 #[derive(Debug, Error)]
 pub enum NetError {
-    /// The listener could not be opened.
+    /// A listening socket could not be opened.
     #[error("cannot listen on {address}: {error}")]
     Listen {
-        /// Where.
+        /// Address of the socket.
         address: SocketAddr,
-        /// Why.
+        /// Cause of the failure.
         error: io::Error,
     },
-    /// The system refuses what the loop itself needs.
-    #[error("the loop failed: {0}")]
+    /// A system call of the event loop or of its start failed.
+    #[error("event loop failed: {0}")]
     Loop(#[from] io::Error),
 }
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -1,8 +1,5 @@
-//! The event loop: one thread, one poll, every socket.
-//!
-//! This file owns the subsystems and the turn of the loop: it leads socket events and deadlines to the subsystem they belong
-//! to, and carries out the request coordinator's commands. It must never decide about a request, and never block but in its
-//! poll.
+//! The event loop of the mixer: a single thread that polls all sockets, dispatches socket events and deadlines to the
+//! subsystems and executes the commands of the request coordinator. Nothing in an iteration may block except the poll itself.
 
 use crate::config::Options;
 use crate::endpoints::directory::ConnectionKey;
@@ -28,19 +25,19 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Events that one wait of the poll takes at most; others come with the next.
+/// Maximum number of events returned by one poll; further events are returned by the next poll.
 const MAX_EVENTS_PER_POLL: usize = 256;
-/// Where an accept failed for want of descriptors it is tried again after this time (seconds).
+/// Delay before connections are accepted again after an accept failed for lack of descriptors or memory (seconds).
 pub(super) const ACCEPT_RETRY_S: f64 = 0.02;
-/// Of the time after which a replica closes an idle connection, the share after which we do.
+/// Fraction of a replica's idle timeout after which the mixer closes an idle connection.
 pub(super) const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
 
-/// The events of one turn.
+/// The socket events of one iteration of the event loop.
 pub(super) struct PollEvents {
-    /// Of the poll that waited.
+    /// Events of the poll that waited for the next event or deadline.
     waited_for: Events,
-    /// Of a second poll right after it. The process may have been stopped after the first one, and what came meanwhile forbids
-    /// to act for clients that have gone.
+    /// Events of a second poll, made only after a long wait. The process may have been paused after the first poll; events that
+    /// arrived during the pause, such as disconnects of clients, have to be known before any action.
     latest: Events,
 }
 
@@ -52,35 +49,35 @@
         }
     }
 
-    /// All events, those of the first poll first. A socket may be among both.
+    /// Returns all events, those of the first poll first. Both polls may report the same socket.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Event> {
         self.waited_for.iter().chain(self.latest.iter())
     }
 }
 
-/// How the process is told to end, or to read its configuration again.
+/// The pipes by which signals reach the event loop, and the configuration that SIGHUP reloads.
 pub struct Signals {
-    /// Becomes readable when the process is to end.
+    /// Becomes readable when the process has received SIGTERM or SIGINT.
     pub stop: std::os::unix::net::UnixStream,
-    /// Becomes readable when the configuration is to be read again.
+    /// Becomes readable when the process has received SIGHUP.
     pub reload: std::os::unix::net::UnixStream,
-    /// The configuration's file.
+    /// Path of the configuration file.
     pub config_path: PathBuf,
 }
 
-/// An endpoint list that has come into force.
+/// An endpoint list that the mixer has started to use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointListInUse {
-    /// Its version, where it has one.
+    /// Revision of the list, if it has one.
     pub revision: Option<u64>,
-    /// Leaf servers that are known now.
+    /// Number of leaf servers known after the update.
     pub servers: usize,
 }
 
-/// Called with each endpoint list on the loop's thread; it must not block.
+/// Callback that the event loop's thread runs for each new endpoint list; it must not block.
 pub type EndpointListObserver = Box<dyn FnMut(EndpointListInUse)>;
 
-/// The mixer on its sockets: the subsystems, and the loop that leads events to them.
+/// The mixer with its sockets: the subsystems and the event loop that dispatches events to them.
 pub struct Mixer {
     pub(super) runtime: Runtime,
     pub(super) listeners: Listeners,
@@ -96,17 +93,19 @@
 }
 
 impl Mixer {
-    /// Opens the listeners and all that the loop needs. An error says which socket or system call failed.
+    /// Opens the listeners and all other sockets and starts the subsystems. Fails if a socket cannot be opened or a system call
+    /// of the start fails.
     pub fn new(options: Options, signals: Signals) -> Result<Mixer, NetError> {
         startup::start(options, signals)
     }
 
-    /// Calls the observer for each endpoint list that comes into force from now on.
+    /// Registers a callback for each endpoint list that the mixer starts to use from now on.
     pub fn observe_lists(&mut self, observer: EndpointListObserver) {
         self.discovery.observe_lists(observer);
     }
 
-    /// Runs until the process has been told to end and every accepted request has its answer. An error is one of the poll.
+    /// Runs the event loop until the process has been told to exit and its open requests have been answered or their time is
+    /// over. Fails if polling fails.
     pub fn run(&mut self) -> Result<(), NetError> {
         let mut events = PollEvents::with_capacity(MAX_EVENTS_PER_POLL);
         let mut stall_detector = StallDetector::default();
@@ -118,9 +117,9 @@
         Ok(())
     }
 
-    /// Waits for events until the next deadline. Returns when it was over, none where a signal has ended it. The events include
-    /// all that had come by then, but for the last `HELD_UP_S`: what a turn does by the clock must not be later than what it
-    /// knows.
+    /// Waits for events until the next deadline. Returns the time at which the wait ended, or `None` if a signal interrupted
+    /// it. After a long wait the sockets are polled a second time, so that an iteration never acts on events that are older
+    /// than its clock reading by more than the tolerated delay.
     fn await_events(
         &mut self,
         events: &mut PollEvents,
@@ -147,7 +146,7 @@
         Ok(Some(woke_at))
     }
 
-    /// One turn: handles the events, then the deadlines that have come.
+    /// Runs one iteration: handles the events, then the deadlines that have passed.
     fn run_iteration(
         &mut self,
         woke_at: f64,
@@ -155,16 +154,16 @@
         stall_detector: &mut StallDetector,
     ) {
         self.begin_iteration(woke_at, stall_detector);
-        // Operators come first: what clients bring must not keep their replies waiting.
+        // The admin interface is served first, so that client traffic cannot delay its replies.
         self.handle_admin_events(events);
         self.handle_client_disconnects(events);
         let handled = self.receive_from_discovery(events);
-        if let Some(since) = stall_detector.take_stall_start() {
-            let stalled_for_s = self.runtime.now - since;
+        if let Some(stalled_since) = stall_detector.take_stall_start() {
+            let stalled_for_s = self.runtime.now - stalled_since;
             self.runtime.log(&format!(
                 "loop: the process was stalled for up to {stalled_for_s:.3} s"
             ));
-            self.confirm_after_standstill(since);
+            self.confirm_after_standstill(stalled_since);
         }
         self.process_commands();
         self.flush_held_back();
@@ -182,7 +181,7 @@
         self.check_end();
     }
 
-    /// Sets the time of this turn, and notes whether the process stood still during the wait.
+    /// Sets the time of this iteration and records whether the process was stalled during the wait.
     fn begin_iteration(&mut self, woke_at: f64, stall_detector: &mut StallDetector) {
         let runtime = &mut self.runtime;
         runtime.now = woke_at;
@@ -190,13 +189,14 @@
         runtime.iteration_started_at = runtime.now;
         let wake_delay_s = stall_detector.record_wake(runtime.now, runtime.previous_iteration_at);
         if wake_delay_s > lease::HELD_UP_S {
-            // A stop comes at the end of a system call: the poll may have looked before it.
+            // A stop signal takes effect at the end of a system call, so the poll may have collected its events before the
+            // process was stopped. Events of the next iteration may therefore have arrived since the previous one.
             runtime.iteration_started_at = runtime.previous_iteration_at;
         }
     }
 
-    /// Reads the clock for the deadlines of this turn. Where handling the events took long, its deadlines are those that had come
-    /// when it began: others wait until the sockets have been looked at again.
+    /// Reads the clock for the deadlines of this iteration. If handling the events took long, only the deadlines that had
+    /// passed when the iteration started are handled; the others wait until the sockets have been polled again.
     fn advance_to_deadlines(&mut self, woke_at: f64, stall_detector: &mut StallDetector) {
         let now = self.runtime.clock.now();
         stall_detector.record_iteration(now - woke_at, self.runtime.iteration_started_at);
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Leads an event to the subsystem that owns its socket. Those of the admin interface were handled before.
+    /// Dispatches an event to the subsystem that owns its socket. Events of the admin interface have been handled before.
     fn handle_event(&mut self, event: &Event) {
         match event.token() {
             Token(protocol) if protocol < PROTOCOLS.len() => self.accept(PROTOCOLS[protocol]),
@@ -228,13 +228,14 @@
             handover::SUCCESSOR => self.link_event(handover::Side::Successor),
             token => {
                 let is_read_closed = event.is_read_closed();
-                let is_gone = event.is_error() || (is_read_closed && event.is_write_closed());
-                self.connection_event(connection_key(token), is_gone, is_read_closed);
+                let is_closed = event.is_error() || (is_read_closed && event.is_write_closed());
+                self.connection_event(connection_key(token), is_closed, is_read_closed);
             }
         }
     }
 
-    /// Carries out the coordinator's commands, and what they lead to, until none is left.
+    /// Executes the coordinator's commands, including those that result from executing them, and reads the clients that may
+    /// send their next request, until neither is left.
     pub(super) fn process_commands(&mut self) {
         while !self.runtime.commands.is_empty() || self.clients.has_resumed() {
             for key in self.clients.take_resumed() {
@@ -265,7 +266,7 @@
         }
     }
 
-    /// Leads a deadline that has come to the subsystem that set it.
+    /// Dispatches a deadline that has passed to the subsystem that set it.
     fn handle_deadline(&mut self, deadline: Deadline) {
         match deadline {
             Deadline::Coordinator(wake) => {
@@ -294,7 +295,7 @@
     }
 }
 
-/// Polls once. Returns false where a signal has ended the wait.
+/// Polls once. Returns false if a signal interrupted the wait.
 fn poll(
     runtime: &mut Runtime,
     events: &mut Events,
@@ -307,16 +308,16 @@
     }
 }
 
-/// Leads the events and deadlines of connections to the subsystem that owns their kind.
+/// Dispatch of the events and deadlines of connections, by the kind of the connection.
 impl Mixer {
-    fn connection_event(&mut self, key: ConnectionKey, gone: bool, read_closed: bool) {
+    fn connection_event(&mut self, key: ConnectionKey, is_closed: bool, is_read_closed: bool) {
         match self.runtime.connections.get(key) {
-            Some(Connection::Client(_)) => self.client_event(key, gone || read_closed),
+            Some(Connection::Client(_)) => self.client_event(key, is_closed || is_read_closed),
             Some(Connection::Replica(_)) => self.replica_event(key),
             Some(Connection::Discovery(_)) => self.discovery_event(key),
             Some(Connection::Peer(_)) => self.peer_event(key),
-            Some(Connection::Admin(_)) => {} // served before all others
-            None => {}                       // an event for a connection that is closed
+            Some(Connection::Admin(_)) => {} // handled before all other events
+            None => {}                       // the connection was closed earlier in this iteration
         }
     }
 
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -1,14 +1,14 @@
-//! The upgrade under load: a new process, the successor, takes over from the one that runs, its predecessor.
+//! Handover between two processes of one mixer during an upgrade: a new process, the successor, takes over from the running
+//! one, its predecessor.
 //!
-//! The successor connects to the predecessor's rendezvous socket, waits until discovery has answered, and requests the
-//! state. The predecessor stops accepting and sends its state; the successor accepts it; the predecessor commits. From then
-//! on the successor accepts connections, and the predecessor reports its load until it exits. Where a step fails or takes
-//! too long, the predecessor accepts connections again, and the successor retries, and at last starts alone.
+//! The successor connects to the predecessor's rendezvous socket, waits until discovery has answered, and requests the state.
+//! The predecessor stops accepting and sends its state; the successor confirms it; the predecessor commits. From then on the
+//! successor accepts connections, and the predecessor reports its load until it exits. If a step fails or times out, the
+//! predecessor accepts connections again, and the successor retries and finally starts without a handover.
 //!
-//! This file owns the rendezvous socket, the connections of both sides with their stages, and the inherited listener while
-//! nothing is accepted from it. What concerns other subsystems it returns as a `HandoverEvent`. It must never let both
-//! processes accept, never leave the accept queue to a process that has not accepted the state in time, never shut the
-//! inherited listener down, and never wait for the other side without a limit.
+//! At most one of the two processes accepts from the shared listener at any time. Every wait for the other process has a
+//! timeout, so that a process that serves the accept queue is never missing for long. The inherited listener is never shut down,
+//! because the other process shares it. Effects on other subsystems are returned as a `HandoverEvent`.
 
 mod link;
 mod messages;
@@ -37,45 +37,46 @@
 pub(super) const RENDEZVOUS: Token = Token(7);
 pub(super) const PREDECESSOR: Token = Token(8);
 pub(super) const SUCCESSOR: Token = Token(9);
-/// Descriptors that the handover takes of the process's limit.
+/// Number of descriptors of the process's limit that are reserved for the handover.
 pub(super) const RESERVED_DESCRIPTORS: usize = 24;
-/// The successor waits so long for discovery before it requests the state (seconds).
+/// Time that the successor waits for discovery before it requests the state (seconds).
 const LIST_TIMEOUT_S: f64 = 0.8;
-/// The successor waits so long for each message of the predecessor (seconds).
+/// Time that the successor waits for each message of the predecessor (seconds).
 const REPLY_TIMEOUT_S: f64 = 1.5;
-/// After this time in all the successor starts alone (seconds).
+/// Total time after which the successor starts without a handover (seconds).
 const TAKEOVER_TIMEOUT_S: f64 = 4.0;
-/// A connection that failed is retried after this time (seconds).
+/// Delay before a failed connection is retried (seconds).
 const RETRY_DELAY_S: f64 = 0.1;
-/// The predecessor waits so long for the request of the state (seconds).
+/// Time that the predecessor waits for the request of the state (seconds).
 const REQUEST_TIMEOUT_S: f64 = 10.0;
-/// The predecessor waits so long, without accepting connections, until the state is accepted (seconds).
+/// Time that the predecessor waits, without accepting connections, until the successor confirms the state (seconds).
 const ACCEPT_TIMEOUT_S: f64 = 0.7;
 /// Interval of the predecessor's load reports (seconds).
 const LOAD_INTERVAL_S: f64 = 0.02;
-/// The predecessor counts as gone when its load has not come for so long (seconds).
+/// Time without a load report after which the predecessor is considered to have exited (seconds).
 const LOAD_TIMEOUT_S: f64 = 5.0;
-/// The successor may have so many clients and connections to replicas, whatever the predecessor still holds.
+/// Minimum number of connections to clients, and of connections to replicas, that the successor may have regardless of the
+/// predecessor's connections.
 const MIN_CONNECTIONS: usize = 16;
 
-/// The other process of a connection.
+/// The role of the process at the other end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Side {
     Predecessor,
     Successor,
 }
 
-/// Why this process begins to accept connections.
+/// The reason why this process starts to accept connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StartKind {
-    /// There is no predecessor, or none that hands over.
+    /// No predecessor runs, or the handover failed.
     Alone,
-    /// The predecessor has committed.
+    /// The predecessor has committed the handover.
     AfterPredecessor,
 }
 
 impl StartKind {
-    /// The words of the log line.
+    /// Returns the text for the log line.
     pub(super) fn label(self) -> &'static str {
         match self {
             StartKind::Alone => "alone",
@@ -84,21 +85,21 @@
     }
 }
 
-/// What concerns other subsystems.
+/// An event of the handover that other subsystems have to act on.
 pub(super) enum HandoverEvent {
-    /// This process accepts connections from now on.
+    /// This process has to accept connections from now on.
     Start(StartKind),
     /// The successor requests the state: [`Handover::state_line`] and [`Handover::send_state`] follow.
     StateRequested,
-    /// The predecessor has sent its state: [`Handover::inherit`] and [`Handover::accept`] follow.
+    /// The predecessor has sent its state: [`Handover::inherit`] and [`Handover::confirm_state`] follow.
     StateReceived(Box<StateMessage>),
     /// The successor has accepted the state: [`Handover::commit`] follows.
     StateAccepted,
-    /// The successor is gone after it had been sent the state: this process serves on.
+    /// The connection to the successor was lost after the state had been sent: this process serves again.
     SuccessorLost,
 }
 
-/// What discovery adds to the state for a successor.
+/// The part of the state for a successor that comes from the discovery client.
 pub(super) struct DiscoveryFacts {
     pub(super) address: Option<SocketAddr>,
     /// The revision of the list in use.
@@ -106,43 +107,43 @@
     pub(super) lease: HandedLease,
 }
 
-/// How many connections this process may have.
+/// Maximum numbers of connections of this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ConnectionLimits {
     pub(super) clients: usize,
     pub(super) replicas: usize,
 }
 
-/// A connection's stage, and whether its time is over.
+/// The stage of a connection, and whether its timeout has expired.
 #[derive(Clone, Copy)]
-struct StageDue {
+struct StageTimeout {
     stage: Stage,
-    is_over: bool,
+    is_timed_out: bool,
 }
 
-/// What is due, of both connections at one time.
-pub(super) struct HandoverDue {
-    predecessor: Option<StageDue>,
-    successor: Option<StageDue>,
-    is_takeover_over: bool,
+/// The stages of both connections and which timeouts have expired, evaluated at the same time.
+pub(super) struct ExpiredTimeouts {
+    predecessor: Option<StageTimeout>,
+    successor: Option<StageTimeout>,
+    is_takeover_timed_out: bool,
 }
 
-/// The handover of a process that inherited its listener.
+/// The state of the handover, for a process that inherited its listener.
 pub(super) struct Handover {
     path: PathBuf,
     rendezvous: Option<UnixListener>,
-    /// The inherited listener, while nothing is accepted from it.
+    /// The inherited listener while this process does not accept from it.
     listener: Option<TcpListener>,
     predecessor: Option<Link>,
     successor: Option<Link>,
-    /// When this process starts alone, if the predecessor has not committed.
+    /// Time at which this process starts without a handover if the predecessor has not committed.
     takeover_ends_at: f64,
-    /// The connections that the predecessor still has.
+    /// Connections that the predecessor still has, according to its last load report.
     predecessor_connections: ConnectionCounts,
 }
 
 impl Handover {
-    /// A handover that has not begun. An error: the system refuses to make the listener non-blocking.
+    /// Creates the state before the first connection attempt. Fails if the listener cannot be made non-blocking.
     pub(super) fn new(inherited: InheritedListener, now: f64) -> io::Result<Handover> {
         let InheritedListener {
             listener,
@@ -162,7 +163,8 @@
 
     // ---- the successor's side
 
-    /// Connects to a running process, to take over from it. Where nobody listens on the path, this process starts alone.
+    /// Connects to a running process to take over from it. Returns the event to start without a handover if no process listens
+    /// on the path.
     pub(super) fn connect_predecessor(&mut self, runtime: &mut Runtime) -> Option<HandoverEvent> {
         let connected = UnixStream::connect(&self.path).and_then(|mut stream| {
             let both = Interest::READABLE | Interest::WRITABLE;
@@ -172,13 +174,14 @@
         });
         match connected {
             Ok(stream) => {
-                let due = runtime.now + LIST_TIMEOUT_S;
-                self.predecessor = Some(Link::new(stream, Stage::AwaitingList, due));
-                runtime.timers.add(due, Deadline::Handover);
+                let timeout_at = runtime.now + LIST_TIMEOUT_S;
+                self.predecessor = Some(Link::new(stream, Stage::AwaitingList, timeout_at));
+                runtime.timers.add(timeout_at, Deadline::Handover);
                 runtime.log("handover: connected to the running process, taking over from it");
             }
             Err(error) => {
-                // A full backlog passes. Anything else means that nobody is there, or that nobody can be found.
+                // A full backlog is temporary. Any other error means that no process listens on the path, or that it cannot be
+                // reached.
                 let is_busy = error.kind() == io::ErrorKind::WouldBlock;
                 if !is_busy || runtime.now >= self.takeover_ends_at {
                     return Some(HandoverEvent::Start(StartKind::Alone));
@@ -190,20 +193,20 @@
         None
     }
 
-    /// Requests the predecessor's state, if that is the next step: discovery has answered, or its time is over.
+    /// Requests the predecessor's state if that is the next step: discovery has answered, or the wait for it has timed out.
     pub(super) fn request_state(&mut self, runtime: &mut Runtime) -> Option<HandoverEvent> {
         let link = self.predecessor.as_mut()?;
         if link.stage != Stage::AwaitingList {
             return None;
         }
         link.stage = Stage::StateRequested;
-        link.due = runtime.now + REPLY_TIMEOUT_S;
-        runtime.timers.add(link.due, Deadline::Handover);
+        link.timeout_at = runtime.now + REPLY_TIMEOUT_S;
+        runtime.timers.add(link.timeout_at, Deadline::Handover);
         self.send(runtime, Side::Predecessor, REQUEST_LINE)
     }
 
-    /// Takes over what the predecessor has learned and holds. The endpoint list and the lease must be in use before, since
-    /// replicas go by name.
+    /// Takes over the predecessor's learned state and its load. The predecessor's endpoint list and lease must be in use
+    /// before, because the replicas of the learned state are matched by name.
     pub(super) fn inherit(&mut self, runtime: &mut Runtime, state: StateMessage) {
         let names: BTreeMap<u32, String> = state.names.into_iter().collect();
         let mut learned_state = state.learned_state;
@@ -221,14 +224,14 @@
         self.set_predecessor_load(runtime, state.load);
     }
 
-    /// Accepts the predecessor's state.
-    pub(super) fn accept(&mut self, runtime: &mut Runtime) -> Option<HandoverEvent> {
-        let due = runtime.now + REPLY_TIMEOUT_S;
+    /// Confirms to the predecessor that its state was taken over.
+    pub(super) fn confirm_state(&mut self, runtime: &mut Runtime) -> Option<HandoverEvent> {
+        let timeout_at = runtime.now + REPLY_TIMEOUT_S;
         if let Some(link) = &mut self.predecessor {
             link.stage = Stage::StateAccepted;
-            link.due = due;
+            link.timeout_at = timeout_at;
         }
-        runtime.timers.add(due, Deadline::Handover);
+        runtime.timers.add(timeout_at, Deadline::Handover);
         self.send(runtime, Side::Predecessor, ACCEPT_LINE)
     }
 
@@ -241,7 +244,7 @@
         self.predecessor_connections = connections;
     }
 
-    /// Gives the takeover up: the predecessor goes on. The inherited listener is closed here.
+    /// Abandons the takeover: the predecessor continues to serve. Closes this process's copy of the inherited listener.
     pub(super) fn abandon(&mut self) {
         self.predecessor = None;
         self.listener = None;
@@ -249,10 +252,10 @@
 
     // ---- the predecessor's side
 
-    /// Opens the rendezvous socket. A file that is there already is replaced.
+    /// Opens the rendezvous socket. An existing file at its path is replaced.
     pub(super) fn listen_for_successor(&mut self, runtime: &mut Runtime) {
         let fresh = self.path.with_extension("new");
-        let _ = std::fs::remove_file(&fresh); // what a process left that died before the rename
+        let _ = std::fs::remove_file(&fresh); // left over if a process died before the rename
         let bound = UnixListener::bind(&fresh).and_then(|mut rendezvous| {
             let registry = runtime.poll.registry();
             registry.register(&mut rendezvous, RENDEZVOUS, Interest::READABLE)?;
@@ -267,8 +270,9 @@
         }
     }
 
-    /// Accepts a successor from the rendezvous socket, one at a time and none where the process has stopped; others are
-    /// closed and will try again. Returns whether there is a new one, whose messages are then to be received.
+    /// Accepts a successor from the rendezvous socket. At most one is accepted at a time, and none after the process has
+    /// stopped; other connections are closed, and their processes retry. Returns whether a successor was accepted, whose
+    /// messages then have to be received.
     pub(super) fn accept_successor(&mut self, runtime: &mut Runtime, has_stopped: bool) -> bool {
         loop {
             let Some(Ok((mut stream, _))) = self.rendezvous.as_ref().map(UnixListener::accept)
@@ -284,22 +288,23 @@
                 runtime.log(&format!("poll: {error}"));
                 return false;
             }
-            let due = runtime.now + REQUEST_TIMEOUT_S;
-            self.successor = Some(Link::new(stream, Stage::SuccessorConnected, due));
-            runtime.timers.add(due, Deadline::Handover);
+            let timeout_at = runtime.now + REQUEST_TIMEOUT_S;
+            self.successor = Some(Link::new(stream, Stage::SuccessorConnected, timeout_at));
+            runtime.timers.add(timeout_at, Deadline::Handover);
             runtime.log("handover: successor connected");
             return true;
         }
     }
 
-    /// The state line for a successor. Attempts are recorded for it from now on, and the retry budget is the successor's.
+    /// Returns the message with the state for a successor. From now on attempts are recorded for the successor, and the retry
+    /// budget belongs to it.
     pub(super) fn state_line(
         &mut self,
         runtime: &mut Runtime,
         discovery: DiscoveryFacts,
         connections: ConnectionCounts,
     ) -> String {
-        // As it is here, before the retry budget goes over.
+        // Taken before recording starts, which stops the retry budget of this process.
         let learned_state = runtime.coordinator.learned_state();
         runtime
             .coordinator
@@ -319,22 +324,22 @@
         state.to_line()
     }
 
-    /// Sends the state line to the successor. Nothing may be accepted from the listener any more.
+    /// Sends the state to the successor. This process must not accept from the listener any more.
     pub(super) fn send_state(
         &mut self,
         runtime: &mut Runtime,
         state_line: &str,
     ) -> Option<HandoverEvent> {
-        let due = runtime.now + ACCEPT_TIMEOUT_S;
+        let timeout_at = runtime.now + ACCEPT_TIMEOUT_S;
         if let Some(link) = &mut self.successor {
             link.stage = Stage::StateSent;
-            link.due = due;
+            link.timeout_at = timeout_at;
         }
-        runtime.timers.add(due, Deadline::Handover);
+        runtime.timers.add(timeout_at, Deadline::Handover);
         self.send(runtime, Side::Successor, state_line)
     }
 
-    /// Commits: the successor accepts connections from now on.
+    /// Commits the handover: the successor accepts connections from now on.
     pub(super) fn commit(&mut self, runtime: &mut Runtime) -> Option<HandoverEvent> {
         self.rendezvous = None;
         if let Some(link) = &mut self.successor {
@@ -351,18 +356,18 @@
 
     // ---- both sides
 
-    /// Takes the inherited listener, to accept from it.
+    /// Takes the inherited listener in order to accept from it.
     pub(super) fn take_listener(&mut self) -> Option<TcpListener> {
         self.listener.take()
     }
 
-    /// Keeps the inherited listener while nothing is accepted from it. The platform keeps it open, so closing our copy would
-    /// not end the poll's interest in it.
+    /// Keeps the inherited listener open while this process does not accept from it. Other processes hold it open too, so
+    /// closing this copy would not remove it from the poll.
     pub(super) fn keep_listener(&mut self, listener: TcpListener) {
         self.listener = Some(listener);
     }
 
-    /// Whether another process of this mixer runs, with one of the two committed.
+    /// Returns whether another process of this mixer runs and one of the two has committed.
     pub(super) fn has_other_process(&self) -> bool {
         [&self.predecessor, &self.successor]
             .into_iter()
@@ -384,14 +389,14 @@
         }
     }
 
-    /// Writes and reads what the connection takes and has; none without a connection. Each line goes to
+    /// Writes pending data and reads received data. Returns `None` without a connection. The caller passes each line to
     /// [`Handover::handle_line`], then an error to [`Handover::end_link`].
     pub(super) fn receive(&mut self, side: Side) -> Option<Received> {
         self.link(side).map(Link::receive)
     }
 
-    /// Handles one message. After an error the connection is to be ended. A line whose connection has ended meanwhile is
-    /// ignored.
+    /// Handles one message. After an error the caller has to end the connection. A line of a connection that has ended since it
+    /// was received is ignored.
     pub(super) fn handle_line(
         &mut self,
         runtime: &mut Runtime,
@@ -416,13 +421,13 @@
             }
             (Side::Predecessor, Stage::StateAccepted, Message::Commit) => {
                 link.stage = Stage::Committed;
-                link.due = now + LOAD_TIMEOUT_S;
-                runtime.timers.add(link.due, Deadline::Handover);
+                link.timeout_at = now + LOAD_TIMEOUT_S;
+                runtime.timers.add(link.timeout_at, Deadline::Handover);
                 Some(HandoverEvent::Start(StartKind::AfterPredecessor))
             }
             (Side::Predecessor, Stage::Committed, Message::Load { json }) => {
                 let load = LoadMessage::decode(json)?;
-                link.due = now + LOAD_TIMEOUT_S;
+                link.timeout_at = now + LOAD_TIMEOUT_S;
                 self.set_predecessor_load(runtime, load);
                 None
             }
@@ -431,7 +436,7 @@
         Ok(event)
     }
 
-    /// Ends a connection, if there is one.
+    /// Closes the connection to the other process, if there is one, and returns what follows from that.
     pub(super) fn end_link(
         &mut self,
         runtime: &mut Runtime,
@@ -474,42 +479,47 @@
         None
     }
 
-    /// What is due now, for [`Handover::check_predecessor`] and [`Handover::check_successor`].
-    pub(super) fn due(&self, now: f64) -> HandoverDue {
+    /// Returns the expired timeouts for [`Handover::check_predecessor`] and [`Handover::check_successor`].
+    pub(super) fn expired_timeouts(&self, now: f64) -> ExpiredTimeouts {
         let now = now + TIMER_TOLERANCE_S;
-        let stage_due = |link: &Link| StageDue {
+        let stage_timeout = |link: &Link| StageTimeout {
             stage: link.stage,
-            is_over: link.due <= now,
+            is_timed_out: link.timeout_at <= now,
         };
-        HandoverDue {
-            predecessor: self.predecessor.as_ref().map(stage_due),
-            successor: self.successor.as_ref().map(stage_due),
-            is_takeover_over: now >= self.takeover_ends_at,
+        ExpiredTimeouts {
+            predecessor: self.predecessor.as_ref().map(stage_timeout),
+            successor: self.successor.as_ref().map(stage_timeout),
+            is_takeover_timed_out: now >= self.takeover_ends_at,
         }
     }
 
-    /// Continues, retries or gives up the takeover from the predecessor; `is_inheriting` while this process does not accept.
+    /// Continues, retries or abandons the takeover from the predecessor. `is_inheriting` says that this process is still
+    /// waiting for it.
     pub(super) fn check_predecessor(
         &mut self,
         runtime: &mut Runtime,
-        due: &HandoverDue,
+        expired: &ExpiredTimeouts,
         is_inheriting: bool,
     ) -> Option<HandoverEvent> {
-        let Some(StageDue { stage, is_over }) = due.predecessor else {
-            return match (is_inheriting, due.is_takeover_over) {
+        let Some(StageTimeout {
+            stage,
+            is_timed_out,
+        }) = expired.predecessor
+        else {
+            return match (is_inheriting, expired.is_takeover_timed_out) {
                 (true, true) => Some(HandoverEvent::Start(StartKind::Alone)),
                 (true, false) => self.connect_predecessor(runtime),
                 (false, _) => None,
             };
         };
-        match (stage, is_over) {
+        match (stage, is_timed_out) {
             (Stage::AwaitingList, true) => self.request_state(runtime),
             (Stage::StateRequested | Stage::StateAccepted | Stage::Committed, true) => {
                 let reason = HandoverError::PredecessorSilent;
                 self.end_link(runtime, Side::Predecessor, &reason)
             }
             (Stage::Committed, false) => {
-                // Its last load report has put the time off.
+                // The last load report has moved the timeout.
                 let check_at = runtime.now + TIMER_TOLERANCE_S + LOAD_TIMEOUT_S;
                 runtime.timers.add(check_at, Deadline::Handover);
                 None
@@ -518,21 +528,25 @@
         }
     }
 
-    /// Gives up a successor that takes too long, or reports the load to one that serves.
+    /// Closes the connection to a successor that has timed out, or sends a load report to a successor that serves.
     pub(super) fn check_successor(
         &mut self,
         runtime: &mut Runtime,
-        due: &HandoverDue,
+        expired: &ExpiredTimeouts,
         connections: ConnectionCounts,
     ) -> Option<HandoverEvent> {
-        let StageDue { stage, is_over } = due.successor?;
-        match (stage, is_over) {
+        let StageTimeout {
+            stage,
+            is_timed_out,
+        } = expired.successor?;
+        match (stage, is_timed_out) {
             (Stage::SuccessorConnected | Stage::StateSent, true) => {
                 self.end_link(runtime, Side::Successor, &HandoverError::SuccessorSilent)
             }
             (Stage::Committed, _) => {
                 self.schedule_load_report(runtime);
-                // Where the last report has not left yet, the next one comes later and has all that is new.
+                // If the last report has not been written completely, the next one follows later and contains all changes
+                // since.
                 if self.successor.as_ref().is_none_or(Link::has_unsent) {
                     return None;
                 }
@@ -545,20 +559,20 @@
 }
 
 impl ConnectionLimits {
-    /// What the limits of the process leave beside the predecessor's connections.
+    /// Returns the limits of the process minus the predecessor's connections.
     pub(super) fn new(runtime: &Runtime, handover: Option<&Handover>) -> ConnectionLimits {
         let predecessor = handover
             .map(|handover| handover.predecessor_connections)
             .unwrap_or_default();
-        let left = |limit: usize, predecessor: usize| {
+        let remaining = |limit: usize, predecessor: usize| {
             limit
                 .saturating_sub(predecessor)
                 .max(MIN_CONNECTIONS.min(limit))
         };
         let shares = pool::shares(runtime.max_connections, runtime.directory.count());
         ConnectionLimits {
-            clients: left(shares.clients, predecessor.clients),
-            replicas: left(shares.replicas, predecessor.replicas),
+            clients: remaining(shares.clients, predecessor.clients),
+            replicas: remaining(shares.replicas, predecessor.replicas),
         }
     }
 }
--- a/src/net/handover/link.rs
+++ b/src/net/handover/link.rs
@@ -1,30 +1,28 @@
-//! The connection between the two processes of a handover, in lines of text.
-//!
-//! This file owns its socket and buffers, and the bound on a line. It must never know what a line means.
+//! The connection between the two processes of a handover, which carries lines of text.
 
 use super::messages::HandoverError;
 use crate::net::socket::write_available;
 use mio::net::UnixStream;
 use std::io::{self, Read};
 
-/// Longest line (bytes). The state of a mixer that knows 10,000 servers in ten classes takes 22.5 MB.
+/// Maximum length of a line (bytes). The state of a mixer that knows 10,000 servers and ten classes takes 22.5 MB.
 pub(super) const MAX_LINE_BYTES: usize = 48 * 1024 * 1024;
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// How far the handover has come, on one connection.
+/// The stage of the handover on one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
     /// Connected to a predecessor; the state is requested once discovery has answered.
     AwaitingList,
     /// The predecessor's state is requested.
     StateRequested,
-    /// The predecessor's state is accepted.
+    /// The predecessor's state is confirmed; its commit is awaited.
     StateAccepted,
-    /// A successor is connected, and has requested nothing yet.
+    /// A successor is connected and has not requested the state yet.
     SuccessorConnected,
     /// The state is sent to the successor; neither process accepts connections.
     StateSent,
-    /// Committed, on either side: the successor serves, and the predecessor ends what it holds.
+    /// Committed, on either side: the successor serves, and the predecessor finishes its open requests.
     Committed,
 }
 
@@ -32,53 +30,53 @@
 pub(super) struct Link {
     stream: UnixStream,
     pub(super) stage: Stage,
-    /// When the stage ends without a message.
-    pub(super) due: f64,
+    /// Time at which the stage times out if no message is received.
+    pub(super) timeout_at: f64,
     read_buffer: Vec<u8>,
     write_buffer: Vec<u8>,
 }
 
-/// What a connection has brought.
+/// Data received on a connection.
 pub(in crate::net) struct Received {
     /// Complete lines, without their ends.
     pub(in crate::net) lines: Vec<String>,
-    /// Why the connection is over after these lines, if it is.
+    /// Error that ends the connection after these lines, if any.
     pub(in crate::net) result: Result<(), HandoverError>,
 }
 
 impl Link {
-    pub(super) fn new(stream: UnixStream, stage: Stage, due: f64) -> Link {
+    pub(super) fn new(stream: UnixStream, stage: Stage, timeout_at: f64) -> Link {
         Link {
             stream,
             stage,
-            due,
+            timeout_at,
             read_buffer: Vec::new(),
             write_buffer: Vec::new(),
         }
     }
 
-    /// Whether a line has not been written completely.
+    /// Returns whether a line has not been written completely.
     pub(super) fn has_unsent(&self) -> bool {
         !self.write_buffer.is_empty()
     }
 
-    /// Sends a line, now as far as the socket takes it.
+    /// Queues a line and writes as much as the socket accepts.
     pub(super) fn send(&mut self, line: &str) -> Result<(), HandoverError> {
         self.write_buffer.extend_from_slice(line.as_bytes());
         self.flush()
     }
 
-    /// Writes what the socket takes, then reads all that has come.
+    /// Writes as much as the socket accepts, then reads all available data.
     pub(super) fn receive(&mut self) -> Received {
         let flushed = self.flush();
-        let unended = self.read_buffer.len(); // what was here before holds no end of a line
+        let scanned = self.read_buffer.len(); // earlier bytes contain no line end
         let result = self.read().and(flushed);
         let mut lines = Vec::new();
-        let end = self.read_buffer[unended..]
+        let end = self.read_buffer[scanned..]
             .iter()
             .rposition(|byte| *byte == b'\n');
         if let Some(end) = end {
-            let complete: Vec<u8> = self.read_buffer.drain(..=unended + end).collect();
+            let complete: Vec<u8> = self.read_buffer.drain(..=scanned + end).collect();
             lines.extend(String::from_utf8_lossy(&complete).lines().map(String::from));
         }
         Received { lines, result }
@@ -88,7 +86,7 @@
         Ok(write_available(&mut self.stream, &mut self.write_buffer)?)
     }
 
-    /// Reads into the buffer until nothing more is there.
+    /// Reads into the buffer until no more data is available.
     fn read(&mut self) -> Result<(), HandoverError> {
         let mut buffer = [0; READ_BUFFER_BYTES];
         loop {
--- a/src/net/handover/messages.rs
+++ b/src/net/handover/messages.rs
@@ -1,7 +1,5 @@
-//! The messages of the handover, one line each: a keyword, for some followed by a space and JSON.
-//!
-//! This file owns their form on the wire, which is that of all releases: during an upgrade or a rollback the two processes
-//! may be of different ones. It must never decide what follows from a message.
+//! The messages of the handover, one line each: a keyword, for some messages followed by a space and JSON. Successive releases
+//! share this format, because the two processes may run different releases during an upgrade or a rollback.
 
 use crate::decisions::api::{PredecessorLoad, ReplicaLoad, SentAttempt};
 use crate::decisions::learned_state::LearnedState;
@@ -13,30 +11,31 @@
 use std::io;
 use thiserror::Error;
 
-/// From the successor: asks for the predecessor's state.
+/// Request of the successor for the predecessor's state.
 pub(super) const REQUEST_LINE: &str = "want\n";
-/// From the successor: it has the state and is ready to accept.
+/// Confirmation by the successor that it has the state and is ready to accept connections.
 pub(super) const ACCEPT_LINE: &str = "yes\n";
-/// From the predecessor: the successor accepts connections from now on.
+/// Commit by the predecessor: the successor accepts connections from now on.
 pub(super) const COMMIT_LINE: &str = "go\n";
 
-/// Why the connection between the two processes ended. The texts stand in log lines that operators know.
+/// Reason why the connection between the two processes ended. The texts appear in log lines that operators' documentation
+/// quotes.
 #[derive(Debug, Error)]
 pub(in crate::net) enum HandoverError {
-    /// The socket failed, or the other side closed it.
+    /// The socket failed, or the other process closed it.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A line was longer than any message.
-    #[error("a line without end")]
+    /// A line exceeded the maximum length.
+    #[error("line too long")]
     LineTooLong,
     /// The state could not be decoded.
-    #[error("a state that can't be read")]
+    #[error("state cannot be decoded")]
     UnreadableState(#[source] miniserde::Error),
     /// The load could not be decoded.
-    #[error("a load that can't be read")]
+    #[error("load report cannot be decoded")]
     UnreadableLoad(#[source] miniserde::Error),
-    /// A line was no message, or one that does not belong to this stage.
-    #[error("an unexpected message")]
+    /// A line was not a message, or not one of the current stage.
+    #[error("unexpected message")]
     UnexpectedMessage,
     /// The predecessor sent nothing in time.
     #[error("nothing received in time")]
@@ -46,7 +45,7 @@
     SuccessorSilent,
 }
 
-/// A line that was received. Its JSON is decoded only at the stage to which it belongs.
+/// A received message. Its JSON is decoded only if the message belongs to the current stage.
 #[derive(Debug)]
 pub(super) enum Message<'a> {
     Request,
@@ -57,7 +56,7 @@
 }
 
 impl Message<'_> {
-    /// The message that a line is, without its end; none for an unknown keyword.
+    /// Parses a line without its line end. Returns `None` for an unknown keyword.
     pub(super) fn parse(line: &str) -> Option<Message<'_>> {
         let (keyword, json) = line.split_once(' ').unwrap_or((line, ""));
         Some(match keyword {
@@ -71,27 +70,27 @@
     }
 }
 
-/// What the predecessor knows and holds when it stops accepting.
+/// The state of the predecessor at the time at which it stops accepting.
 #[derive(Serialize, Deserialize)]
 pub(in crate::net) struct StateMessage {
-    /// The address of its discovery.
+    /// Address of the predecessor's discovery server.
     pub(in crate::net) discovery: Option<String>,
-    /// Its endpoint list, as JSON in the form of discovery.
+    /// The predecessor's endpoint list, as JSON in discovery's format.
     pub(in crate::net) list: String,
-    /// The names of its replicas by their ids; an array of pairs on the wire.
+    /// Ids and names of the replicas; an array of pairs on the wire.
     pub(super) names: Vec<(u32, String)>,
-    /// The names of the classes by which the learned state goes.
+    /// Names of the classes, in the order in which the learned state lists them.
     pub(super) classes: Vec<String>,
-    /// The names of its tenants, likewise.
+    /// Names of the tenants, in the order in which the learned state lists them.
     pub(super) tenants: Vec<String>,
-    /// Its lease on the list; releases before leases send none.
+    /// Lease on the endpoint list; absent in states of releases without leases.
     pub(in crate::net) lease: Option<HandedLease>,
-    /// What its decision module has learned.
+    /// Learned state of the decision module.
     #[serde(rename = "beliefs")]
     pub(super) learned_state: LearnedState,
-    /// Its load at this time.
+    /// Load at the time at which the state was sent.
     pub(super) load: LoadMessage,
-    /// What it has learned of pre-check phases.
+    /// Learned statistics of pre-check phases.
     pub(super) phases: Option<Vec<PhaseStatistics>>,
 }
 
@@ -105,29 +104,29 @@
     }
 }
 
-/// How many connections a process has.
+/// Numbers of connections of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(in crate::net) struct ConnectionCounts {
     pub(in crate::net) clients: usize,
     pub(in crate::net) replicas: usize,
 }
 
-/// The load of the predecessor, reported until it exits.
+/// The load of the predecessor, which it reports until it exits.
 #[derive(Serialize, Deserialize)]
 pub(super) struct LoadMessage {
-    /// The clients' ids of its open requests.
+    /// Ids that clients gave to the open requests.
     pub(super) ids: Vec<String>,
-    /// Queries and parts that are open.
+    /// Number of open queries and parts.
     pub(super) held: u32,
-    /// Its connections to clients.
+    /// Number of connections to clients.
     pub(super) clients: u32,
-    /// Its connections to replicas.
+    /// Number of connections to replicas.
     #[serde(rename = "leaves")]
     pub(super) replicas: u32,
-    /// Attempts in flight, by the replica's name; an array of pairs on the wire.
+    /// Attempts in flight by the replica's name; an array of pairs on the wire.
     #[serde(rename = "out")]
     pub(super) in_flight: Vec<(String, u32)>,
-    /// Attempts since the last report: the replica's name, then the time and whether it was a retry; arrays on the wire.
+    /// Attempts since the last report: the replica's name, the time, and whether the attempt was a retry; arrays on the wire.
     pub(super) sent: Vec<(String, (f64, bool))>,
 }
 
@@ -140,7 +139,7 @@
         format!("load {}\n", json::to_string(self))
     }
 
-    /// The load of this process. Attempts count as reported from now on.
+    /// Returns the load of this process, and marks the attempts made so far as reported.
     pub(super) fn of(runtime: &mut Runtime, connections: ConnectionCounts) -> LoadMessage {
         let ProcessLoad {
             ids,
@@ -166,7 +165,7 @@
         }
     }
 
-    /// The connections of the process that sent this.
+    /// Returns the numbers of connections of the process that sent this message.
     pub(super) fn connections(&self) -> ConnectionCounts {
         ConnectionCounts {
             clients: self.clients as usize,
@@ -174,7 +173,7 @@
         }
     }
 
-    /// The load in this process' ids. Replicas that are not known here are left out.
+    /// Converts names to the replica ids of this process. Replicas unknown here are left out.
     pub(super) fn into_process_load(self, runtime: &Runtime) -> ProcessLoad {
         let id = |name: &str| runtime.directory.id(name);
         let in_flight = self.in_flight.iter();
--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the handover's lines, which two releases exchange.
+//! Tests of the handover's messages, which processes of two releases exchange.
 
 use super::link::MAX_LINE_BYTES;
 use super::messages::LoadMessage;
@@ -7,7 +7,7 @@
 use crate::decisions::learned_state::{LearnedReplica, LearnedState, TenantQueries};
 use miniserde::json;
 
-/// The state is decoded to what was encoded, the largest numbers too.
+/// The state is decoded to the encoded value, including the largest numbers.
 #[test]
 fn a_learned_state_survives_encoding_and_decoding() {
     let settings = br#"{"categories":[{"name":"a","aimS":1.0,"giveUpS":2.0}]}"#;
@@ -27,7 +27,7 @@
     assert_eq!(learned_state.replicas.len(), 1);
 }
 
-/// The state of a process that knows a fleet's servers is one line within the bound.
+/// The state of a mixer with a whole fleet's servers fits into one line.
 #[rstest::rstest]
 #[case(1025)]
 #[case(5300)]
@@ -71,12 +71,12 @@
     println!("{servers} servers: {} bytes", text.len());
 }
 
-/// A state line and a load line as release dade8db wrote them.
+/// A state message and a load message as written by release dade8db.
 const STATE_OF_DADE8DB: &str =
     include_str!("../../../tests/compatibility/data/handover-state.json");
 const LOAD_OF_DADE8DB: &str = include_str!("../../../tests/compatibility/data/handover-load.json");
 
-/// An upgrade, and a rollback in the middle of one, pass the state between two releases.
+/// An upgrade, or a rollback during one, passes the state between two releases.
 #[test]
 fn lines_of_the_former_release_are_decoded_and_encoded_alike() {
     let state: StateMessage = json::from_str(STATE_OF_DADE8DB).expect("a state that can be read");
@@ -106,7 +106,7 @@
     assert_eq!(state.load.sent[1], ("s2".to_owned(), (111.25, false)));
 }
 
-/// What the former release's state says of a replica.
+/// Checks the values of a replica in the former release's state.
 fn check_replica(learned: &LearnedReplica) {
     let known = &learned.statistics;
     let class = &known.classes[1];
@@ -151,7 +151,7 @@
     );
 }
 
-/// What the former release's state says of the traffic.
+/// Checks the traffic statistics in the former release's state.
 fn check_statistics(learned_state: &LearnedState) {
     let statistics = &learned_state.statistics;
     assert_eq!(
--- a/src/net/lifecycle.rs
+++ b/src/net/lifecycle.rs
@@ -1,7 +1,5 @@
-//! The phases of the process from start to exit: starting, serving, paused, draining, closing.
-//!
-//! This file owns the phase, from when on a response is the last one on its connection, and when idle clients are closed
-//! next. It must never end a connection, and never decide about a request.
+//! The phases of the process from start to exit. This module decides from which time on connections are closed after their
+//! response, and when idle clients are closed; the caller closes the connections.
 
 use crate::net::connection_table::Connection;
 use crate::net::runtime::Runtime;
@@ -10,79 +8,78 @@
 use mio::net::UnixStream;
 use std::io::Read;
 
-/// The exit waits at most this long for a last response to be read (seconds).
+/// Maximum time that the exit waits for a client to read its last response (seconds).
 const LAST_RESPONSE_LINGER_S: f64 = 0.2;
-/// After a pause clients are served as usual for so long: whoever routes clients to this process has to notice first. From
-/// then on a response is the last one on its connection (seconds).
+/// Time after a pause from which client connections are closed after their response (seconds). Until then load balancers notice
+/// that the process is not ready.
 const PAUSE_CLOSE_AFTER_RESPONSE_S: f64 = 0.4;
-/// After this time of a pause idle connections are closed (seconds).
+/// Time after a pause from which idle client connections are closed (seconds).
 const PAUSE_CLOSE_IDLE_S: f64 = 0.7;
-/// Idle connections are closed again at this interval, for clients that still connect (seconds).
+/// Interval at which idle connections are closed again, for clients that still connect (seconds).
 const CLOSE_IDLE_INTERVAL_S: f64 = 0.2;
-/// While paused, a client that connected within this time may be about to send a request, and is not closed (seconds).
+/// While paused, a client that connected within this time is not closed, because it may be about to send a request (seconds).
 const FRESH_CLIENT_S: f64 = CLOSE_IDLE_INTERVAL_S / 2.0;
-/// Responses are the last ones on their connections for this last share of the time for which clients are served after
-/// SIGTERM.
+/// Last fraction of the drain time after SIGTERM in which connections are closed after their response.
 const CLOSE_AFTER_RESPONSE_FRACTION: f64 = 0.2;
-/// After the listeners are closed, requests are awaited for the longest deadline of a class, and at least for this time
-/// (seconds).
+/// Minimum time for which open requests may finish after the listeners are closed (seconds); a longer deadline of a class
+/// extends it.
 const MIN_CLOSING_S: f64 = 3.0;
 
-/// The phases from start to exit.
+/// A phase between the start and the exit of the process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Phase {
-    /// A predecessor still serves, and is to hand over: not ready, not accepting.
+    /// A predecessor still serves and has to hand over first: not ready, not accepting.
     Inheriting,
-    /// No endpoint list may be acted on yet: not ready, but accepting.
+    /// There is no usable endpoint list yet: not ready, but accepting.
     Starting,
-    /// Ready.
+    /// Ready and accepting.
     Serving,
-    /// The operators have had clients sent to other mixers: not ready, still accepting.
+    /// Paused by operators, who want clients to be routed to other mixers: not ready, but still accepting.
     Paused,
-    /// A successor has taken over: not accepting, closing connections with their responses until SIGTERM.
+    /// A successor has taken over: not accepting, connections are closed after their response until SIGTERM.
     HandedOver,
-    /// After SIGTERM: not ready, still accepting until that time.
+    /// SIGTERM was received: not ready, but accepting until the given time.
     Draining { until: f64 },
-    /// The listeners are closed; open requests are answered until none is left, or that time.
+    /// The listeners are closed; open requests are answered until none is left or the given time has passed.
     Closing { until: f64 },
-    /// The event loop ends.
+    /// The event loop has to return.
     Stopped,
 }
 
-/// What is to be done as a deadline of the present phase has passed.
+/// Action due after a deadline of the current phase.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum PhaseAction {
     /// Close the listeners; [`Lifecycle::begin_closing`] follows.
     CloseListeners,
-    /// Close idle clients but those that connected within the last `fresh_s` (seconds);
-    /// [`Lifecycle::schedule_close_idle`] follows.
+    /// Close idle clients except those that connected within the last `fresh_s` (seconds); [`Lifecycle::schedule_close_idle`]
+    /// follows.
     CloseIdle { fresh_s: f64 },
 }
 
-/// What is to be done on SIGTERM.
+/// Action required by SIGTERM or SIGINT.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StopAction {
-    /// Nothing more than has been done: the process ends already, or goes on serving for a while.
+    /// No further action: the process is exiting already, or serves until the end of its drain time.
     None,
-    /// Another process serves, or is to: give a takeover up and close the listeners at once.
+    /// Another process serves or is about to: abandon a takeover and close the listeners at once.
     CloseListeners,
 }
 
-/// Where the process is between start and exit.
+/// The state machine of the process between start and exit.
 pub(super) struct Lifecycle {
     phase: Phase,
-    /// When idle clients are closed next, in phases that close them.
+    /// Time at which idle clients are closed next, in phases that close them.
     next_idle_close_at: f64,
-    /// From then on a response is the last one on its connection.
+    /// Time from which connections are closed after their response.
     close_after_response_at: f64,
-    /// After SIGTERM clients are served for so long before the listeners close (seconds).
+    /// Time between SIGTERM and the closing of the listeners (seconds).
     drain_s: f64,
     /// Becomes readable on SIGTERM and SIGINT.
     signals: UnixStream,
 }
 
 impl Lifecycle {
-    /// A process that starts.
+    /// Creates the state of a process that starts.
     pub(super) fn new(signals: UnixStream, drain_s: f64) -> Lifecycle {
         Lifecycle {
             phase: Phase::Starting,
@@ -93,17 +90,17 @@
         }
     }
 
-    /// The present phase.
+    /// Returns the current phase.
     pub(super) fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Whether the operators and the platform may count on this process for new clients.
+    /// Returns whether load balancers should send new clients to this process.
     pub(super) fn is_ready(&self) -> bool {
         self.phase == Phase::Serving
     }
 
-    /// Whether the process is on its way to its exit.
+    /// Returns whether the process is shutting down or has handed over.
     pub(super) fn is_ending(&self) -> bool {
         !matches!(
             self.phase,
@@ -111,30 +108,31 @@
         )
     }
 
-    /// Whether a response is the last one on its connection by the phase. After SIGTERM that is so only near the end: clients
-    /// that are closed before another mixer is ready would have nowhere to go.
+    /// Returns whether the current phase requires that connections are closed after their response. After SIGTERM this is so
+    /// only near the end of the drain time: clients that are closed before another mixer is ready would have nowhere to
+    /// connect.
     pub(super) fn closes_after_response(&self, now: f64) -> bool {
         now >= self.close_after_response_at
     }
 
-    /// Waits for a predecessor to hand over.
+    /// Enters the phase in which the process waits for a predecessor to hand over.
     pub(super) fn begin_inheriting(&mut self) {
         self.phase = Phase::Inheriting;
     }
 
-    /// Begins to serve as soon as there is an endpoint list, after a predecessor or alone.
+    /// Enters the phase in which the process accepts clients and waits for a usable endpoint list, after a handover or without
+    /// one.
     pub(super) fn begin_starting(&mut self) {
         self.phase = Phase::Starting;
     }
 
-    /// There is an endpoint list that may be acted on: ready.
+    /// Becomes ready; called as soon as there is a usable endpoint list.
     pub(super) fn begin_serving(&mut self) {
         self.phase = Phase::Serving;
     }
 
-    /// The operators pause this process: not ready from now on. Whoever routes clients here sends no new ones once it has
-    /// noticed; until then clients are served as usual, for those that were closed too early would come back the same way.
-    /// Returns whether the phase allows it.
+    /// Pauses the process: not ready from now on. Clients are served as usual until load balancers have noticed, since a client
+    /// that is closed earlier would be routed here again. Returns false if the current phase cannot be paused.
     pub(super) fn pause(&mut self, runtime: &mut Runtime) -> bool {
         if !matches!(self.phase, Phase::Starting | Phase::Serving) {
             return false;
@@ -146,7 +144,7 @@
         true
     }
 
-    /// The operators resume a process that was paused. Returns whether it was.
+    /// Resumes a paused process. Returns false if it was not paused.
     pub(super) fn resume(&mut self) -> bool {
         if self.phase != Phase::Paused {
             return false;
@@ -156,20 +154,21 @@
         true
     }
 
-    /// A successor serves: clients are closed with their responses, idle ones at once. Not for a process that has had SIGTERM.
+    /// Enters the phase after a handover: connections are closed after their response, idle ones at once. Must not be called
+    /// after SIGTERM.
     pub(super) fn begin_handed_over(&mut self, runtime: &mut Runtime) {
         self.phase = Phase::HandedOver;
         self.close_after_response_at = runtime.now;
         self.set_next_idle_close(runtime.now, runtime);
     }
 
-    /// A successor is gone: this process starts to serve again.
+    /// Returns to the starting phase after the successor was lost.
     pub(super) fn resume_from_handed_over(&mut self) {
         self.phase = Phase::Starting;
         self.close_after_response_at = f64::MAX;
     }
 
-    /// SIGTERM has come.
+    /// Handles SIGTERM or SIGINT. Returns the action that the caller has to take.
     pub(super) fn stop(&mut self, runtime: &mut Runtime) -> StopAction {
         let mut buffer = [0; 64];
         while matches!(self.signals.read(&mut buffer), Ok(count) if count > 0) {}
@@ -188,7 +187,7 @@
         StopAction::None
     }
 
-    /// The listeners are closed: open requests are answered, for at most the longest deadline of a class.
+    /// Enters the closing phase, in which open requests are answered for at most the longest deadline of a class.
     pub(super) fn begin_closing(&mut self, runtime: &mut Runtime) {
         let classes = runtime.deployment.policy.classes.iter();
         let deadlines_s = classes.map(|class| class.deadline_s);
@@ -198,12 +197,12 @@
         runtime.timers.add(until, Deadline::Phase);
     }
 
-    /// What is due in the present phase, if anything is.
+    /// Returns the action that is due in the current phase, if any.
     pub(super) fn due(&self, now: f64) -> Option<PhaseAction> {
         let now = now + TIMER_TOLERANCE_S;
         match self.phase {
             Phase::Draining { until } if now >= until => Some(PhaseAction::CloseListeners),
-            // Of several timers, set by pauses in a row, only the latest counts.
+            // Repeated pauses set several timers, of which only the latest counts.
             Phase::Paused if now >= self.next_idle_close_at => Some(PhaseAction::CloseIdle {
                 fresh_s: FRESH_CLIENT_S,
             }),
@@ -214,7 +213,7 @@
         }
     }
 
-    /// Idle clients have been closed: sets the time of the next round.
+    /// Sets the next time at which idle clients are closed.
     pub(super) fn schedule_close_idle(&mut self, runtime: &mut Runtime) {
         self.set_next_idle_close(runtime.now + CLOSE_IDLE_INTERVAL_S, runtime);
     }
@@ -224,8 +223,8 @@
         runtime.timers.add(at, Deadline::Phase);
     }
 
-    /// Stops the process when, in its last phase, no client awaits a response any more or the time is over. To be called at
-    /// the end of each turn of the loop.
+    /// Stops the event loop once, in the closing phase, no client awaits a response or the time is over. Must be called at the
+    /// end of each iteration.
     pub(super) fn check_end(&mut self, runtime: &mut Runtime) {
         let Phase::Closing { until } = self.phase else {
             return;
@@ -246,7 +245,7 @@
     }
 }
 
-/// Requests that are open when the process ends get no answer: each violates an invariant.
+/// Records a violated invariant for each request that is open when the process exits, since it gets no answer.
 fn check_unanswered(runtime: &mut Runtime) {
     let unanswered = runtime.coordinator.open_requests();
     for _ in 0..unanswered {
--- a/src/net/lifecycle_routing.rs
+++ b/src/net/lifecycle_routing.rs
@@ -1,6 +1,5 @@
-//! Leads events between the lifecycle, the listeners and the handover, and between these and the other subsystems.
-//!
-//! This file owns no state. A method calls one subsystem, and carries out what it returns on the others, in that order.
+//! Connects the lifecycle, the listeners and the handover with each other and with the other subsystems. Each method calls one
+//! subsystem and carries out on the others what it returns.
 
 use crate::config::InheritedListener;
 use crate::net::error::NetError;
@@ -18,23 +17,23 @@
 // ---- lifecycle
 
 impl Mixer {
-    /// Whether the process is on its way to its exit.
+    /// Returns whether the process is shutting down or has handed over.
     pub(super) fn is_ending(&self) -> bool {
         self.lifecycle.is_ending()
     }
 
-    /// Whether the operators and the platform may count on this process for new clients.
+    /// Returns whether load balancers should send new clients to this process.
     pub(super) fn is_ready(&self) -> bool {
         self.lifecycle.is_ready()
     }
 
-    /// Whether a response is the last one on its connection: by the phase, or because there are so many clients that the next
-    /// one could open no connection if each kept its own.
+    /// Returns whether a connection is closed after its response: because of the current phase, or because there are so many
+    /// clients that new ones could not connect if each kept its connection.
     pub(super) fn closes_after_response(&self) -> bool {
         self.lifecycle.closes_after_response(self.runtime.now) || self.clients.is_crowded()
     }
 
-    /// Checks the invariant of each start: clients may be served by the list in use.
+    /// Checks the invariant that clients are served only with an endpoint list that may be used.
     pub(super) fn may_serve(&mut self) -> bool {
         let now = self.runtime.now;
         let list_until = self.discovery.list_until(now);
@@ -42,14 +41,14 @@
         invariants.check_start(now, list_until).is_ok()
     }
 
-    /// The operators pause this process.
+    /// Pauses the process on request of an operator.
     pub(super) fn pause(&mut self) {
         if self.lifecycle.pause(&mut self.runtime) {
             self.handle_vrrp_event(VrrpEvent::Shutdown);
         }
     }
 
-    /// The operators resume this process.
+    /// Resumes the process on request of an operator.
     pub(super) fn resume(&mut self) {
         if self.lifecycle.resume() {
             self.check_readiness();
@@ -58,7 +57,7 @@
         }
     }
 
-    /// SIGTERM or SIGINT has come.
+    /// Handles SIGTERM or SIGINT.
     pub(super) fn stop_requested(&mut self) {
         match self.lifecycle.stop(&mut self.runtime) {
             StopAction::None => {}
@@ -71,7 +70,7 @@
         }
     }
 
-    /// A deadline of the present phase has passed.
+    /// Carries out the action that is due in the current phase, if any.
     pub(super) fn phase_due(&mut self) {
         match self.lifecycle.due(self.runtime.now) {
             Some(PhaseAction::CloseListeners) => self.close_listener(),
@@ -83,7 +82,7 @@
         }
     }
 
-    /// Stops the loop when all that was open is answered, or the time for it is over.
+    /// Stops the event loop if the process is closing and all requests are answered or the time for them is over.
     pub(super) fn check_end(&mut self) {
         self.lifecycle.check_end(&mut self.runtime);
     }
@@ -97,8 +96,8 @@
         self.listeners.log(&mut self.runtime);
     }
 
-    /// Listens for clients, where this process is the one to do so: Active, where VRRP is set up, not ending and not waiting
-    /// for a predecessor. Again a little later where that is not possible yet.
+    /// Opens the listeners for clients unless VRRP is in use and this router is not Active, a predecessor has yet to hand over,
+    /// or the process is shutting down. A failed attempt is repeated after a delay.
     pub(super) fn open_listeners(&mut self) {
         let vrrp = self.vrrp.as_ref();
         let is_passive = vrrp.is_some_and(|vrrp| vrrp.state() != VrrpState::Active);
@@ -108,15 +107,16 @@
         }
     }
 
-    /// No longer Active by VRRP: accepted requests are answered, and then their connections closed.
+    /// Closes the listeners when this router is no longer Active. Accepted requests are answered, then their connections are
+    /// closed.
     pub(super) fn close_listeners_by_vrrp(&mut self) {
         self.accept_all();
         self.listeners.close();
         self.clients.end_all_after_response(&mut self.runtime);
     }
 
-    /// Empties the accept queues, closes the listeners and idle clients. An inherited listener stays open with its queue for
-    /// the next process.
+    /// Accepts all queued connections, then closes the listeners and idle clients. An inherited listener stays open, with its
+    /// queue, for the next process.
     pub(super) fn close_listener(&mut self) {
         self.release_inherited_listener();
         self.accept_all();
@@ -130,21 +130,21 @@
         ));
     }
 
-    /// Accepts what waits in the accept queues.
+    /// Accepts all connections in the accept queues.
     fn accept_all(&mut self) {
         for protocol in PROTOCOLS {
             self.accept(protocol);
         }
     }
 
-    /// Begins to accept from the inherited listener.
+    /// Starts to accept from the inherited listener.
     fn adopt_inherited_listener(&mut self) {
         let listener = self.handover.as_mut().and_then(Handover::take_listener);
         let Some(listener) = listener else {
             return;
         };
         self.listeners.adopt(listener, &mut self.runtime);
-        // The poll may not report what waits in the queue already.
+        // The poll may not report connections that are already in the queue.
         self.accept(Protocol::Platform);
     }
 
@@ -162,7 +162,7 @@
 // ---- handover
 
 impl Mixer {
-    /// Takes over from a process that runs, or starts alone on the inherited listener.
+    /// Starts the takeover from a running process, or serves without one on the inherited listener.
     pub(super) fn set_up_handover(&mut self, inherited: InheritedListener) -> Result<(), NetError> {
         let handover = Handover::new(inherited, self.runtime.now)?;
         let handover = self.handover.insert(handover);
@@ -171,7 +171,7 @@
         Ok(())
     }
 
-    /// Discovery has answered: requests the predecessor's state, if that is the next step.
+    /// Requests the predecessor's state if that is the next step; called after discovery has answered.
     pub(super) fn request_predecessor_state(&mut self) {
         if let Some(handover) = &mut self.handover {
             let event = handover.request_state(&mut self.runtime);
@@ -179,18 +179,18 @@
         }
     }
 
-    /// How many connections this process may have, beside those of a predecessor.
+    /// Returns how many connections this process may have in addition to those of a predecessor.
     pub(super) fn connection_limits(&self) -> ConnectionLimits {
         ConnectionLimits::new(&self.runtime, self.handover.as_ref())
     }
 
-    /// Whether another process of this mixer runs beside this one, which shares its memory limit.
+    /// Returns whether another process of this mixer runs at the same time and shares its memory limit.
     pub(super) fn has_other_process(&self) -> bool {
         let handover = self.handover.as_ref();
         handover.is_some_and(Handover::has_other_process)
     }
 
-    /// Successors have connected to the rendezvous socket.
+    /// Accepts successors that have connected to the rendezvous socket.
     pub(super) fn rendezvous_event(&mut self) {
         while let Some(handover) = &mut self.handover {
             let has_stopped = self.lifecycle.phase() == Phase::Stopped;
@@ -201,7 +201,7 @@
         }
     }
 
-    /// The connection to the predecessor or the successor can be read or written.
+    /// Reads and writes the connection to the predecessor or the successor and handles the received messages.
     pub(super) fn link_event(&mut self, side: Side) {
         let received = self
             .handover
@@ -235,18 +235,18 @@
         }
     }
 
-    /// A deadline of the handover has passed; both connections are judged by the state before either is acted on.
+    /// Handles a deadline of the handover. The deadlines of both connections are evaluated before either is acted on.
     pub(super) fn handover_due(&mut self) {
         let Some(handover) = &mut self.handover else {
             return;
         };
-        let due = handover.due(self.runtime.now);
+        let expired = handover.expired_timeouts(self.runtime.now);
         let is_inheriting = self.lifecycle.phase() == Phase::Inheriting;
-        let event = handover.check_predecessor(&mut self.runtime, &due, is_inheriting);
+        let event = handover.check_predecessor(&mut self.runtime, &expired, is_inheriting);
         self.route_handover(event);
         let connections = self.connection_counts();
         if let Some(handover) = &mut self.handover {
-            let event = handover.check_successor(&mut self.runtime, &due, connections);
+            let event = handover.check_successor(&mut self.runtime, &expired, connections);
             self.route_handover(event);
         }
     }
@@ -262,7 +262,7 @@
         }
     }
 
-    /// Accepts clients from now on, and a successor.
+    /// Starts to accept clients and a successor.
     fn start_serving(&mut self, kind: StartKind) {
         self.lifecycle.begin_starting();
         let line = format!("handover: starting {}", kind.label());
@@ -279,7 +279,7 @@
         }
     }
 
-    /// Sends the state to the successor, and stops accepting from the inherited listener before that.
+    /// Stops accepting from the inherited listener, then sends the state to the successor.
     fn send_state_to_successor(&mut self) {
         let connections = self.connection_counts();
         let facts = DiscoveryFacts {
@@ -305,7 +305,7 @@
         }
     }
 
-    /// Takes over the predecessor's state, and accepts it.
+    /// Takes over the predecessor's state and confirms that to the predecessor.
     fn inherit_state(&mut self, state: StateMessage) {
         self.inherit_list(&state);
         if let Some(lease) = state.lease {
@@ -315,13 +315,14 @@
         }
         if let Some(handover) = &mut self.handover {
             handover.inherit(&mut self.runtime, state);
-            let event = handover.accept(&mut self.runtime);
+            let event = handover.confirm_state(&mut self.runtime);
             self.route_handover(event);
         }
     }
 
-    /// Of two revisions of a list the later one is used. Revisions of another discovery mean nothing to this one: such a list
-    /// is used only where there is none, and without its revision.
+    /// Uses the predecessor's endpoint list if its revision is later than that of the own list. Revisions of different
+    /// discovery servers are not comparable: a list from another one is used only if there is no list yet, and without its
+    /// revision.
     fn inherit_list(&mut self, state: &StateMessage) {
         let Ok(list) = json::from_str(&state.list) else {
             return;
@@ -336,7 +337,8 @@
         }
     }
 
-    /// Commits: the successor accepts clients from now on; here connections are closed with their responses.
+    /// Commits the handover: the successor accepts clients from now on, and this process closes its connections after their
+    /// response.
     fn commit_handover(&mut self) {
         let Some(handover) = &mut self.handover else {
             return;
@@ -358,7 +360,7 @@
         }
     }
 
-    /// The successor is gone: this process serves on.
+    /// Serves again after the connection to the successor was lost.
     fn resume_after_successor_loss(&mut self) {
         match self.lifecycle.phase() {
             Phase::Closing { .. } | Phase::Stopped => return,
--- a/src/net/listeners.rs
+++ b/src/net/listeners.rs
@@ -1,7 +1,4 @@
-//! The listening sockets of both protocols.
-//!
-//! This file owns them and their addresses. It must never accept a connection, and never decide when a socket is opened or
-//! closed.
+//! The listening sockets of both protocols. The caller decides when sockets are opened and closed, and accepts from them.
 
 use crate::net::runtime::Runtime;
 use crate::net::timer_queue::Deadline;
@@ -12,18 +9,18 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Where an address cannot be listened on yet, such as the virtual one of VRRP, it is retried after this time (seconds).
+/// Delay before opening a listener is retried (seconds). An address may not be available yet, such as the virtual one of VRRP.
 const BIND_RETRY_S: f64 = 0.1;
 
 /// The listening sockets, by protocol.
 pub(super) struct Listeners {
     open: [Option<TcpListener>; 2],
-    /// Where to listen; none for a front that is off, and for a listener that is inherited.
+    /// Address of each listener; `None` for a protocol that is off and for an inherited listener.
     addresses: [Option<SocketAddr>; 2],
 }
 
 impl Listeners {
-    /// The sockets that are open already, and where to listen; both by protocol.
+    /// Creates the listeners from the sockets that are already open and the addresses to listen on, both indexed by protocol.
     pub(super) fn new(
         open: [Option<TcpListener>; 2],
         addresses: [Option<SocketAddr>; 2],
@@ -31,12 +28,12 @@
         Listeners { open, addresses }
     }
 
-    /// The socket of a protocol, while it is open.
+    /// Returns the socket of a protocol if it is open.
     pub(super) fn get(&self, protocol: Protocol) -> Option<&TcpListener> {
         self.open[protocol as usize].as_ref()
     }
 
-    /// Writes the address of each open socket to the log.
+    /// Logs the address of each open socket.
     pub(super) fn log(&self, runtime: &mut Runtime) {
         for (protocol, suffix) in PROTOCOLS.into_iter().zip(["", ", search API"]) {
             if let Some(Ok(address)) = self.get(protocol).map(TcpListener::local_addr) {
@@ -48,7 +45,7 @@
         }
     }
 
-    /// Opens the sockets that are not open; again a little later where that is not possible yet.
+    /// Opens the sockets that are not open. A failed attempt is logged and repeated after a delay.
     pub(super) fn open(&mut self, runtime: &mut Runtime) {
         let mut is_any_new = false;
         for protocol in PROTOCOLS {
@@ -73,12 +70,12 @@
         }
     }
 
-    /// Closes all. What waits in the accept queue of a socket that no other process holds is reset by the system.
+    /// Closes all sockets. The system resets the connections in the accept queue of a socket that no other process holds.
     pub(super) fn close(&mut self) {
         self.open = [None, None];
     }
 
-    /// Begins to watch the platform's inherited listener.
+    /// Registers the inherited listener of the platform protocol with the poll.
     pub(super) fn adopt(&mut self, mut listener: TcpListener, runtime: &mut Runtime) {
         let token = LISTENERS[Protocol::Platform as usize];
         let registry = runtime.poll.registry();
@@ -89,7 +86,7 @@
         self.log(runtime);
     }
 
-    /// Stops watching the platform's listener, and returns it open with its accept queue as it is.
+    /// Removes the platform protocol's listener from the poll and returns it, open and with its accept queue.
     pub(super) fn release(&mut self, runtime: &Runtime) -> Option<TcpListener> {
         let mut listener = self.open[Protocol::Platform as usize].take()?;
         let _ = runtime.poll.registry().deregister(&mut listener);
--- a/src/net/log.rs
+++ b/src/net/log.rs
@@ -1,48 +1,48 @@
-//! Log lines on standard error, so many a second.
-//!
-//! This file owns the form of a line and the bounds on how many there are. What concerns single requests has a bound of its
-//! own, so that it never crowds out what concerns the whole mixer. It must never block on anything but standard error.
+//! Log lines on standard error, limited to a number of lines per second. Lines about single requests have a limit of their own,
+//! so that they cannot displace lines about the whole mixer.
 
 use std::io::{self, Write};
 
-/// Lines on the mixer as a whole, and on single requests, in a second at most.
-const MAX_LINES_A_SECOND: u32 = 50;
-const MAX_REQUEST_LINES_A_SECOND: u32 = 5;
+/// Maximum number of lines per second about the mixer as a whole.
+const MAX_MIXER_LINES_PER_S: u32 = 50;
+/// Maximum number of lines per second about single requests.
+const MAX_REQUEST_LINES_PER_S: u32 = 5;
 
-/// A bound on lines.
+/// A limit on the number of lines per second.
 #[derive(Debug)]
 struct LineLimit {
     max_lines: u32,
-    second_began_at: f64,
+    second_started_at: f64,
     lines: u32,
-    left_out: u64, // since the last line that was written
+    suppressed: u64, // since the last written line
 }
 
 impl LineLimit {
     fn new(max_lines: u32, now: f64) -> LineLimit {
         LineLimit {
             max_lines,
-            second_began_at: now,
+            second_started_at: now,
             lines: 0,
-            left_out: 0,
+            suppressed: 0,
         }
     }
 
-    /// Whether one more line may be written now; and where it may, how many were left out before it.
-    fn take(&mut self, now: f64) -> Option<u64> {
-        if now >= self.second_began_at + 1.0 {
-            (self.second_began_at, self.lines) = (now, 0);
+    /// Counts a line. Returns the number of lines suppressed since the last written one, or `None` if this line exceeds the
+    /// limit.
+    fn count_line(&mut self, now: f64) -> Option<u64> {
+        if now >= self.second_started_at + 1.0 {
+            (self.second_started_at, self.lines) = (now, 0);
         }
         self.lines += 1;
         if self.lines > self.max_lines {
-            self.left_out += 1;
+            self.suppressed += 1;
             return None;
         }
-        Some(std::mem::take(&mut self.left_out))
+        Some(std::mem::take(&mut self.suppressed))
     }
 }
 
-/// The log of one mixer.
+/// The log of a mixer, with its line limits.
 #[derive(Debug)]
 pub(super) struct Log {
     mixer: LineLimit,
@@ -50,35 +50,37 @@
 }
 
 impl Log {
-    /// A log that has written nothing; `now` is of the loop's clock (seconds).
+    /// Creates a log; `now` is on the event loop's clock (seconds).
     pub(super) fn new(now: f64) -> Log {
         Log {
-            mixer: LineLimit::new(MAX_LINES_A_SECOND, now),
-            requests: LineLimit::new(MAX_REQUEST_LINES_A_SECOND, now),
+            mixer: LineLimit::new(MAX_MIXER_LINES_PER_S, now),
+            requests: LineLimit::new(MAX_REQUEST_LINES_PER_S, now),
         }
     }
 
-    /// Writes a line on the mixer as a whole, `age_s` after the start of the process.
+    /// Writes a line about the mixer as a whole, unless the limit on such lines is exceeded. `age_s` is the time since the
+    /// start of the process.
     pub(super) fn write(&mut self, now: f64, age_s: f64, line: &str) {
-        if self.mixer.take(now).is_some() {
+        if self.mixer.count_line(now).is_some() {
             write_line(age_s, line);
         }
     }
 
-    /// Writes a line on one request, which `line` makes where there is room for it.
+    /// Writes a line about one request, unless the limit on such lines is exceeded; `line` is evaluated only if the line is
+    /// written.
     pub(super) fn write_request(&mut self, now: f64, age_s: f64, line: impl FnOnce() -> String) {
-        let Some(left_out) = self.requests.take(now) else {
+        let Some(suppressed) = self.requests.count_line(now) else {
             return;
         };
         let mut line = line();
-        if left_out > 0 {
-            line += &format!(" ({left_out} such lines were left out before)");
+        if suppressed > 0 {
+            line += &format!(" ({suppressed} such lines were left out before)");
         }
         write_line(age_s, &line);
     }
 }
 
 fn write_line(age_s: f64, line: &str) {
-    // A log that nobody reads is no reason to end.
+    // The mixer keeps serving if standard error is closed.
     let _ = writeln!(io::stderr(), "wharfhub {age_s:.3} {line}");
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets and the event loop that serves them: one thread, one poll.
+//! The sockets of the mixer and the single-threaded event loop that serves them.
 
 mod admin;
 pub mod client;
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -1,7 +1,5 @@
-//! SIGHUP: settings and discovery from a configuration that is read again.
-//!
-//! This file owns when new settings are applied, and which discovery the file names. It must never change anything for a
-//! configuration that is invalid, and never touch requests or connections of clients.
+//! Reload of the configuration on SIGHUP: the settings and the address of discovery. An invalid configuration changes nothing,
+//! and requests and client connections are not affected.
 
 use crate::config::{Config, Deployment, KeyPaths};
 use crate::net::runtime::Runtime;
@@ -12,51 +10,53 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// Settings accepted while the mixer runs are applied after this time (seconds): clients learn of them up to 1.2 s after
-/// SIGHUP, and use the old ones until then.
+/// Delay before accepted settings are applied (seconds). Clients are notified of new settings up to 1.2 s after SIGHUP and use
+/// the old ones until then.
 const APPLY_AFTER_S: f64 = 1.0;
 
-/// The configuration's file, and what it has brought since the start.
+/// The configuration file and the results of reloading it.
 pub(super) struct Reload {
-    /// Becomes readable when the file is to be read again.
+    /// Becomes readable when the process has received SIGHUP.
     signals: UnixStream,
-    /// Path of the file.
+    /// Path of the configuration file.
     config: PathBuf,
-    /// The keys of the file that was accepted last.
-    shape: KeyPaths,
-    /// Settings that were accepted and are not applied yet.
+    /// Keys of the file that was accepted last.
+    key_paths: KeyPaths,
+    /// Settings that are accepted but not applied yet.
     pending: Option<Rc<Deployment>>,
-    /// Discovery as the file that was accepted last names it, whatever the environment says.
+    /// Address of discovery in the file that was accepted last; the environment may override it.
     file_discovery: Option<SocketAddr>,
+    /// Number of files that were accepted on SIGHUP.
     accepted: u64,
+    /// Number of files that were rejected on SIGHUP.
     rejected: u64,
 }
 
-/// What reading the configuration again has brought.
+/// The result of reloading the configuration.
 pub(super) enum ReloadOutcome {
-    /// The file is invalid; the old configuration stays in use.
+    /// The file is invalid; the old configuration remains in use.
     Rejected,
     /// The file is valid.
     Accepted {
-        /// Its settings.
+        /// Settings of the file.
         deployment: Box<Deployment>,
-        /// The discovery that it names, if that is another one than before.
+        /// Address of discovery, if the file names another one than before.
         discovery: Option<SocketAddr>,
     },
 }
 
 impl Reload {
-    /// Nothing was read again yet.
+    /// Creates the state before the first reload.
     pub(super) fn new(
         signals: UnixStream,
         config: PathBuf,
-        shape: KeyPaths,
+        key_paths: KeyPaths,
         file_discovery: Option<SocketAddr>,
     ) -> Reload {
         Reload {
             signals,
             config,
-            shape,
+            key_paths,
             pending: None,
             file_discovery,
             accepted: 0,
@@ -64,20 +64,20 @@
         }
     }
 
-    /// Number of files that were accepted at SIGHUP.
+    /// Returns the number of files that were accepted on SIGHUP.
     pub(super) fn accepted(&self) -> u64 {
         self.accepted
     }
 
-    /// Number of files that were rejected at SIGHUP.
+    /// Returns the number of files that were rejected on SIGHUP.
     pub(super) fn rejected(&self) -> u64 {
         self.rejected
     }
 
-    /// Reads the configuration again after one or more signals.
+    /// Reloads the configuration after one or more signals.
     pub(super) fn reread(&mut self, runtime: &mut Runtime) -> ReloadOutcome {
         self.consume_signals();
-        let reread = match Config::reread(&self.config, &self.shape) {
+        let reread = match Config::reread(&self.config, &self.key_paths) {
             Ok(reread) => reread,
             Err(error) => {
                 self.rejected += 1;
@@ -88,8 +88,9 @@
             }
         };
         self.accepted += 1;
-        self.shape = reread.key_paths;
-        // The environment of the process can't change, the file can: a new discovery in it is the one that is wanted now.
+        self.key_paths = reread.key_paths;
+        // The environment of a running process cannot change, but the file can: a new address of discovery in the file takes
+        // precedence.
         let discovery = reread
             .discovery
             .filter(|address| Some(*address) != self.file_discovery);
@@ -105,7 +106,7 @@
         while matches!(self.signals.read(&mut buffer), Ok(count) if count > 0) {}
     }
 
-    /// Accepts valid settings. They are applied a little later, because clients use the old names and rules until then.
+    /// Accepts valid settings. They are applied after a delay, because clients use the old names and rules until then.
     pub(super) fn accept_settings(&mut self, runtime: &mut Runtime, deployment: Deployment) {
         let is_new = deployment != *runtime.deployment;
         self.pending = is_new.then(|| Rc::new(deployment));
@@ -117,13 +118,13 @@
         }
     }
 
-    /// The settings that are to be applied now; each only once.
+    /// Returns accepted settings that are due to be applied, once.
     pub(super) fn take_pending(&mut self) -> Option<Rc<Deployment>> {
         self.pending.take()
     }
 }
 
-/// Applies new settings to requests.
+/// Applies new settings to the request coordinator.
 pub(super) fn apply_settings(runtime: &mut Runtime, deployment: Rc<Deployment>) {
     runtime
         .coordinator
@@ -134,7 +135,7 @@
     log_phases(runtime);
 }
 
-/// Logs which classes have two-phase queries, if any.
+/// Logs the classes for which two-phase queries are enabled, if any.
 pub(super) fn log_phases(runtime: &mut Runtime) {
     let deployment = &runtime.deployment;
     let classes: Vec<&String> = deployment
--- a/src/net/runtime.rs
+++ b/src/net/runtime.rs
@@ -1,6 +1,5 @@
-//! What every subsystem of the loop uses: the poll, the clock, the timers, the table of connections and the request coordinator.
-//!
-//! This file owns no rule of any subsystem. It must never read or write a connection.
+//! State that the subsystems of the event loop share: the poll, the clock, the timers, the connection table and the request
+//! coordinator.
 
 use crate::config::Deployment;
 use crate::endpoints::directory::{ConnectionKey, Directory};
@@ -15,53 +14,55 @@
 use slotmap::SlotMap;
 use std::rc::Rc;
 
-/// A socket that the system refuses to watch is registered again after this time (seconds).
+/// Delay before the registration of a socket with the poll is retried (seconds).
 const REGISTER_RETRY_S: f64 = 0.02;
 
-/// The state that all subsystems share. Times are of `clock` (seconds).
+/// The state that all subsystems share. Times are on `clock` (seconds).
 pub(in crate::net) struct Runtime {
     pub(in crate::net) poll: Poll,
-    /// The mixer's name.
+    /// Name of the mixer.
     pub(in crate::net) name: String,
     pub(in crate::net) clock: Clock,
-    /// The time of this turn of the loop.
+    /// Time of the current iteration of the event loop.
     pub(in crate::net) now: f64,
+    /// Earliest possible arrival of the events that the next iteration reads.
     pub(in crate::net) iteration_started_at: f64,
-    /// When the loop last looked at its sockets before this turn: whatever it finds now came after that.
+    /// Time of the last poll before this iteration; all data read in this iteration arrived after it.
     pub(in crate::net) previous_iteration_at: f64,
     pub(in crate::net) timers: TimerQueue,
     pub(in crate::net) log: Log,
-    /// For jitter that keeps a fleet out of step.
+    /// Source of jitter, which prevents the mixers of a fleet from acting at the same time.
     pub(in crate::net) rng: oorandom::Rand64,
     pub(in crate::net) connections: SlotMap<ConnectionKey, Connection>,
-    /// Descriptors for connections to clients and replicas.
+    /// Maximum number of connections to clients and replicas together.
     pub(in crate::net) max_connections: usize,
     pub(in crate::net) coordinator: Coordinator,
-    /// What the coordinator wants done, until the loop has carried it out.
+    /// Commands of the coordinator that the event loop has yet to execute.
     pub(in crate::net) commands: Vec<Command>,
     pub(in crate::net) deployment: Rc<Deployment>,
     pub(in crate::net) directory: Directory,
 }
 
 impl Runtime {
-    /// Whether the loop has been held up since this turn began, so that sockets have not been read since.
+    /// Returns whether the event loop has been delayed in this iteration, so that sockets have not been read for too long.
     pub(in crate::net) fn is_delayed(&self) -> bool {
         self.clock.now() > self.now + HELD_UP_S
     }
 
-    /// Writes a line about the mixer as a whole, within the limit on such lines.
+    /// Logs a line about the mixer as a whole, unless the limit on such lines is exceeded.
     pub(in crate::net) fn log(&mut self, line: &str) {
         self.log
             .write(self.now, self.clock.elapsed_s(self.now), line);
     }
 
-    /// Writes a line about one request, which `line` makes where the limit on such lines allows it.
+    /// Logs a line about one request, unless the limit on such lines is exceeded; `line` is evaluated only if the line is
+    /// written.
     pub(in crate::net) fn log_request(&mut self, line: impl FnOnce() -> String) {
         self.log
             .write_request(self.now, self.clock.elapsed_s(self.now), line);
     }
 
-    /// Asks the poll to watch a connection, again a little later where the system refuses it.
+    /// Registers a connection with the poll. A failed registration is logged and retried after a delay.
     pub(in crate::net) fn register(&mut self, key: ConnectionKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -71,7 +72,7 @@
             token(key),
             Interest::READABLE | Interest::WRITABLE,
         );
-        // A socket that nobody watches would keep whoever is on it waiting for ever.
+        // A socket that is not registered would keep its peer waiting indefinitely.
         if let Err(error) = result {
             self.log(&format!("poll: {error}"));
             self.timers
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -1,7 +1,5 @@
-//! What connections and listeners of every kind do alike with their sockets.
-//!
-//! This file owns no socket. It must never block, except at the start of the process, and never decide what an error means for a
-//! connection.
+//! Socket functions that all kinds of connections and listeners share. None of them blocks, except [`open_with_retries`] at the
+//! start of the process.
 
 use crate::net::error::NetError;
 use mio::net::{TcpListener, TcpStream};
@@ -10,19 +8,19 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// At the start of the process, a socket that the system refuses for now is tried again after this time.
+/// Delay between attempts to open a socket at the start of the process.
 const START_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// So often, some 2 s in all.
+/// Maximum number of retries, for about 2 s in all.
 const MAX_START_RETRIES: u32 = 100;
-/// No descriptor is left in the system (Linux).
+/// Error number: the system's limit on open descriptors is reached (Linux).
 const ENFILE: i32 = 23;
-/// No descriptor is left in the process (Linux).
+/// Error number: the process's limit on open descriptors is reached (Linux).
 const EMFILE: i32 = 24;
-/// No buffer space is left (Linux).
+/// Error number: no buffer space is available (Linux).
 const ENOBUFS: i32 = 105;
 
-/// Opens a socket at the start of the process, before its loop runs: again for a while where the system is short of descriptors or
-/// memory. Any other error is returned at once.
+/// Opens a socket at the start of the process, before the event loop runs. Blocks between retries while the system lacks
+/// descriptors or memory; returns any other error at once.
 pub(super) fn open_with_retries<S>(mut open: impl FnMut() -> io::Result<S>) -> io::Result<S> {
     for _ in 0..MAX_START_RETRIES {
         match open() {
@@ -33,7 +31,7 @@
     open()
 }
 
-/// Whether a system call failed that may succeed soon.
+/// Returns whether a failed system call may succeed soon.
 fn is_transient(error: &io::Error) -> bool {
     use io::ErrorKind::{Interrupted, OutOfMemory, WouldBlock};
     is_out_of_descriptors(error)
@@ -41,12 +39,13 @@
         || matches!(error.kind(), Interrupted | OutOfMemory | WouldBlock)
 }
 
-/// Whether a system call failed for want of descriptors, of this process or of the system.
+/// Returns whether a system call failed because the process or the system has no descriptors left.
 pub(super) fn is_out_of_descriptors(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(EMFILE | ENFILE))
 }
 
-/// Listens on an address, and has the poll watch for connections. To be called at the start of the process.
+/// Listens on an address and registers the listener with the poll. May block with retries, so it must only be called at the
+/// start of the process.
 pub(super) fn listen(
     registry: &Registry,
     address: SocketAddr,
@@ -58,7 +57,7 @@
     Ok(listener)
 }
 
-/// Whether a connection has come up; an error says why it never will.
+/// Returns whether a connection attempt has completed. Fails if the attempt has failed.
 pub(super) fn is_connected(stream: &TcpStream) -> io::Result<bool> {
     if let Some(error) = stream.take_error()? {
         return Err(error);
@@ -70,7 +69,7 @@
     }
 }
 
-/// Writes as much of a buffer as the socket takes, and removes that from its front.
+/// Writes as much of a buffer as the socket accepts, and removes it from the front of the buffer.
 pub(super) fn write_available(stream: &mut impl Write, buffer: &mut Vec<u8>) -> io::Result<()> {
     while !buffer.is_empty() {
         match stream.write(buffer) {
--- a/src/net/socket/tests.rs
+++ b/src/net/socket/tests.rs
@@ -1,18 +1,18 @@
-//! Tests of socket.rs.
+//! Tests of the shared socket functions.
 
 use super::*;
 use rstest::rstest;
 
-/// A daemon ended where `socket()` failed for a moment at its start.
+/// Guards against a daemon that exits because `socket()` fails temporarily at its start.
 #[rstest]
-#[case::short_of_buffers(ENOBUFS, 3, true)]
-#[case::short_of_descriptors(ENFILE, 20, true)]
-#[case::short_of_memory(12, 2, true)]
-#[case::to_be_tried_again(11, 1, true)]
+#[case::no_buffers(ENOBUFS, 3, true)]
+#[case::no_descriptors(ENFILE, 20, true)]
+#[case::no_memory(12, 2, true)]
+#[case::would_block(11, 1, true)]
 #[case::interrupted(4, 1, true)]
 #[case::address_in_use(98, 1, false)]
 #[case::no_permission(13, 1, false)]
-fn a_socket_is_opened_again_where_the_system_is_short_of_something(
+fn opening_a_socket_is_retried_after_temporary_errors_only(
     #[case] error: i32,
     #[case] failures: u32,
     #[case] is_opened: bool,
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_socket_that_is_refused_for_long_is_an_error() {
+fn a_socket_that_cannot_be_opened_within_the_retries_is_an_error() {
     let result = open_with_retries(|| Err::<(), _>(io::Error::from_raw_os_error(ENOBUFS)));
     assert_eq!(
         result.map_err(|error| error.raw_os_error()),
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn only_a_want_of_descriptors_counts_as_one() {
+fn only_descriptor_limits_count_as_out_of_descriptors() {
     assert!(is_out_of_descriptors(&io::Error::from_raw_os_error(EMFILE)));
     assert!(is_out_of_descriptors(&io::Error::from_raw_os_error(ENFILE)));
     let out_of_memory = 12;
--- a/src/net/stall_detector.rs
+++ b/src/net/stall_detector.rs
@@ -1,14 +1,12 @@
-//! Detects that the process stood still: stopped by a signal, or not scheduled for long.
-//!
-//! This file owns when the loop expected to wake and since when it may have stood still. It must never read a clock.
+//! Detects that the process was stalled: stopped by a signal, or not scheduled for a long time.
 
 use crate::net::discovery::lease::STANDSTILL_S;
 
-/// What the loop knows of its own wake-ups. Times are of the loop's clock (seconds).
+/// Detector of delayed wake-ups and long iterations of the event loop. Times are on the loop's clock (seconds).
 pub(super) struct StallDetector {
-    /// When the present wait was to end.
+    /// Time at which the current wait is due to end.
     wake_at: f64,
-    /// Since when the process may have stood still, until the loop has dealt with it.
+    /// Earliest possible start of a stall that the event loop has not handled yet.
     stalled_since: Option<f64>,
 }
 
@@ -22,13 +20,13 @@
 }
 
 impl StallDetector {
-    /// The loop is about to wait until that time. A signal that ends the wait, as the one after a stop does, does not move an
-    /// earlier time that was expected before it.
+    /// Records that the loop is about to wait until the given time. If a signal interrupts a wait, as SIGCONT does after a
+    /// stop, the earlier of the expected times is kept.
     pub(super) fn expect_wake_at(&mut self, at: f64) {
         self.wake_at = self.wake_at.min(at);
     }
 
-    /// The wait is over. Returns how much later than expected (seconds; negative where an event came first).
+    /// Records the end of a wait. Returns the delay beyond the expected time (seconds; negative if an event arrived first).
     pub(super) fn record_wake(&mut self, now: f64, previous_iteration_at: f64) -> f64 {
         let wake_delay_s = now - std::mem::replace(&mut self.wake_at, f64::INFINITY);
         if wake_delay_s > STANDSTILL_S {
@@ -37,14 +35,14 @@
         wake_delay_s
     }
 
-    /// Handling the events of a turn took so long (seconds); the turn began at that time.
+    /// Records how long the events of an iteration took to handle (seconds) and when the iteration started.
     pub(super) fn record_iteration(&mut self, duration_s: f64, iteration_started_at: f64) {
         if duration_s > STANDSTILL_S {
             self.stalled_since = Some(iteration_started_at);
         }
     }
 
-    /// Since when the process may have stood still; once only.
+    /// Returns the earliest possible start of a stall, once for each stall.
     pub(super) fn take_stall_start(&mut self) -> Option<f64> {
         self.stalled_since.take()
     }
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -1,6 +1,4 @@
-//! The start of the mixer: its sockets, limits and subsystems.
-//!
-//! This file owns the order of a start. It must never let clients take the descriptors that replicas and discovery need.
+//! The start of the mixer: opens its sockets, derives its limits and creates its subsystems.
 
 use crate::config::{Deployment, Options};
 use crate::endpoints::directory::Directory;
@@ -27,20 +25,21 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Descriptors for anything but connections: standard ones, poll, listener, signals, spare; and the admin interface's.
+/// Number of descriptors reserved for anything but client and replica connections: the standard streams, the poll, listeners,
+/// signal pipes, spare ones, and those of the admin interface.
 const OTHER_DESCRIPTORS: usize = 24 + admin::DESCRIPTORS;
-/// Connections to clients and replicas that there may be, however low the limit on descriptors is.
+/// Minimum number of connections to clients and replicas, regardless of the limit on descriptors.
 const MIN_CONNECTIONS: usize = 8;
 
-/// Starts a mixer: opens its sockets, and takes the endpoint list that it is given.
+/// Starts a mixer: opens its sockets and takes over the configured endpoint list, if there is one.
 pub(super) fn start(mut options: Options, signals: Signals) -> Result<Mixer, NetError> {
-    // VRRP opens and closes the listeners by itself, so there is none to take over.
+    // With VRRP the listeners are opened and closed by its state changes, so an inherited listener is not used.
     let inherited = options.inherited.take().filter(|_| options.vrrp.is_none());
     let known_list = options.known.take();
     let admin_address = options.operator;
     let store = options.store.take();
     let vrrp = options.vrrp.take();
-    // With VRRP the Active state opens the listeners; beside another process, its end does.
+    // With VRRP the listeners are opened when the router becomes Active; with an inherited listener, after the takeover or its failure.
     let is_listening = vrrp.is_none() && inherited.is_none();
     let mut mixer = build(options, signals, inherited.is_some(), is_listening)?;
     mixer.log_listeners();
@@ -75,7 +74,7 @@
     Ok(mixer)
 }
 
-/// The subsystems in their first state.
+/// Creates the subsystems in their initial states.
 fn build(
     options: Options,
     signals: Signals,
@@ -124,14 +123,14 @@
     })
 }
 
-/// What the runtime takes from the options beside the settings.
+/// The options for the runtime, without the settings.
 struct RuntimeSetup {
     name: String,
     seed: u64,
     max_connections: usize,
 }
 
-/// The runtime at the start of its clock.
+/// Creates the runtime and starts its clock.
 fn build_runtime(poll: Poll, setup: RuntimeSetup, deployment: Deployment) -> Runtime {
     let clock = Clock::start();
     let now = clock.now();
@@ -155,7 +154,7 @@
     }
 }
 
-/// Connections to clients and replicas that the limit on descriptors allows.
+/// Returns how many connections to clients and replicas the limit on descriptors allows.
 fn max_connections(max_descriptors: usize, is_inheriting: bool) -> usize {
     let handover = if is_inheriting {
         handover::RESERVED_DESCRIPTORS
@@ -167,7 +166,7 @@
         .max(MIN_CONNECTIONS)
 }
 
-/// The listeners by protocol: none where they are not to be opened yet, or have no address.
+/// Opens the listeners of the protocols that have an address, unless listening starts later. The result is indexed by protocol.
 fn open_listeners(
     registry: &Registry,
     addresses: [Option<SocketAddr>; 2],
@@ -183,7 +182,7 @@
     Ok(listeners)
 }
 
-/// Watches the pipe by which a signal is reported.
+/// Registers the pipe that reports a signal with the poll.
 fn watch_pipe(
     registry: &Registry,
     pipe: std::os::unix::net::UnixStream,
--- a/src/net/store_peers.rs
+++ b/src/net/store_peers.rs
@@ -1,8 +1,6 @@
-//! The store's peers over TCP, and the operations on the store, one at a time.
-//!
-//! This file owns the listener for peers, the connections to them and the queue of operations. It must never be in the way on
-//! the platform, where no store is set up, never let a client wait for the store without end, and never apply a value or
-//! answer a client itself: [`StorePeers::next_completed`] hands back what is to be answered and applied.
+//! The replicated store: TCP connections to its peers, and the queue of operations, of which one runs at a time. Every
+//! operation has a timeout. [`StorePeers::next_completed`] returns completed operations; the caller replies to clients and
+//! applies values.
 
 mod connection;
 mod contents;
@@ -26,36 +24,36 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// An operation that has no majority after this time has failed (seconds).
+/// Time after which an operation without a majority fails (seconds).
 const OPERATION_TIMEOUT_S: f64 = 2.0;
-/// How often the keys that matter to a mixer are read (seconds).
+/// Interval at which the mixer reads its keys (seconds).
 const REFRESH_INTERVAL_S: f64 = 2.0;
-/// Operations that may wait.
+/// Maximum number of queued operations.
 const MAX_WAITING_OPERATIONS: usize = 64;
 
-/// Who wants an operation.
+/// The origin of an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::net) enum Requester {
-    /// The client on that connection.
+    /// A client, given by its connection.
     Client(ConnectionKey),
-    /// This mixer, which reads its keys again and again.
+    /// The mixer itself, which reads its keys at an interval.
     Refresh,
 }
 
-/// An operation that is complete. The requester is to be answered, the value applied, and the next operation begun;
-/// [`StorePeers::next_completed`] goes on from there.
+/// A completed operation. The caller replies to the requester, applies the value and begins the next operation;
+/// [`StorePeers::next_completed`] continues from there.
 pub(in crate::net) struct CompletedOperation {
     pub(in crate::net) requester: Requester,
     pub(in crate::net) completed: Completed,
 }
 
-/// Why a client's request to the store is rejected. The text is that of the reply.
+/// Reason why a client's request to the store is rejected. The text is sent in the reply.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub(in crate::net) enum StoreRequestError {
     /// The method is neither GET nor PUT.
     #[error("GET or PUT")]
     Method,
-    /// The key or the value is beyond the limits, or the value does not have the form that its key wants.
+    /// The key or the value exceeds a limit, or the value does not have the format required for its key.
     #[error("a key or value that is not sound")]
     Invalid,
     /// The queue of operations is full.
@@ -64,7 +62,7 @@
 }
 
 impl StoreRequestError {
-    /// The status of the reply.
+    /// Returns the HTTP status of the reply.
     pub(in crate::net) fn status(self) -> u16 {
         match self {
             StoreRequestError::Method => 405,
@@ -74,16 +72,16 @@
     }
 }
 
-/// Whether a majority of the nodes answers, for the log.
+/// Availability of a majority of the nodes, as logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::net) enum Quorum {
-    /// An operation was completed.
+    /// The last refresh was completed.
     Reached,
-    /// One was not, within its timeout.
+    /// The last refresh timed out.
     Lost,
 }
 
-/// An operation that waits: a read, or with a value a write.
+/// A queued operation: a write if it has a value, otherwise a read.
 struct WaitingOperation {
     requester: Requester,
     key: String,
@@ -102,41 +100,41 @@
     address: SocketAddr,
 }
 
-/// Work that has begun. The end of an operation, or an answer that begins further work, may come between its steps.
-enum Work {
-    /// A message goes to these peers, one after the other; then this node handles its own answer.
+/// A task in progress. Other tasks, or the completion of an operation, may come between its steps.
+enum Task {
+    /// Sends a message to the remaining peers, one after the other; then this node handles its own answer.
     Send {
         bytes: Vec<u8>,
         peers: VecDeque<Peer>,
         own_answer: Option<Message>,
     },
-    /// Answers of a node are handled, one after the other.
+    /// Handles the remaining answers of a node, one after the other.
     HandleAnswers {
         node: u32,
         answers: VecDeque<Message>,
     },
 }
 
-/// The store on its sockets. Times are of the loop's clock (seconds).
+/// This node of the store, with its sockets. Times are on the event loop's clock (seconds).
 pub(in crate::net) struct StorePeers {
     setup: StoreSetup,
     listener: TcpListener,
-    /// The connection to each peer to which there is one.
+    /// Open connections to peers, by node.
     connections: BTreeMap<u32, ConnectionKey>,
     waiting: VecDeque<WaitingOperation>,
     running: Option<RunningOperation>,
-    /// The number of the operation that was begun last.
+    /// Number of the operation that was started last.
     last_operation: u64,
-    /// The values that this mixer has taken, by key.
+    /// Values that this mixer has applied, by key.
     applied: BTreeMap<String, String>,
-    /// How the last refresh ended, so that only changes are logged.
+    /// Result of the last refresh, so that only changes are logged.
     quorum: Option<Quorum>,
-    /// Work that has begun; the last item goes on first.
-    work: Vec<Work>,
+    /// Stack of tasks in progress; the last one continues first.
+    tasks: Vec<Task>,
 }
 
 impl StorePeers {
-    /// Listens for peers, and begins to read the keys that matter here.
+    /// Listens for peers and schedules the first read of the mixer's keys.
     pub(in crate::net) fn open(
         runtime: &mut Runtime,
         setup: StoreSetup,
@@ -158,11 +156,12 @@
             last_operation: 0,
             applied: BTreeMap::new(),
             quorum: None,
-            work: Vec::new(),
+            tasks: Vec::new(),
         })
     }
 
-    /// Accepts one peer and reads what it has sent. Says whether there was one. [`StorePeers::next_completed`] is to follow.
+    /// Accepts one peer and reads the data it has sent. Returns whether there was one. [`StorePeers::next_completed`] has to be
+    /// called afterwards.
     pub(in crate::net) fn accept(&mut self, runtime: &mut Runtime) -> bool {
         let Ok((stream, _)) = self.listener.accept() else {
             return false;
@@ -175,8 +174,8 @@
         true
     }
 
-    /// Queues reads of the keys that matter here, unless operations wait already, and sets the time of the next refresh.
-    /// [`StorePeers::begin_next`] is to follow.
+    /// Queues reads of the mixer's keys, unless other operations are pending, and schedules the next refresh.
+    /// [`StorePeers::begin_next`] has to be called afterwards.
     pub(in crate::net) fn refresh(&mut self, runtime: &mut Runtime) {
         if self.waiting.is_empty() && self.running.is_none() {
             self.waiting
@@ -191,7 +190,7 @@
             .add(runtime.now + REFRESH_INTERVAL_S, Deadline::StoreRefresh);
     }
 
-    /// Queues a client's request: GET reads a key, PUT writes it. [`StorePeers::begin_next`] is to follow.
+    /// Queues a client's request: GET reads a key, PUT writes it. [`StorePeers::begin_next`] has to be called afterwards.
     pub(in crate::net) fn queue_request(
         &mut self,
         client: ConnectionKey,
@@ -219,7 +218,8 @@
         Ok(())
     }
 
-    /// Begins the next operation, unless one is in progress: one node has one at a time. [`StorePeers::next_completed`] is to follow.
+    /// Starts the next operation, unless one is in progress: each node runs one at a time. [`StorePeers::next_completed`] has
+    /// to be called afterwards.
     pub(in crate::net) fn begin_next(&mut self, runtime: &mut Runtime) {
         if self.running.is_some() {
             return;
@@ -246,7 +246,7 @@
         self.send(&message);
     }
 
-    /// Begins to send a message to all nodes, this one included.
+    /// Adds a task that sends a message to all nodes, including this one.
     fn send(&mut self, message: &Message) {
         let peers = self
             .setup
@@ -258,26 +258,26 @@
             })
             .collect();
         let own_answer = self.setup.registers.serve(message);
-        self.work.push(Work::Send {
+        self.tasks.push(Task::Send {
             bytes: message.encode(),
             peers,
             own_answer,
         });
     }
 
-    /// Goes on with the work that has begun until an operation is complete; none when all is done.
+    /// Continues the tasks in progress until an operation is complete. Returns `None` when no task is left.
     pub(in crate::net) fn next_completed(
         &mut self,
         runtime: &mut Runtime,
     ) -> Option<CompletedOperation> {
-        while let Some(work) = self.work.pop() {
-            let completed = match work {
-                Work::Send {
+        while let Some(task) = self.tasks.pop() {
+            let completed = match task {
+                Task::Send {
                     bytes,
                     peers,
                     own_answer,
-                } => self.send_on(runtime, bytes, peers, own_answer),
-                Work::HandleAnswers { node, answers } => self.handle_answers(node, answers),
+                } => self.send_to_next_peer(runtime, bytes, peers, own_answer),
+                Task::HandleAnswers { node, answers } => self.handle_answers(node, answers),
             };
             if completed.is_some() {
                 return completed;
@@ -286,8 +286,8 @@
         None
     }
 
-    /// Sends a message to the next peer; after the last one this node handles its own answer.
-    fn send_on(
+    /// Sends a message to the next peer. After the last peer, this node handles its own answer.
+    fn send_to_next_peer(
         &mut self,
         runtime: &mut Runtime,
         bytes: Vec<u8>,
@@ -309,12 +309,12 @@
             }
             _ => false,
         };
-        self.work.push(Work::Send {
+        self.tasks.push(Task::Send {
             bytes,
             peers,
             own_answer,
         });
-        // What this peer answers at once is handled before the message goes to the next one.
+        // An immediate answer of this peer is handled before the message is sent to the next one.
         if let Some(key) = key.filter(|_| is_queued) {
             self.connection_event(runtime, key);
         }
@@ -327,7 +327,7 @@
         mut answers: VecDeque<Message>,
     ) -> Option<CompletedOperation> {
         let answer = answers.pop_front()?;
-        self.work.push(Work::HandleAnswers { node, answers });
+        self.tasks.push(Task::HandleAnswers { node, answers });
         self.handle_answer(node, answer)
     }
 
@@ -360,8 +360,8 @@
         Some(key)
     }
 
-    /// A connection can be read or written, or has failed. Requests on it are answered.
-    /// [`StorePeers::next_completed`] is to follow.
+    /// Reads and writes a connection. Requests that a peer sent on it are answered. [`StorePeers::next_completed`] has to be
+    /// called afterwards.
     pub(in crate::net) fn connection_event(&mut self, runtime: &mut Runtime, key: ConnectionKey) {
         let Some(Connection::Peer(peer)) = runtime.connections.get_mut(key) else {
             return;
@@ -372,7 +372,7 @@
             self.drop_connection(runtime, key);
         }
         match direction {
-            Direction::To(node) => self.work.push(Work::HandleAnswers {
+            Direction::To(node) => self.tasks.push(Task::HandleAnswers {
                 node,
                 answers: received.into(),
             }),
@@ -380,7 +380,7 @@
         }
     }
 
-    /// Answers the requests of a peer.
+    /// Answers requests of a peer. Closes the connection if the peer does not read its answers.
     fn serve(&mut self, runtime: &mut Runtime, key: ConnectionKey, requests: &[Message]) {
         for request in requests {
             let answer = self.setup.registers.serve(request);
@@ -404,8 +404,8 @@
         }
     }
 
-    /// The timeout of an operation has come. Gives who waits for it, if it is still in progress;
-    /// [`StorePeers::begin_next`] is to follow then.
+    /// Abandons an operation that has timed out and returns its requester, or `None` if the operation is complete.
+    /// [`StorePeers::begin_next`] has to be called after a timeout.
     pub(in crate::net) fn operation_due(&mut self, id: u64) -> Option<Requester> {
         if self.last_operation != id {
             return None;
@@ -413,7 +413,7 @@
         self.running.take().map(|running| running.requester)
     }
 
-    /// Logs how a refresh ended, where that has changed.
+    /// Logs the result of a refresh if it differs from the previous one.
     pub(in crate::net) fn log_quorum(&mut self, runtime: &mut Runtime, quorum: Quorum) {
         if self.quorum == Some(quorum) {
             return;
@@ -425,7 +425,7 @@
         });
     }
 
-    /// Takes a value that was read or written; gives what it changes for this mixer, if it is new.
+    /// Records a value that was read or written. Returns the change that the mixer has to apply, if the value is new.
     pub(in crate::net) fn take_value(&mut self, key: &str, value: String) -> Option<StoredChange> {
         if self.applied.get(key) == Some(&value) {
             return None;
@@ -435,13 +435,13 @@
         change
     }
 
-    /// Whether the store has settings, which come before those of the file.
+    /// Returns whether the store contains settings, which take precedence over the configuration file.
     pub(in crate::net) fn has_settings(&self) -> bool {
         self.applied.contains_key(contents::SETTINGS)
     }
 }
 
-/// The body of the reply to a request that is complete.
+/// Returns the body of the reply for a completed operation.
 pub(in crate::net) fn completed_body(completed: &Completed) -> String {
     let value = completed
         .value
--- a/src/net/store_peers/connection.rs
+++ b/src/net/store_peers/connection.rs
@@ -1,23 +1,22 @@
-//! One connection to or from a peer of the store: bytes out, messages in.
-//!
-//! This file owns the socket and its buffers. It must never know what a message means.
+//! A connection to or from a peer of the store, which exchanges encoded messages.
 
 use crate::net::socket::{is_connected, write_available};
 use crate::store::{Message, MAX_MESSAGE_BYTES};
 use mio::net::TcpStream;
 use std::io::{self, Read};
 
-/// Bytes that may wait to be written to a peer: a long value must not end its connection.
+/// Maximum number of bytes waiting to be written to a peer. It exceeds the size of the longest message, so that one message
+/// cannot end the connection.
 const MAX_WAITING_BYTES: usize = 2 * MAX_MESSAGE_BYTES;
 /// Bytes read from the socket at a time.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Who opened a connection.
+/// The side that opened a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Direction {
-    /// This node did, to that one: requests leave on it.
+    /// Opened by this node to the given node, to send requests.
     To(u32),
-    /// A peer did: requests arrive on it.
+    /// Opened by a peer, which sends requests.
     FromPeer,
 }
 
@@ -31,7 +30,7 @@
 }
 
 impl PeerConnection {
-    /// A connection that this node opens; it has yet to come up.
+    /// Creates a connection whose attempt to connect is in progress.
     pub(super) fn to(node: u32, stream: TcpStream) -> PeerConnection {
         PeerConnection {
             stream,
@@ -42,7 +41,7 @@
         }
     }
 
-    /// A connection that was accepted.
+    /// Creates a connection that was accepted.
     pub(super) fn from_peer(stream: TcpStream) -> PeerConnection {
         PeerConnection {
             stream,
@@ -53,30 +52,29 @@
         }
     }
 
-    /// Who opened it.
+    /// Returns the side that opened the connection.
     pub(super) fn direction(&self) -> Direction {
         self.direction
     }
 
-    /// Queues a request, unless too much waits already: then it is lost, and the operation has one answer less.
+    /// Queues a request. If the write buffer is full the request is dropped, and the operation gets one answer fewer.
     pub(super) fn queue_request(&mut self, bytes: &[u8]) {
         if self.write_buffer.len() < MAX_WAITING_BYTES {
             self.write_buffer.extend(bytes);
         }
     }
 
-    /// Queues an answer.
     pub(super) fn queue_answer(&mut self, bytes: Vec<u8>) {
         self.write_buffer.extend(bytes);
     }
 
-    /// Whether the peer reads too slowly for what is written to it.
+    /// Returns whether more data waits than allowed because the peer reads too slowly.
     pub(super) fn is_write_buffer_full(&self) -> bool {
         self.write_buffer.len() > MAX_WAITING_BYTES
     }
 
-    /// Writes and reads what the socket takes and has, and adds what was received to `received`. An error ends the
-    /// connection.
+    /// Writes as much as the socket accepts, then reads the available data and appends the decoded messages to `received`.
+    /// After an error the caller has to close the connection.
     pub(super) fn exchange(&mut self, received: &mut Vec<Message>) -> io::Result<()> {
         if !self.is_connected && !is_connected(&self.stream)? {
             return Ok(());
@@ -104,7 +102,7 @@
         }
     }
 
-    /// Its socket, for the poll.
+    /// Returns the connection's socket, to be registered with the poll.
     pub(in crate::net) fn stream_mut(&mut self) -> &mut TcpStream {
         &mut self.stream
     }
--- a/src/net/store_peers/contents.rs
+++ b/src/net/store_peers/contents.rs
@@ -1,34 +1,32 @@
-//! What the store's keys mean to a mixer.
-//!
-//! This file owns the names of these keys and the form of their values. It must never apply a value.
+//! The keys of the store that a mixer uses, and the formats of their values.
 
 use crate::config::{self, Deployment, SettingsError};
 use crate::store::is_storable;
 use miniserde::json::{self, Value};
 
-/// The endpoint list, in discovery's form.
+/// Key of the endpoint list, which has discovery's format.
 const ENDPOINT_LIST: &str = "members";
-/// Names of leaf servers that are draining.
+/// Key of the names of leaf servers that are draining.
 const DRAINING: &str = "drains";
-/// The settings, which come before those of the file.
+/// Key of the settings, which take precedence over those of the configuration file.
 pub(super) const SETTINGS: &str = "settings";
 /// The keys that a mixer reads.
 pub(super) const KEYS: [&str; 3] = [ENDPOINT_LIST, DRAINING, SETTINGS];
 
-/// A value in the store that is new to this mixer.
+/// A new value in the store that affects the mixer.
 pub(in crate::net) enum StoredChange {
-    /// The endpoint list, whose revision is not one of discovery's.
+    /// The endpoint list. Its revision is unrelated to discovery's revisions.
     EndpointList(Value),
-    /// The leaf servers that are draining, by name.
+    /// Names of the leaf servers that are draining.
     Draining(Vec<String>),
-    /// The settings.
+    /// New settings.
     Settings(Box<Deployment>),
-    /// Settings that can't be used.
+    /// Settings that cannot be decoded.
     InvalidSettings(SettingsError),
 }
 
 impl StoredChange {
-    /// Decodes a value; none where its key means nothing here.
+    /// Decodes a value. Returns `None` if the mixer does not use its key.
     pub(super) fn decode(key: &str, value: &str) -> Option<StoredChange> {
         match key {
             ENDPOINT_LIST => json::from_str(value).ok().map(StoredChange::EndpointList),
@@ -44,8 +42,8 @@
     }
 }
 
-/// Whether a request for a key is valid; `value` is its body, also where it reads. A mistake in a value that is written would
-/// reach every mixer.
+/// Returns whether a request for a key is valid. `value` is the body of the request, which a read may have too. Writes are
+/// checked more strictly because an invalid value would reach every mixer.
 pub(super) fn is_valid(key: &str, value: &str, is_write: bool) -> bool {
     is_storable(key, value) && (!is_write || has_valid_form(key, value))
 }
--- a/src/net/timer_queue.rs
+++ b/src/net/timer_queue.rs
@@ -1,75 +1,72 @@
-//! Every deadline of the program, in one ordered structure.
-//!
-//! This file owns their order. It must never know what becomes of one that is due, and never read a clock.
+//! The queue of all deadlines of the event loop, in order of time.
 
 use crate::net::ConnectionKey;
 use crate::requests::coordinator::Wake;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A deadline counts as reached so much before its time, since the queue keeps whole microseconds (seconds).
+/// Time by which a deadline may be handled early (seconds), because the queue rounds to whole microseconds.
 pub(super) const TIMER_TOLERANCE_S: f64 = 1e-4;
-/// Microseconds in a second.
 const MICROSECONDS_PER_S: f64 = 1e6;
 
-/// What a deadline is for. Of deadlines in the same microsecond the variants come in this order.
+/// The purpose of a deadline. Deadlines of the same microsecond are handled in the order of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Deadline {
     /// A timer of the request coordinator.
     Coordinator(Wake),
     /// The deadline of a connection of any kind.
     Connection(ConnectionKey),
-    /// A socket is to be watched by the poll, which refused it before.
+    /// The registration of a socket with the poll is retried.
     Register(ConnectionKey),
-    /// Clients are accepted again after a failure.
+    /// Client connections are accepted again after a failure.
     Accept,
-    /// Connections of operators are accepted again.
+    /// Connections to the admin interface are accepted again.
     AdminAccept,
     /// A timeout of the handover.
     Handover,
     /// Discovery is called, unless a call is in flight.
     CallDiscovery,
-    /// A call to discovery that failed is repeated.
+    /// A failed call to discovery is retried.
     DiscoveryRetry,
-    /// The watch on discovery is checked.
+    /// The watch on discovery is checked for a timeout.
     Heartbeat,
     /// The lease on the endpoint list is checked.
     ListLease,
-    /// The next step of the present phase of the process.
+    /// A step of the current phase of the process is due.
     Phase,
     /// Accepted settings are applied.
     ApplySettings,
-    /// Listeners that could not be opened are tried again.
+    /// Opening the listeners is retried.
     OpenListeners,
-    /// A timer of VRRP.
+    /// The timer of the VRRP state machine has expired.
     VrrpTimer,
-    /// The keys of the store that matter to the mixer are read.
+    /// The mixer reads its keys from the store.
     StoreRefresh,
-    /// The timeout of an operation of the store.
+    /// An operation of the store, given by its number, times out.
     StoreOperation(u64),
 }
 
-/// Every deadline of the program, in order of time. A deadline is never removed early: whoever handles one that is no longer
-/// needed finds that its owner is gone or its time has moved.
+/// A queue of deadlines in order of time. Deadlines are never removed early: the handler of one that is no longer needed finds
+/// that its owner no longer exists or that its time has changed.
 #[derive(Default)]
 pub(super) struct TimerQueue {
-    /// Microseconds on the loop's clock, and what is due then.
+    /// Deadlines with their times in microseconds on the event loop's clock.
     deadlines: BTreeSet<(u64, Deadline)>,
 }
 
 impl TimerQueue {
-    /// Adds a deadline; times are in seconds on the loop's clock.
+    /// Adds a deadline at a time on the event loop's clock (seconds).
     pub(super) fn add(&mut self, at: f64, deadline: Deadline) {
         self.deadlines.insert((microseconds(at.max(0.0)), deadline));
     }
 
-    /// How long until the first deadline; none if there is no deadline.
+    /// Returns the time until the first deadline, or `None` if there is no deadline.
     pub(super) fn wait(&self, now: f64) -> Option<Duration> {
         let (at, _) = self.deadlines.first()?;
         Some(Duration::from_micros(at.saturating_sub(microseconds(now))))
     }
 
-    /// Takes out the first deadline if it is due.
+    /// Removes and returns the first deadline if it is due.
     pub(super) fn next(&mut self, now: f64) -> Option<Deadline> {
         let (at, _) = self.deadlines.first()?;
         if *at > microseconds(now) {
--- a/src/net/vrrp_socket.rs
+++ b/src/net/vrrp_socket.rs
@@ -1,7 +1,5 @@
-//! VRRP's socket: advertisements over UDP.
-//!
-//! This file owns the socket, the state machine on it and the other routers' addresses. It must never be in the way on the
-//! platform, where VRRP is not set up, and never open or close a listener: [`VrrpChange`] says when that is due.
+//! The UDP socket on which VRRP advertisements are exchanged, and the virtual router's state machine. The caller opens and
+//! closes the client listeners after a [`VrrpChange`].
 
 use crate::config::VrrpSetup;
 use crate::net::error::NetError;
@@ -15,19 +13,19 @@
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 
-/// Longest message that is read: an advertisement of 255 addresses has 1,028 bytes.
+/// Size of the receive buffer (bytes); an advertisement of 255 addresses has 1,028 bytes.
 const MAX_MESSAGE_BYTES: usize = 2048;
 
-/// A change of the state machine that concerns the listeners for clients.
+/// A state change that requires opening or closing the client listeners.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::net) enum VrrpChange {
-    /// This router has become Active: clients are listened for.
+    /// This router has become Active: the client listeners have to be opened.
     BecameActive,
-    /// It is no longer Active: another router serves the addresses, or none does.
+    /// This router is no longer Active: another one serves the addresses, or none does.
     LeftActive,
 }
 
-/// One virtual router on its socket.
+/// A virtual router with its socket.
 pub(in crate::net) struct VrrpSocket {
     router: Router,
     socket: UdpSocket,
@@ -35,7 +33,7 @@
 }
 
 impl VrrpSocket {
-    /// Opens the socket; the router is yet to be started, with [`Event::Startup`].
+    /// Opens the socket. The router starts with [`Event::Startup`].
     pub(in crate::net) fn open(
         runtime: &mut Runtime,
         setup: VrrpSetup,
@@ -60,19 +58,20 @@
         })
     }
 
-    /// The state of the state machine.
+    /// Returns the state of the router.
     pub(in crate::net) fn state(&self) -> State {
         self.router.state()
     }
 
-    /// Reads messages up to the next advertisement of a peer; none where nothing more has come.
+    /// Reads messages until a valid advertisement of a configured peer is found. Returns `None` if no more messages are
+    /// available.
     pub(in crate::net) fn receive(&self, runtime: &mut Runtime) -> Option<Event> {
         let mut buffer = [0; MAX_MESSAGE_BYTES];
         loop {
             let (count, from) = match self.socket.recv_from(&mut buffer) {
                 Ok(received) => received,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
-                // A peer that is down shows as refused, which means nothing for the next message.
+                // A peer that is down causes this error; later messages are not affected.
                 Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => continue,
                 Err(_) => return None,
             };
@@ -94,7 +93,8 @@
         }
     }
 
-    /// Leads an event to the state machine and sends what it wants sent. Gives the change, if there is one.
+    /// Passes an event to the state machine and sends the resulting advertisement. Returns the change that affects the
+    /// listeners, if any.
     pub(in crate::net) fn handle(
         &mut self,
         runtime: &mut Runtime,
@@ -104,7 +104,7 @@
         if let Some(advertisement) = self.router.handle(runtime.now, event) {
             let bytes = advertisement.encode();
             for peer in &self.peers {
-                let _ = self.socket.send_to(&bytes, *peer); // a lost one is repeated after the interval
+                let _ = self.socket.send_to(&bytes, *peer); // a lost advertisement is repeated after the interval
             }
         }
         let state = self.router.state();
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,3 +1,3 @@
-//! The simulator's pipe, on which the decision module runs without sockets.
+//! The interface to the simulator, which runs the decision module without sockets.
 
 pub mod pipe;
--- a/src/simulator/pipe.rs
+++ b/src/simulator/pipe.rs
@@ -1,7 +1,8 @@
-//! The simulator's pipe: frames of bytes, to and from the types of [`crate::decisions::api`].
+//! The binary protocol between the simulator and the decision module: frames that are converted to and from the types of
+//! [`crate::decisions::api`]. All numbers are little-endian and unpadded; settings are decoded by [`crate::config`].
 //!
-//! This module owns the byte layout of batches and replies, and no setting: those are decoded by [`crate::config`]. Frames are
-//! little-endian and unpadded. It must never allocate from a count before the bytes are there, nor panic on its input.
+//! Input is not trusted: memory is not allocated for an announced count before its bytes have been received, and invalid input
+//! is an error, not a panic.
 
 mod batch;
 mod cursor;
--- a/src/simulator/pipe/batch.rs
+++ b/src/simulator/pipe/batch.rs
@@ -1,7 +1,4 @@
-//! Batches: the events that the simulator sends.
-//!
-//! This file owns the layout of their records, and the numbered lists that later records refer to. It must never know what
-//! an event brings about.
+//! Decoding of batches, in which the simulator sends events. Records may refer to numbered lists defined by earlier records.
 
 use super::cursor::Cursor;
 use super::error::{FieldError, WireError};
@@ -10,18 +7,18 @@
 use crate::decisions::api::*;
 use std::sync::Arc;
 
-/// Bytes of a list's entry.
+/// Length of an entry of a list (bytes).
 const LIST_ENTRY_BYTES: usize = 21;
-/// Numbers that lists may have, from 0.
+/// Number of lists that may be defined; their numbers start at 0.
 const MAX_LISTS: usize = 16;
-/// Bytes of a stream's start after its instance.
+/// Length of a FIRST record after its instance (bytes).
 const STREAM_START_BYTES: usize = 17;
-/// The client gave an estimate of the work.
+/// Flag: the record has a cost estimate of the client.
 const FLAG_COST_HINT: u16 = 1;
-/// The client marked the query as a retry of its own.
+/// Flag: the client marked the query as a retry.
 const FLAG_CLIENT_RETRY: u16 = 2;
 
-/// The codes of the records.
+/// Codes of the kinds of records.
 mod code {
     pub(super) const INIT: u8 = 1;
     pub(super) const ENDPOINTS: u8 = 2;
@@ -36,7 +33,7 @@
     pub(super) const CATALOG: u8 = 11;
 }
 
-/// The name of the record with that code, if there is one.
+/// Returns the name of a kind of record, or `None` for an unknown code.
 fn record_name(code: u8) -> Option<&'static str> {
     Some(match code {
         code::INIT => "INIT",
@@ -54,51 +51,52 @@
     })
 }
 
-/// One record of a batch.
+/// A record of a batch.
 #[derive(Debug, PartialEq)]
 pub enum Record {
     /// An instance starts.
     Init {
-        /// Its number.
+        /// Number of the instance.
         instance: u32,
-        /// Its seed.
+        /// Seed of the instance's random numbers.
         seed: u64,
-        /// Its settings.
+        /// Settings of the instance.
         settings: Box<Settings>,
     },
     /// An instance has crashed.
     Crash {
-        /// Its number.
+        /// Number of the instance.
         instance: u32,
     },
     /// An event for an instance.
     Event {
-        /// Its number.
+        /// Number of the instance.
         instance: u32,
-        /// The event.
+        /// Event for the instance's [`Aggregator`](crate::Aggregator).
         event: Event,
     },
-    /// A record without an event for the module: a numbered list, a stream's start, a peer's message.
+    /// A record without an event for the decision module: the definition of a list, the start of a stream, or a message between
+    /// instances.
     NoEvent,
 }
 
-/// A decoded batch.
+/// A decoded batch of records.
 #[derive(Debug, PartialEq)]
 pub struct Batch {
-    /// The time of all its events.
+    /// Time of all events of the batch (seconds).
     pub now: f64,
-    /// Its records, in order.
+    /// Records in the order in which they were sent.
     pub records: Vec<Record>,
 }
 
-/// Decodes batches; holds the numbered lists that the simulator has defined.
+/// A decoder of batches, which stores the lists that the simulator has defined.
 #[derive(Debug, Default)]
 pub struct Decoder {
     lists: [Option<Arc<[ReplicaEntry]>>; MAX_LISTS],
 }
 
 impl Decoder {
-    /// Decodes a complete frame, as [`read_frame`](super::read_frame) returns it.
+    /// Decodes a complete frame as returned by [`read_frame`](super::read_frame).
     pub fn batch(&mut self, frame: &[u8]) -> Result<Batch, WireError> {
         let mut cursor = Cursor::new(frame, LENGTH_BYTES, 0, "header");
         let count = cursor.u32()?;
@@ -113,7 +111,7 @@
         }
         match cursor.remaining() {
             0 => Ok(Batch { now, records }),
-            left => Err(WireError::TrailingBytes(left)),
+            remaining => Err(WireError::TrailingBytes(remaining)),
         }
     }
 
@@ -154,7 +152,7 @@
         Ok(Record::Event { instance, event })
     }
 
-    /// Defines a numbered list.
+    /// Decodes and stores a numbered list.
     fn define_list(&mut self, cursor: &mut Cursor) -> Result<(), WireError> {
         let number = usize::from(cursor.u8()?);
         let count = cursor.u32()? as usize;
@@ -175,7 +173,7 @@
         Ok(())
     }
 
-    /// An instance is notified of a numbered list, or of a failed call for one.
+    /// Decodes the notification of an instance about a list, or about a failed call for one.
     fn endpoints(&self, cursor: &mut Cursor) -> Result<Event, WireError> {
         let kind = cursor.u8()?;
         cursor.u64()?; // not used
@@ -220,7 +218,7 @@
     })
 }
 
-/// Skips a message between instances; this mixer sends none.
+/// Skips a message between instances, which this mixer does not use.
 fn skip_datagram(cursor: &mut Cursor) -> Result<(), WireError> {
     cursor.u16()?;
     let length = usize::from(cursor.u16()?);
@@ -262,7 +260,7 @@
     let shard = cursor.f32()?;
     let amount = cursor.f32()?;
     let flags = cursor.u16()?;
-    // A query has no shard; its parts follow as records of their own.
+    // A negative shard marks a query, whose parts follow as separate records.
     if shard < 0.0 {
         return Ok(Event::Query(NewQuery {
             id: QueryId(id),
--- a/src/simulator/pipe/cursor.rs
+++ b/src/simulator/pipe/cursor.rs
@@ -1,21 +1,19 @@
-//! A cursor over the bytes of a frame.
-//!
-//! This file owns the form of numbers, and errors that name the record. It must never read beyond the frame.
+//! A cursor that reads fields from a frame and returns errors that name the record.
 
 use super::error::{FieldError, WireError};
 
-/// Reads fields from a frame.
+/// A reader of the fields of a frame.
 pub(super) struct Cursor<'a> {
     bytes: &'a [u8],
     offset: usize,
-    /// The index of the record that is read, for errors.
+    /// Index of the current record, for errors.
     pub(super) record: u32,
-    /// The kind of the record that is read, for errors.
+    /// Kind of the current record, for errors.
     pub(super) name: &'static str,
 }
 
 impl<'a> Cursor<'a> {
-    /// A cursor at that byte of a frame, or of a part of one.
+    /// Creates a cursor at a byte offset of a frame, or of a section of one.
     pub(super) fn new(bytes: &'a [u8], at: usize, record: u32, name: &'static str) -> Cursor<'a> {
         Cursor {
             bytes,
@@ -25,17 +23,17 @@
         }
     }
 
-    /// The next byte's index.
+    /// Returns the offset of the next byte.
     pub(super) fn offset(&self) -> usize {
         self.offset
     }
 
-    /// Bytes that have not been read.
+    /// Returns the number of bytes that have not been read.
     pub(super) fn remaining(&self) -> usize {
         self.bytes.len() - self.offset
     }
 
-    /// Reads that many bytes; an error where there are fewer.
+    /// Reads `count` bytes. Fails if fewer are left.
     pub(super) fn take(&mut self, count: usize) -> Result<&'a [u8], WireError> {
         let end = self
             .offset
@@ -83,13 +81,13 @@
         Ok(f64::from_le_bytes(self.array()?))
     }
 
-    /// Skips a load report, of which the decision module has no use.
+    /// Skips a load report, which the decision module does not use.
     pub(super) fn skip_load_report(&mut self) -> Result<(), WireError> {
         let count = usize::from(self.u8()?);
         self.take(count * 4).map(|_| ())
     }
 
-    /// The error of a value in this record that has no meaning.
+    /// Returns the error for an invalid value in the current record.
     pub(super) fn invalid(&self, error: FieldError) -> WireError {
         WireError::InvalidValue {
             record: self.record,
--- a/src/simulator/pipe/error.rs
+++ b/src/simulator/pipe/error.rs
@@ -1,94 +1,92 @@
-//! Why the simulator's pipe failed.
-//!
-//! This file owns the wording.
+//! Errors of the protocol between the simulator and the decision module.
 
 use crate::config::SettingsError;
 use std::io;
 use thiserror::Error;
 
-/// Why the pipe failed.
+/// An error of the exchange with the simulator.
 #[derive(Debug, Error)]
 pub enum WireError {
     /// The stream could not be read or written.
     #[error("input or output failed: {0}")]
     Io(#[from] io::Error),
     /// The input ended inside a frame.
-    #[error("input ended inside a frame: {got} of {want} bytes")]
+    #[error("input ended inside a frame: read {read} of {expected} bytes")]
     TruncatedFrame {
-        /// Bytes that were read.
-        got: u64,
-        /// Bytes that the length announced.
-        want: u64,
+        /// Number of bytes that were read.
+        read: u64,
+        /// Number of bytes that were expected.
+        expected: u64,
     },
-    /// The frame's length is under that of its header.
+    /// The announced length of a frame is less than that of the header.
     #[error("frame length {0} is shorter than its header")]
     LengthTooSmall(u32),
     /// A record runs past the end of its frame.
     #[error("record {record} ({name}) runs past the end of the frame at byte {at}")]
     TruncatedRecord {
-        /// Its index in the frame.
+        /// Index of the record in the frame.
         record: u32,
-        /// Its kind.
+        /// Kind of the record.
         name: &'static str,
-        /// The length of the frame.
+        /// Length of the frame (bytes).
         at: usize,
     },
-    /// Bytes are left after the last record.
+    /// The frame has bytes after its last record.
     #[error("{0} bytes left after the last record")]
     TrailingBytes(usize),
-    /// No event has this code.
+    /// The code of a record is unknown.
     #[error("record {record}: unknown event code {code} at byte {at}")]
     UnknownCode {
-        /// Its index in the frame.
+        /// Index of the record in the frame.
         record: u32,
-        /// The code.
+        /// Unknown code.
         code: u8,
-        /// Its byte in the frame.
+        /// Offset of the code in the frame (bytes).
         at: usize,
     },
-    /// A field holds a value that has no meaning.
+    /// The value of a field is invalid.
     #[error("record {record} ({name}): {error}")]
     InvalidValue {
-        /// Its index in the frame.
+        /// Index of the record in the frame.
         record: u32,
-        /// Its kind.
+        /// Kind of the record.
         name: &'static str,
-        /// The cause.
+        /// Cause of the error.
         #[source]
         error: FieldError,
     },
 }
 
-/// Why the value of a field has no meaning.
+/// The reason why the value of a field is invalid.
 #[derive(Debug, Error)]
 pub enum FieldError {
-    /// The time of the batch is infinite or none.
-    #[error("the clock is not a number")]
+    /// The time of a batch is infinite or not a number.
+    #[error("clock is not a finite number")]
     ClockNotFinite,
-    /// A numbered list has a number beyond the last one.
-    #[error("list number {number} is over {max}")]
+    /// The number of a list exceeds the maximum.
+    #[error("list number {number} exceeds the maximum of {max}")]
     ListNumberTooLarge {
-        /// The number.
+        /// Number in the record.
         number: usize,
-        /// The last one.
+        /// Maximum number.
         max: usize,
     },
-    /// A list has more entries than fit into memory.
-    #[error("too many entries")]
+    /// The size of a list exceeds the address space.
+    #[error("list has too many entries")]
     TooManyEntries,
-    /// A list is used that was never defined.
-    #[error("list number {0} was never given")]
+    /// A record refers to a list that was not defined.
+    #[error("list number {0} is not defined")]
     UndefinedList(usize),
-    /// No kind of list event has this code.
-    #[error("unknown kind of list {0}")]
+    /// The kind of a list notification is unknown.
+    #[error("unknown kind of list notification {0}")]
     UnknownListKind(u8),
-    /// No state of a replica has this code.
-    #[error("unknown state of a replica {0}")]
+    /// The state of a replica is unknown.
+    #[error("unknown replica state {0}")]
     UnknownReplicaState(u8),
-    /// No outcome has this code.
+    /// The outcome of an attempt is unknown.
     #[error("unknown outcome {0}")]
     UnknownOutcome(u8),
-    /// The settings of an instance could not be decoded.
+    /// The settings of an instance are invalid.
     #[error("{0}")]
     Settings(#[from] SettingsError),
 }
--- a/src/simulator/pipe/frame.rs
+++ b/src/simulator/pipe/frame.rs
@@ -1,16 +1,14 @@
-//! Frames: a length, which includes itself, and a body.
-//!
-//! This file owns how they are read and written. It must never know what a body holds.
+//! Reading and writing of frames. A frame starts with its length, which includes the length field itself.
 
 use super::error::WireError;
 use std::io::{self, Read, Write};
 
-/// Bytes of a frame's length.
+/// Size of the length field (bytes).
 pub(super) const LENGTH_BYTES: usize = 4;
-/// Bytes of a batch before its records: its length, the number of records, the time.
+/// Size of the header of a batch: the length field, the number of records and the time (bytes).
 const BATCH_HEADER_BYTES: usize = 16;
 
-/// Reads one frame with its length; `None` where the input ends before a frame.
+/// Reads a frame including its length field. Returns `None` if the input ends before a frame.
 pub fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, WireError> {
     let mut frame = Vec::new();
     input
@@ -18,13 +16,13 @@
         .take(LENGTH_BYTES as u64)
         .read_to_end(&mut frame)?;
     let Ok(length) = <[u8; LENGTH_BYTES]>::try_from(frame.as_slice()) else {
-        let got = frame.len() as u64;
-        return if got == 0 {
+        let read = frame.len() as u64;
+        return if read == 0 {
             Ok(None)
         } else {
             Err(WireError::TruncatedFrame {
-                got,
-                want: LENGTH_BYTES as u64,
+                read,
+                expected: LENGTH_BYTES as u64,
             })
         };
     };
@@ -36,17 +34,17 @@
         .by_ref()
         .take(u64::from(length) - LENGTH_BYTES as u64)
         .read_to_end(&mut frame)?;
-    let got = frame.len() as u64;
-    if got < u64::from(length) {
+    let read = frame.len() as u64;
+    if read < u64::from(length) {
         return Err(WireError::TruncatedFrame {
-            got,
-            want: u64::from(length),
+            read,
+            expected: u64::from(length),
         });
     }
     Ok(Some(frame))
 }
 
-/// Writes a reply of the actions that `body` holds, and flushes it.
+/// Writes a reply frame with the encoded actions in `body`, and flushes the output.
 pub fn write_reply(output: &mut impl Write, body: &[u8]) -> Result<(), WireError> {
     let length = u32::try_from(body.len() + LENGTH_BYTES).map_err(io::Error::other)?;
     output.write_all(&length.to_le_bytes())?;
--- a/src/simulator/pipe/reply.rs
+++ b/src/simulator/pipe/reply.rs
@@ -1,10 +1,8 @@
-//! Replies: the actions that the simulator is to carry out.
-//!
-//! This file owns the layout of actions.
+//! Encoding of replies, in which the decision module returns actions to the simulator.
 
 use crate::decisions::api::Action;
 
-/// The codes of the actions.
+/// Codes of the kinds of actions.
 mod code {
     pub(super) const SEND: u8 = 1;
     pub(super) const REJECT: u8 = 2;
@@ -18,7 +16,7 @@
     pub(super) const ANSWER: u8 = 13;
 }
 
-/// Appends an action of an instance to a reply.
+/// Appends the encoded action of an instance to a reply.
 pub fn encode(instance: u32, action: &Action, out: &mut Vec<u8>) {
     let mut fields = Fields { out };
     match action {
@@ -68,7 +66,7 @@
     }
 }
 
-/// Appends fields to a reply.
+/// A writer of the fields of a reply.
 struct Fields<'a> {
     out: &'a mut Vec<u8>,
 }
@@ -79,7 +77,7 @@
         self.u32(instance);
     }
 
-    /// Begins an action whose first field is an id.
+    /// Appends the start of an action and its first field, an id.
     fn id(&mut self, code: u8, instance: u32, id: u32) {
         self.begin(code, instance);
         self.u32(id);
@@ -101,7 +99,7 @@
         self.out.extend(value.to_le_bytes());
     }
 
-    /// Appends a text, cut to the longest that its length can express.
+    /// Appends a text, truncated to the maximum that its length field can express.
     fn text(&mut self, text: &str) {
         let length = text.len().min(usize::from(u16::MAX)) as u16;
         self.out.extend(length.to_le_bytes());
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -146,7 +146,7 @@
         (with(&[7, 1, 0, 0, 0, 1]), "DEADLINE_HIT"),
         (endless, "record 0 (code)"),
         (with(&huge), "CATALOG"),
-        (with(&endpoints(1, 4, 3)), "never given"),
+        (with(&endpoints(1, 4, 3)), "is not defined"),
         (with(&init(1, b"\xff\xfe")), "UTF-8"),
         (with(&init(1, b"{}")), "categories"),
         ([frame(1.0, &[]), frame(f64::NAN, &[])].concat(), "clock"),
