--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -127,7 +127,7 @@
     ) -> Result<Option<f64>, NetError> {
         let runtime = &mut self.runtime;
         let polled_at = runtime.clock.now();
-        let timeout = if self.replicas.has_held_back() {
+        let timeout = if self.replicas.has_postponed_writes() {
             Some(Duration::ZERO)
         } else {
             runtime.timers.wait(polled_at)
@@ -140,7 +140,7 @@
             return Ok(None);
         }
         let woke_at = runtime.clock.now();
-        if woke_at > polled_at + lease::HELD_UP_S {
+        if woke_at > polled_at + lease::MAX_LOOP_DELAY_S {
             poll(runtime, &mut events.latest, Some(Duration::ZERO))?;
         }
         Ok(Some(woke_at))
@@ -163,10 +163,10 @@
             self.runtime.log(&format!(
                 "loop: the process was stalled for up to {stalled_for_s:.3} s"
             ));
-            self.confirm_after_standstill(stalled_since);
+            self.confirm_list_after_pause(stalled_since);
         }
         self.process_commands();
-        self.flush_held_back();
+        self.flush_postponed();
         for event in events.iter() {
             if !handled.contains(&event.token()) {
                 self.handle_event(event);
@@ -188,7 +188,7 @@
         runtime.previous_iteration_at = runtime.iteration_started_at;
         runtime.iteration_started_at = runtime.now;
         let wake_delay_s = stall_detector.record_wake(runtime.now, runtime.previous_iteration_at);
-        if wake_delay_s > lease::HELD_UP_S {
+        if wake_delay_s > lease::MAX_LOOP_DELAY_S {
             // A stop signal takes effect at the end of a system call, so the poll may have collected its events before the
             // process was stopped. Events of the next iteration may therefore have arrived since the previous one.
             runtime.iteration_started_at = runtime.previous_iteration_at;
@@ -200,7 +200,7 @@
     fn advance_to_deadlines(&mut self, woke_at: f64, stall_detector: &mut StallDetector) {
         let now = self.runtime.clock.now();
         stall_detector.record_iteration(now - woke_at, self.runtime.iteration_started_at);
-        if now <= woke_at + lease::HELD_UP_S {
+        if now <= woke_at + lease::MAX_LOOP_DELAY_S {
             self.runtime.now = now;
         }
     }
@@ -208,8 +208,8 @@
     fn handle_admin_events(&mut self, events: &PollEvents) {
         for event in events.iter() {
             match event.token() {
-                ADMIN => self.admin_accept(),
-                token => self.admin_event(connection_key(token)),
+                ADMIN => self.accept_admin_connections(),
+                token => self.handle_admin_event(connection_key(token)),
             }
         }
     }
@@ -220,8 +220,8 @@
             Token(protocol) if protocol < PROTOCOLS.len() => self.accept(PROTOCOLS[protocol]),
             SIGNALS => self.stop_requested(),
             RELOAD => self.reload_requested(),
-            STORE => self.store_accept(),
-            VRRP => self.vrrp_event(),
+            STORE => self.accept_store_peers(),
+            VRRP => self.handle_vrrp_socket_event(),
             ADMIN => {}
             handover::RENDEZVOUS => self.rendezvous_event(),
             handover::PREDECESSOR => self.link_event(handover::Side::Predecessor),
@@ -248,12 +248,12 @@
                     Command::Withdraw { attempt } => self.withdraw_unsent(attempt),
                     Command::Reply {
                         caller,
-                        last,
+                        answer,
                         query_request,
                         took_s,
                     } => {
                         let key = ConnectionKey::from(KeyData::from_ffi(caller));
-                        self.reply(key, &query_request, last, took_s);
+                        self.reply(key, &query_request, answer, took_s);
                     }
                     Command::WakeAt { at, wake } => {
                         self.runtime.timers.add(at, Deadline::Coordinator(wake))
@@ -277,7 +277,7 @@
             Deadline::Connection(key) => self.connection_due(key),
             Deadline::Register(key) => self.runtime.register(key),
             Deadline::Handover => self.handover_due(),
-            Deadline::AdminAccept => self.admin_accept(),
+            Deadline::AdminAccept => self.accept_admin_connections(),
             Deadline::Accept => PROTOCOLS
                 .into_iter()
                 .for_each(|protocol| self.accept(protocol)),
@@ -288,8 +288,8 @@
             Deadline::ApplySettings => self.apply_pending_settings(),
             Deadline::OpenListeners => self.open_listeners(),
             Deadline::VrrpTimer => self.handle_vrrp_event(crate::vrrp::Event::Timer),
-            Deadline::StoreRefresh => self.refresh(),
-            Deadline::StoreOperation(id) => self.operation_due(id),
+            Deadline::StoreRefresh => self.refresh_from_store(),
+            Deadline::StoreOperation(id) => self.handle_store_operation_timeout(id),
             Deadline::Phase => self.phase_due(),
         }
     }
@@ -312,10 +312,12 @@
 impl Mixer {
     fn connection_event(&mut self, key: ConnectionKey, is_closed: bool, is_read_closed: bool) {
         match self.runtime.connections.get(key) {
-            Some(Connection::Client(_)) => self.client_event(key, is_closed || is_read_closed),
+            Some(Connection::Client(_)) => {
+                self.handle_client_event(key, is_closed || is_read_closed)
+            }
             Some(Connection::Replica(_)) => self.replica_event(key),
             Some(Connection::Discovery(_)) => self.discovery_event(key),
-            Some(Connection::Peer(_)) => self.peer_event(key),
+            Some(Connection::Peer(_)) => self.handle_store_peer_event(key),
             Some(Connection::Admin(_)) => {} // handled before all other events
             None => {}                       // the connection was closed earlier in this iteration
         }
@@ -323,14 +325,14 @@
 
     fn connection_due(&mut self, key: ConnectionKey) {
         match self.runtime.connections.get(key) {
-            Some(Connection::Client(_)) => self.client_due(key),
+            Some(Connection::Client(_)) => self.handle_client_timer(key),
             Some(Connection::Replica(_)) => self.replica_due(key),
             Some(Connection::Discovery(connection))
                 if self.runtime.now + TIMER_TOLERANCE_S >= connection.due =>
             {
                 self.discovery_timed_out(key);
             }
-            Some(Connection::Admin(_)) => self.admin_due(key),
+            Some(Connection::Admin(_)) => self.handle_admin_timer(key),
             Some(Connection::Discovery(_) | Connection::Peer(_)) | None => {}
         }
     }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -21,7 +21,7 @@
 use crate::config::InheritedListener;
 use crate::connections::pool;
 use crate::decisions::learned_state::LearnedReplica;
-use crate::endpoints::lease::HandedLease;
+use crate::endpoints::lease::LeaseHandover;
 use crate::net::runtime::Runtime;
 use crate::net::timer_queue::{Deadline, TIMER_TOLERANCE_S};
 use crate::requests::process_load::ProcessLoad;
@@ -104,7 +104,7 @@
     pub(super) address: Option<SocketAddr>,
     /// The revision of the list in use.
     pub(super) revision: Option<u64>,
-    pub(super) lease: HandedLease,
+    pub(super) lease: LeaseHandover,
 }
 
 /// Maximum numbers of connections of this process.
@@ -308,13 +308,13 @@
         let learned_state = runtime.coordinator.learned_state();
         runtime
             .coordinator
-            .record(runtime.now, true, &mut runtime.commands);
+            .set_recording(runtime.now, true, &mut runtime.commands);
         let names = runtime.directory.ids();
         let state = StateMessage {
             discovery: discovery.address.map(|address| address.to_string()),
             list: runtime.directory.to_json(discovery.revision),
             names: names.map(|(name, id)| (id.0, name.clone())).collect(),
-            classes: runtime.coordinator.learned_classes(),
+            classes: runtime.coordinator.learned_class_names(),
             phases: Some(runtime.coordinator.learned_phases()),
             tenants: runtime.deployment.tenants.clone(),
             learned_state,
@@ -453,7 +453,7 @@
             }
             (Side::Successor, _) => {
                 let coordinator = &mut runtime.coordinator;
-                coordinator.record(runtime.now, false, &mut runtime.commands);
+                coordinator.set_recording(runtime.now, false, &mut runtime.commands);
                 runtime.log(&format!(
                     "handover: the successor did not take over ({reason}); serving on"
                 ));
--- a/src/net/handover/messages.rs
+++ b/src/net/handover/messages.rs
@@ -4,7 +4,7 @@
 use crate::decisions::api::{PredecessorLoad, ReplicaLoad, SentAttempt};
 use crate::decisions::learned_state::LearnedState;
 use crate::decisions::two_phase::PhaseStatistics;
-use crate::endpoints::lease::HandedLease;
+use crate::endpoints::lease::LeaseHandover;
 use crate::net::runtime::Runtime;
 use crate::requests::process_load::ProcessLoad;
 use miniserde::{json, Deserialize, Serialize};
@@ -84,7 +84,7 @@
     /// Names of the tenants, in the order in which the learned state lists them.
     pub(super) tenants: Vec<String>,
     /// Lease on the endpoint list; absent in states of releases without leases.
-    pub(in crate::net) lease: Option<HandedLease>,
+    pub(in crate::net) lease: Option<LeaseHandover>,
     /// Learned state of the decision module.
     #[serde(rename = "beliefs")]
     pub(super) learned_state: LearnedState,
@@ -142,16 +142,16 @@
     /// Returns the load of this process, and marks the attempts made so far as reported.
     pub(super) fn of(runtime: &mut Runtime, connections: ConnectionCounts) -> LoadMessage {
         let ProcessLoad {
-            ids,
-            held,
+            request_ids,
+            open_count,
             attempts,
-        } = runtime.coordinator.load();
+        } = runtime.coordinator.take_process_load();
         let name = |id| runtime.directory.name(id).map(String::from);
         let in_flight = attempts.in_flight.into_iter();
         let sent = attempts.sent.into_iter();
         LoadMessage {
-            ids,
-            held: held as u32,
+            ids: request_ids,
+            held: open_count as u32,
             clients: connections.clients as u32,
             replicas: connections.replicas as u32,
             in_flight: in_flight
@@ -197,8 +197,8 @@
                 .collect(),
         };
         ProcessLoad {
-            ids: self.ids,
-            held: self.held as usize,
+            request_ids: self.ids,
+            open_count: self.held as usize,
             attempts,
         }
     }
--- a/src/net/lifecycle_routing.rs
+++ b/src/net/lifecycle_routing.rs
@@ -30,7 +30,7 @@
     /// Returns whether a connection is closed after its response: because of the current phase, or because there are so many
     /// clients that new ones could not connect if each kept its connection.
     pub(super) fn closes_after_response(&self) -> bool {
-        self.lifecycle.closes_after_response(self.runtime.now) || self.clients.is_crowded()
+        self.lifecycle.closes_after_response(self.runtime.now) || self.clients.is_near_capacity()
     }
 
     /// Checks the invariant that clients are served only with an endpoint list that may be used.
@@ -331,9 +331,9 @@
         let is_same_discovery = state.discovery == own_discovery;
         let revision = crate::endpoints::list_format::revision(&list);
         if is_same_discovery && revision > self.discovery.revision() {
-            self.take_list(&list);
+            self.apply_list(&list);
         } else if self.discovery.revision().is_none() {
-            self.take_list_without_revision(&list);
+            self.apply_list_without_revision(&list);
         }
     }
 
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -75,10 +75,10 @@
     }
 
     /// Reloads the configuration after one or more signals.
-    pub(super) fn reread(&mut self, runtime: &mut Runtime) -> ReloadOutcome {
+    pub(super) fn reload_config(&mut self, runtime: &mut Runtime) -> ReloadOutcome {
         self.consume_signals();
-        let reread = match Config::reread(&self.config, &self.key_paths) {
-            Ok(reread) => reread,
+        let reloaded = match Config::reload(&self.config, &self.key_paths) {
+            Ok(reloaded) => reloaded,
             Err(error) => {
                 self.rejected += 1;
                 runtime.log(&format!(
@@ -88,15 +88,15 @@
             }
         };
         self.accepted += 1;
-        self.key_paths = reread.key_paths;
+        self.key_paths = reloaded.key_paths;
         // The environment of a running process cannot change, but the file can: a new address of discovery in the file takes
         // precedence.
-        let discovery = reread
+        let discovery = reloaded
             .discovery
             .filter(|address| Some(*address) != self.file_discovery);
         self.file_discovery = discovery.or(self.file_discovery);
         ReloadOutcome::Accepted {
-            deployment: Box::new(reread.deployment),
+            deployment: Box::new(reloaded.deployment),
             discovery,
         }
     }
--- a/src/net/stall_detector.rs
+++ b/src/net/stall_detector.rs
@@ -1,6 +1,6 @@
 //! Detects that the process was stalled: stopped by a signal, or not scheduled for a long time.
 
-use crate::net::discovery::lease::STANDSTILL_S;
+use crate::net::discovery::lease::MIN_PROCESS_PAUSE_S;
 
 /// Detector of delayed wake-ups and long iterations of the event loop. Times are on the loop's clock (seconds).
 pub(super) struct StallDetector {
@@ -29,7 +29,7 @@
     /// Records the end of a wait. Returns the delay beyond the expected time (seconds; negative if an event arrived first).
     pub(super) fn record_wake(&mut self, now: f64, previous_iteration_at: f64) -> f64 {
         let wake_delay_s = now - std::mem::replace(&mut self.wake_at, f64::INFINITY);
-        if wake_delay_s > STANDSTILL_S {
+        if wake_delay_s > MIN_PROCESS_PAUSE_S {
             self.stalled_since.get_or_insert(previous_iteration_at);
         }
         wake_delay_s
@@ -37,7 +37,7 @@
 
     /// Records how long the events of an iteration took to handle (seconds) and when the iteration started.
     pub(super) fn record_iteration(&mut self, duration_s: f64, iteration_started_at: f64) {
-        if duration_s > STANDSTILL_S {
+        if duration_s > MIN_PROCESS_PAUSE_S {
             self.stalled_since = Some(iteration_started_at);
         }
     }
--- a/src/simulator/pipe/batch.rs
+++ b/src/simulator/pipe/batch.rs
@@ -144,7 +144,7 @@
             code::ENDPOINTS => self.endpoints(cursor)?,
             code::INGRESS => query_or_part(cursor)?,
             code::DONE => attempt_ended(cursor)?,
-            code::TIMED_OUT_CLIENT => Event::ClientLeft(QueryId(cursor.u32()?)),
+            code::TIMED_OUT_CLIENT => Event::ClientDisconnected(QueryId(cursor.u32()?)),
             code::DEADLINE_HIT => Event::Timer(cursor.u64()?),
             code::PING_RESULT => probe_ended(cursor)?,
             _ => return Err(unknown_code),
@@ -186,7 +186,7 @@
         };
         match self.lists.get(number) {
             Some(Some(entries)) => Ok(Event::List {
-                full,
+                is_full: full,
                 entries: entries.clone(),
             }),
             _ => Err(cursor.invalid(FieldError::UndefinedList(number))),
@@ -232,7 +232,7 @@
     cursor.u8()?; // not used
     let cell = u32::from(cursor.u16()?);
     let lifecycle = match cursor.u8()? {
-        0 => Lifecycle::Gone,
+        0 => Lifecycle::Removed,
         1 => Lifecycle::Ready,
         2 => Lifecycle::Draining,
         other => return Err(cursor.invalid(FieldError::UnknownReplicaState(other))),
@@ -245,7 +245,7 @@
         cell,
         lifecycle,
         started_at,
-        pre_check: false,
+        supports_pre_check: false,
     })
 }
 
@@ -269,7 +269,7 @@
             tenant,
             deadline,
             parts: amount as u32,
-            repeat: flags & FLAG_CLIENT_RETRY != 0,
+            is_repeat: flags & FLAG_CLIENT_RETRY != 0,
             key,
             pre_check: None,
         }));
