--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -218,18 +218,18 @@
     fn handle_event(&mut self, event: &Event) {
         match event.token() {
             Token(protocol) if protocol < PROTOCOLS.len() => self.accept(PROTOCOLS[protocol]),
-            SIGNALS => self.stop_requested(),
+            SIGNALS => self.handle_stop_signal(),
             RELOAD => self.reload_requested(),
             STORE => self.accept_store_peers(),
             VRRP => self.handle_vrrp_socket_event(),
             ADMIN => {}
-            handover::RENDEZVOUS => self.rendezvous_event(),
-            handover::PREDECESSOR => self.link_event(handover::Side::Predecessor),
-            handover::SUCCESSOR => self.link_event(handover::Side::Successor),
+            handover::RENDEZVOUS => self.handle_rendezvous_event(),
+            handover::PREDECESSOR => self.handle_link_event(handover::Side::Predecessor),
+            handover::SUCCESSOR => self.handle_link_event(handover::Side::Successor),
             token => {
                 let is_read_closed = event.is_read_closed();
                 let is_closed = event.is_error() || (is_read_closed && event.is_write_closed());
-                self.connection_event(connection_key(token), is_closed, is_read_closed);
+                self.handle_connection_event(connection_key(token), is_closed, is_read_closed);
             }
         }
     }
@@ -274,9 +274,9 @@
                     .coordinator
                     .wake(self.runtime.now, wake, &mut self.runtime.commands)
             }
-            Deadline::Connection(key) => self.connection_due(key),
+            Deadline::Connection(key) => self.handle_connection_timer(key),
             Deadline::Register(key) => self.runtime.register(key),
-            Deadline::Handover => self.handover_due(),
+            Deadline::Handover => self.handle_handover_timer(),
             Deadline::AdminAccept => self.accept_admin_connections(),
             Deadline::Accept => PROTOCOLS
                 .into_iter()
@@ -290,7 +290,7 @@
             Deadline::VrrpTimer => self.handle_vrrp_event(crate::vrrp::Event::Timer),
             Deadline::StoreRefresh => self.refresh_from_store(),
             Deadline::StoreOperation(id) => self.handle_store_operation_timeout(id),
-            Deadline::Phase => self.phase_due(),
+            Deadline::Phase => self.handle_phase_timer(),
         }
     }
 }
@@ -310,7 +310,12 @@
 
 /// Dispatch of the events and deadlines of connections, by the kind of the connection.
 impl Mixer {
-    fn connection_event(&mut self, key: ConnectionKey, is_closed: bool, is_read_closed: bool) {
+    fn handle_connection_event(
+        &mut self,
+        key: ConnectionKey,
+        is_closed: bool,
+        is_read_closed: bool,
+    ) {
         match self.runtime.connections.get(key) {
             Some(Connection::Client(_)) => {
                 self.handle_client_event(key, is_closed || is_read_closed)
@@ -323,7 +328,7 @@
         }
     }
 
-    fn connection_due(&mut self, key: ConnectionKey) {
+    fn handle_connection_timer(&mut self, key: ConnectionKey) {
         match self.runtime.connections.get(key) {
             Some(Connection::Client(_)) => self.handle_client_timer(key),
             Some(Connection::Replica(_)) => self.replica_due(key),
--- a/src/net/handover/messages.rs
+++ b/src/net/handover/messages.rs
@@ -1,5 +1,5 @@
-//! The messages of the handover, one line each: a keyword, for some messages followed by a space and JSON. Successive releases
-//! share this format, because the two processes may run different releases during an upgrade or a rollback.
+//! The messages of the handover, one line each: a keyword, for some messages followed by a space and JSON. All releases share
+//! this format, because the two processes may run different releases during an upgrade or a rollback.
 
 use crate::decisions::api::{PredecessorLoad, ReplicaLoad, SentAttempt};
 use crate::decisions::learned_state::LearnedState;
@@ -18,8 +18,7 @@
 /// Commit by the predecessor: the successor accepts connections from now on.
 pub(super) const COMMIT_LINE: &str = "go\n";
 
-/// Reason why the connection between the two processes ended. The texts appear in log lines that operators' documentation
-/// quotes.
+/// Reason why the connection between the two processes ended. The texts appear in log lines.
 #[derive(Debug, Error)]
 pub(in crate::net) enum HandoverError {
     /// The socket failed, or the other process closed it.
--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -32,7 +32,7 @@
 #[case(1025)]
 #[case(5300)]
 #[case(10_000)]
-fn the_state_of_a_fleet_is_within_the_bound_of_a_line(#[case] servers: u32) {
+fn the_state_of_a_fleet_fits_into_one_line(#[case] servers: u32) {
     let class = |number: u32| format!(r#"{{"name":"class-{number}","aimS":1.0,"giveUpS":2.0}}"#);
     let classes: Vec<String> = (0..10).map(class).collect();
     let settings = format!(r#"{{"categories":[{}]}}"#, classes.join(","));
@@ -78,26 +78,26 @@
 
 /// An upgrade, or a rollback during one, passes the state between two releases.
 #[test]
-fn lines_of_the_former_release_are_decoded_and_encoded_alike() {
-    let state: StateMessage = json::from_str(STATE_OF_DADE8DB).expect("a state that can be read");
+fn messages_of_the_former_release_are_decoded_and_encoded_unchanged() {
+    let state: StateMessage = json::from_str(STATE_OF_DADE8DB).expect("state cannot be decoded");
     assert_eq!(json::to_string(&state), STATE_OF_DADE8DB.trim_end());
-    let load: LoadMessage = json::from_str(LOAD_OF_DADE8DB).expect("a load that can be read");
+    let load: LoadMessage = json::from_str(LOAD_OF_DADE8DB).expect("load cannot be decoded");
     assert_eq!(json::to_string(&load), LOAD_OF_DADE8DB.trim_end());
 }
 
 /// Each value of the former release's state is decoded into its field.
 #[test]
 fn a_state_of_the_former_release_is_decoded_into_its_fields() {
-    let state: StateMessage = json::from_str(STATE_OF_DADE8DB).expect("a state that can be read");
+    let state: StateMessage = json::from_str(STATE_OF_DADE8DB).expect("state cannot be decoded");
     check_replica(&state.learned_state.replicas[0]);
     check_statistics(&state.learned_state);
-    let lease = state.lease.expect("a lease");
+    let lease = state.lease.expect("state has no lease");
     assert_eq!(
         (lease.confirmed_age_s, lease.failed_call_age_s),
         (Some(101.25), Some(102.25))
     );
     assert_eq!((lease.began_age_s, lease.failed_calls), (103.25, 104));
-    let missing = lease.missing_answer.expect("a missing answer");
+    let missing = lease.missing_answer.expect("lease has no missing answer");
     assert_eq!((missing.age_s, missing.is_certain), (105.25, true));
     assert_eq!(
         (state.load.held, state.load.clients, state.load.replicas),
--- a/src/net/lifecycle_routing.rs
+++ b/src/net/lifecycle_routing.rs
@@ -58,7 +58,7 @@
     }
 
     /// Handles SIGTERM or SIGINT.
-    pub(super) fn stop_requested(&mut self) {
+    pub(super) fn handle_stop_signal(&mut self) {
         match self.lifecycle.stop(&mut self.runtime) {
             StopAction::None => {}
             StopAction::CloseListeners => {
@@ -71,7 +71,7 @@
     }
 
     /// Carries out the action that is due in the current phase, if any.
-    pub(super) fn phase_due(&mut self) {
+    pub(super) fn handle_phase_timer(&mut self) {
         match self.lifecycle.due(self.runtime.now) {
             Some(PhaseAction::CloseListeners) => self.close_listener(),
             Some(PhaseAction::CloseIdle { fresh_s }) => {
@@ -191,18 +191,18 @@
     }
 
     /// Accepts successors that have connected to the rendezvous socket.
-    pub(super) fn rendezvous_event(&mut self) {
+    pub(super) fn handle_rendezvous_event(&mut self) {
         while let Some(handover) = &mut self.handover {
             let has_stopped = self.lifecycle.phase() == Phase::Stopped;
             if !handover.accept_successor(&mut self.runtime, has_stopped) {
                 return;
             }
-            self.link_event(Side::Successor);
+            self.handle_link_event(Side::Successor);
         }
     }
 
     /// Reads and writes the connection to the predecessor or the successor and handles the received messages.
-    pub(super) fn link_event(&mut self, side: Side) {
+    pub(super) fn handle_link_event(&mut self, side: Side) {
         let received = self
             .handover
             .as_mut()
@@ -236,7 +236,7 @@
     }
 
     /// Handles a deadline of the handover. The deadlines of both connections are evaluated before either is acted on.
-    pub(super) fn handover_due(&mut self) {
+    pub(super) fn handle_handover_timer(&mut self) {
         let Some(handover) = &mut self.handover else {
             return;
         };
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -19,7 +19,7 @@
     /// Becomes readable when the process has received SIGHUP.
     signals: UnixStream,
     /// Path of the configuration file.
-    config: PathBuf,
+    config_path: PathBuf,
     /// Keys of the file that was accepted last.
     key_paths: KeyPaths,
     /// Settings that are accepted but not applied yet.
@@ -49,13 +49,13 @@
     /// Creates the state before the first reload.
     pub(super) fn new(
         signals: UnixStream,
-        config: PathBuf,
+        config_path: PathBuf,
         key_paths: KeyPaths,
         file_discovery: Option<SocketAddr>,
     ) -> Reload {
         Reload {
             signals,
-            config,
+            config_path,
             key_paths,
             pending: None,
             file_discovery,
@@ -77,7 +77,7 @@
     /// Reloads the configuration after one or more signals.
     pub(super) fn reload_config(&mut self, runtime: &mut Runtime) -> ReloadOutcome {
         self.consume_signals();
-        let reloaded = match Config::reload(&self.config, &self.key_paths) {
+        let reloaded = match Config::reload(&self.config_path, &self.key_paths) {
             Ok(reloaded) => reloaded,
             Err(error) => {
                 self.rejected += 1;
