--- a/src/bin/wharfhub-adapter.rs
+++ b/src/bin/wharfhub-adapter.rs
@@ -4,7 +4,9 @@
 use std::collections::BTreeMap;
 use std::io::{BufReader, BufWriter};
 use std::process::ExitCode;
-use wharfhub::simulator::pipe::{encode, read_frame, write_reply, Decoder, Record, WireError};
+use wharfhub::simulator::pipe::{
+    encode_action, read_frame, write_reply, Decoder, Record, WireError,
+};
 use wharfhub::Aggregator;
 
 fn main() -> ExitCode {
@@ -24,7 +26,7 @@
     let mut instances: BTreeMap<u32, Aggregator> = BTreeMap::new();
     let (mut actions, mut reply) = (Vec::new(), Vec::new());
     while let Some(frame) = read_frame(&mut input)? {
-        let batch = decoder.batch(&frame)?;
+        let batch = decoder.decode_batch(&frame)?;
         reply.clear();
         for record in batch.records {
             match record {
@@ -44,7 +46,7 @@
                         aggregator.handle(batch.now, event, &mut actions);
                         actions
                             .iter()
-                            .for_each(|action| encode(instance, action, &mut reply));
+                            .for_each(|action| encode_action(instance, action, &mut reply));
                     }
                 }
                 Record::NoEvent => {}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! A scatter-gather mixer: it sends the parts of a query to leaf servers and returns one answer.
 //!
-//! All decisions are made by [`Aggregator`], a state machine. It is notified of events (a query or a part arrives, an
+//! [`Aggregator`] is the state machine that makes the decisions on queries. It is notified of events (a query or a part arrives, an
 //! attempt ends, the list of replicas changes, a timer fires) and returns actions (send a part, answer, reject, cancel).
 //! It does no I/O, reads no clock and has no global state: the caller owns sockets, time and threads.
 //!
--- a/src/simulator/pipe.rs
+++ b/src/simulator/pipe.rs
@@ -13,4 +13,4 @@
 pub use batch::{Batch, Decoder, Record};
 pub use error::{FieldError, WireError};
 pub use frame::{read_frame, write_reply};
-pub use reply::encode;
+pub use reply::encode_action;
--- a/src/simulator/pipe/batch.rs
+++ b/src/simulator/pipe/batch.rs
@@ -97,7 +97,7 @@
 
 impl Decoder {
     /// Decodes a complete frame as returned by [`read_frame`](super::read_frame).
-    pub fn batch(&mut self, frame: &[u8]) -> Result<Batch, WireError> {
+    pub fn decode_batch(&mut self, frame: &[u8]) -> Result<Batch, WireError> {
         let mut cursor = Cursor::new(frame, LENGTH_BYTES, 0, "header");
         let count = cursor.u32()?;
         let now = cursor.f64()?;
@@ -107,7 +107,7 @@
         let mut records = Vec::new();
         for record in 0..count {
             cursor.record = record;
-            records.push(self.record(&mut cursor)?);
+            records.push(self.decode_record(&mut cursor)?);
         }
         match cursor.remaining() {
             0 => Ok(Batch { now, records }),
@@ -115,7 +115,7 @@
         }
     }
 
-    fn record(&mut self, cursor: &mut Cursor) -> Result<Record, WireError> {
+    fn decode_record(&mut self, cursor: &mut Cursor) -> Result<Record, WireError> {
         let at = cursor.offset();
         cursor.name = "code";
         let code = cursor.u8()?;
@@ -126,12 +126,12 @@
         };
         cursor.name = name;
         if code == code::CATALOG {
-            self.define_list(cursor)?;
+            self.decode_list_definition(cursor)?;
             return Ok(Record::NoEvent);
         }
         let instance = cursor.u32()?;
         let event = match code {
-            code::INIT => return init(instance, cursor),
+            code::INIT => return decode_init(instance, cursor),
             code::CRASH_NOW => return Ok(Record::Crash { instance }),
             code::FIRST => {
                 cursor.take(STREAM_START_BYTES)?;
@@ -141,19 +141,19 @@
                 skip_datagram(cursor)?;
                 return Ok(Record::NoEvent);
             }
-            code::ENDPOINTS => self.endpoints(cursor)?,
-            code::INGRESS => query_or_part(cursor)?,
-            code::DONE => attempt_ended(cursor)?,
+            code::ENDPOINTS => self.decode_list_event(cursor)?,
+            code::INGRESS => decode_query_or_part(cursor)?,
+            code::DONE => decode_attempt_end(cursor)?,
             code::TIMED_OUT_CLIENT => Event::ClientDisconnected(QueryId(cursor.u32()?)),
             code::DEADLINE_HIT => Event::Timer(cursor.u64()?),
-            code::PING_RESULT => probe_ended(cursor)?,
+            code::PING_RESULT => decode_probe_end(cursor)?,
             _ => return Err(unknown_code),
         };
         Ok(Record::Event { instance, event })
     }
 
     /// Decodes and stores a numbered list.
-    fn define_list(&mut self, cursor: &mut Cursor) -> Result<(), WireError> {
+    fn decode_list_definition(&mut self, cursor: &mut Cursor) -> Result<(), WireError> {
         let number = usize::from(cursor.u8()?);
         let count = cursor.u32()? as usize;
         if number >= MAX_LISTS {
@@ -167,18 +167,18 @@
         let mut entries = Vec::new();
         let mut inner = Cursor::new(bytes, 0, cursor.record, cursor.name);
         for _ in 0..count {
-            entries.push(entry(&mut inner)?);
+            entries.push(decode_list_entry(&mut inner)?);
         }
         self.lists[number] = Some(entries.into());
         Ok(())
     }
 
     /// Decodes the notification of an instance about a list, or about a failed call for one.
-    fn endpoints(&self, cursor: &mut Cursor) -> Result<Event, WireError> {
+    fn decode_list_event(&self, cursor: &mut Cursor) -> Result<Event, WireError> {
         let kind = cursor.u8()?;
         cursor.u64()?; // not used
         let number = usize::from(cursor.u8()?);
-        let full = match kind {
+        let is_full = match kind {
             2 => return Ok(Event::ListFailed),
             0 | 4 => true,
             3 => false,
@@ -186,7 +186,7 @@
         };
         match self.lists.get(number) {
             Some(Some(entries)) => Ok(Event::List {
-                is_full: full,
+                is_full,
                 entries: entries.clone(),
             }),
             _ => Err(cursor.invalid(FieldError::UndefinedList(number))),
@@ -194,7 +194,7 @@
     }
 }
 
-fn init(instance: u32, cursor: &mut Cursor) -> Result<Record, WireError> {
+fn decode_init(instance: u32, cursor: &mut Cursor) -> Result<Record, WireError> {
     let seed = cursor.u64()?;
     let length = cursor.u32()? as usize;
     let text = cursor.take(length)?;
@@ -206,9 +206,9 @@
     })
 }
 
-fn probe_ended(cursor: &mut Cursor) -> Result<Event, WireError> {
+fn decode_probe_end(cursor: &mut Cursor) -> Result<Event, WireError> {
     let replica = ReplicaId(cursor.u32()?);
-    let outcome = outcome(cursor)?;
+    let outcome = decode_outcome(cursor)?;
     let took_s = cursor.f64()?;
     cursor.skip_load_report()?;
     Ok(Event::Probed {
@@ -226,7 +226,7 @@
     Ok(())
 }
 
-fn entry(cursor: &mut Cursor) -> Result<ReplicaEntry, WireError> {
+fn decode_list_entry(cursor: &mut Cursor) -> Result<ReplicaEntry, WireError> {
     let id = ReplicaId(cursor.u32()?);
     let zone = cursor.u8()?;
     cursor.u8()?; // not used
@@ -249,7 +249,7 @@
     })
 }
 
-fn query_or_part(cursor: &mut Cursor) -> Result<Event, WireError> {
+fn decode_query_or_part(cursor: &mut Cursor) -> Result<Event, WireError> {
     let id = cursor.u32()?;
     let class = cursor.u16()?;
     let tenant = cursor.u32()?;
@@ -283,12 +283,12 @@
     }))
 }
 
-fn attempt_ended(cursor: &mut Cursor) -> Result<Event, WireError> {
+fn decode_attempt_end(cursor: &mut Cursor) -> Result<Event, WireError> {
     let part = PartId(cursor.u32()?);
     let took_s = cursor.f64()?;
     let replica = ReplicaId(cursor.u32()?);
     let attempt = cursor.u8()?;
-    let outcome = outcome(cursor)?;
+    let outcome = decode_outcome(cursor)?;
     cursor.u8()?; // not used
     cursor.skip_load_report()?;
     Ok(Event::AttemptEnded(AttemptEnd {
@@ -300,7 +300,7 @@
     }))
 }
 
-fn outcome(cursor: &mut Cursor) -> Result<Outcome, WireError> {
+fn decode_outcome(cursor: &mut Cursor) -> Result<Outcome, WireError> {
     Ok(match cursor.u8()? {
         0 => Outcome::Ok,
         5 => Outcome::Error,
--- a/src/simulator/pipe/reply.rs
+++ b/src/simulator/pipe/reply.rs
@@ -17,7 +17,7 @@
 }
 
 /// Appends the encoded action of an instance to a reply.
-pub fn encode(instance: u32, action: &Action, out: &mut Vec<u8>) {
+pub fn encode_action(instance: u32, action: &Action, out: &mut Vec<u8>) {
     let mut fields = Fields { out };
     match action {
         Action::Send {
