--- a/src/net/discovery/routing.rs
+++ b/src/net/discovery/routing.rs
@@ -332,7 +332,7 @@
         let ReloadOutcome::Accepted {
             deployment,
             discovery,
-        } = self.reload.reread(&mut self.runtime)
+        } = self.reload.reload_config(&mut self.runtime)
         else {
             return;
         };
