--- a/crates/wharfhub-testbed/src/experiments/data_path.rs
+++ b/crates/wharfhub-testbed/src/experiments/data_path.rs
@@ -267,7 +267,10 @@
     }
     let (asked, answered) = {
         let tally = lock(&load.tally);
-        (tally.tries[tally::ASKED], tally.tries[tally::ANSWERED])
+        (
+            tally.requests[tally::TOTAL],
+            tally.requests[tally::ANSWERED],
+        )
     };
     if answered < asked {
         short.push(format!(
@@ -414,8 +417,8 @@
         .for_each(|what| println!("{}: {what}", case.name));
     short.extend(others);
     let latency = &lock(&load.latency)[largest];
-    let tries = lock(&load.tally).tries;
-    let asked = tries[tally::ASKED].max(1);
+    let tries = lock(&load.tally).requests;
+    let asked = tries[tally::TOTAL].max(1);
     let (_, attempts, _) = *lock(&rig.shared.work);
     let in_time = latency.count_between(0, (LATENCY_TARGET_S * 1e6) as u64);
     let ms = |quantile: f64| format!("{:.1}", latency.value_at_quantile(quantile) as f64 / 1000.0);
--- a/crates/wharfhub-testbed/src/experiments/deployments.rs
+++ b/crates/wharfhub-testbed/src/experiments/deployments.rs
@@ -126,14 +126,14 @@
 
 fn play(scenario: &Scenario) -> Result<Played, Failure> {
     let run = world::play(scenario)?;
-    let asked = run.tally.tries[tally::ASKED].max(1) as f64;
-    let (late, unanswered) = run.tally.lost();
+    let asked = run.tally.requests[tally::TOTAL].max(1) as f64;
+    let (late, unanswered) = run.tally.late_and_unanswered_shares();
     Ok(Played {
         service: run.tally.service(),
-        in_time: run.tally.in_time(),
+        in_time: run.tally.in_time_share(),
         late,
         unanswered,
-        attempts: run.tally.sends as f64 / asked,
+        attempts: run.tally.attempts_sent as f64 / asked,
         waste: run.tally.waste(),
         handshakes: run.handshakes,
         broken: run.rules.broken,
--- a/crates/wharfhub-testbed/src/experiments/scale.rs
+++ b/crates/wharfhub-testbed/src/experiments/scale.rs
@@ -104,7 +104,7 @@
             servers,
             changes_per_s: 4.0,
             changes: self.changes,
-            in_step: true,
+            is_sequential: true,
             idle_s: self.idle_s,
             // Ten times those of service: hundreds of mixers share eight cores here.
             round_s: 0.05,
@@ -149,7 +149,7 @@
             .measure(&Load {
                 changes_per_s,
                 changes,
-                in_step: plan.rates_in_step,
+                is_sequential: plan.rates_in_step,
                 ..load
             })
             .map_err(Failure::from)
--- a/crates/wharfhub-testbed/src/experiments/tail.rs
+++ b/crates/wharfhub-testbed/src/experiments/tail.rs
@@ -71,9 +71,9 @@
     let mut short = Vec::new();
     for (case, run) in cases.iter().zip(runs) {
         let run = run?;
-        let (late, unanswered) = run.tally.lost();
+        let (late, unanswered) = run.tally.late_and_unanswered_shares();
         let in_time = 1.0 - late - unanswered;
-        let parts = run.tally.tries[tally::ASKED] * 180;
+        let parts = run.tally.requests[tally::TOTAL] * 180;
         table.row(vec![
             case.slow_servers.to_string(),
             if case.hedging { "on" } else { "off" }.into(),
@@ -81,7 +81,10 @@
             format!("{in_time:.4}"),
             format!("{late:.4}"),
             format!("{unanswered:.4}"),
-            format!("{:.4}", run.tally.sends as f64 / parts.max(1) as f64),
+            format!(
+                "{:.4}",
+                run.tally.attempts_sent as f64 / parts.max(1) as f64
+            ),
         ]);
         short.extend(
             run.rules
--- a/crates/wharfhub-testbed/src/experiments/two_phase.rs
+++ b/crates/wharfhub-testbed/src/experiments/two_phase.rs
@@ -97,7 +97,7 @@
         area_work: both(|tally| tally.work_s[AREA]),
         area_each: both(|tally| tally.work_s[AREA] / tally.answered[AREA].max(1) as f64),
         pruned: on.tally.pruned,
-        words: on.tally.words,
+        words: on.tally.prechecks,
         broken: rules.into_iter().flatten().collect(),
     })
 }
@@ -159,7 +159,7 @@
         service: tally.service(),
         area_each: work.0[AREA] / tally.answered[AREA].max(1) as f64,
         broken: rules.broken.clone(),
-        answered: tally.tries[tally::ANSWERED],
+        answered: tally.requests[tally::ANSWERED],
         words: work.2,
         p50_p99_ms: (ms(0.5), ms(0.99)),
         late_ms: late as f64 / 1000.0,
--- a/crates/wharfhub-testbed/src/fleet/bench.rs
+++ b/crates/wharfhub-testbed/src/fleet/bench.rs
@@ -34,7 +34,7 @@
     /// Changes in all.
     pub changes: u32,
     /// Whether a change waits until the one before it is in force everywhere, so that none are told together.
-    pub in_step: bool,
+    pub is_sequential: bool,
     /// How long nothing changes (seconds).
     pub idle_s: f64,
     /// Shortest time between two rounds of a mixer (seconds).
@@ -95,7 +95,7 @@
 }
 
 /// The same server after its next step: it drains, and then it is back with a fresh start.
-pub fn stepped(server: &ListedServer) -> ListedServer {
+pub fn advance_phase(server: &ListedServer) -> ListedServer {
     match server.phase {
         Phase::Ready => ListedServer {
             phase: Phase::Terminating,
@@ -154,16 +154,16 @@
         let mut published = Vec::new();
         let mut report = self.fleet.report()?;
         for number in 0..load.changes {
-            if !load.in_step {
+            if !load.is_sequential {
                 std::thread::sleep(
                     (begin + gap * number).saturating_duration_since(Instant::now()),
                 );
             }
             let index = (number as usize / 2 * 37) % servers.len();
-            servers[index] = stepped(&servers[index]);
+            servers[index] = advance_phase(&servers[index]);
             let version = self.discovery.publish(vec![servers[index].clone()]);
             published.push(version);
-            if load.in_step || number + 1 == load.changes {
+            if load.is_sequential || number + 1 == load.changes {
                 let in_force = self
                     .fleet
                     .await_revisions(&[version.revision], MAX_CHANGE_S)?;
@@ -223,7 +223,7 @@
     let now_us = unix_us();
     let since_us = |mixer: &MixerReport| {
         mixer
-            .in_force
+            .applied
             .first()
             .map_or(0, |first| now_us.saturating_sub(first.at_us))
     };
--- a/crates/wharfhub-testbed/src/fleet/call_queue.rs
+++ b/crates/wharfhub-testbed/src/fleet/call_queue.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Call {
     /// The complete list.
-    WholeList,
+    CompleteList,
     /// Changes after a version, waiting for them for so long at most.
     Watch {
         /// The version that is known.
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Answer {
     /// The complete list.
-    WholeList,
+    CompleteList,
     /// The changes after that version, perhaps none.
     Changes {
         /// The version that is known.
@@ -39,7 +39,7 @@
 /// Calls in turn, and open watches. `K` names who asked.
 #[derive(Debug)]
 pub struct CallQueue<K> {
-    turn_s: f64,
+    service_time_s: f64,
     busy_until: f64,
     queue: VecDeque<(f64, K, Call)>,
     watches: BTreeMap<K, OpenWatch>,
@@ -54,10 +54,10 @@
 
 impl<K: Copy + Ord> CallQueue<K> {
     /// A queue in which each call takes so long.
-    pub fn new(turn_s: f64) -> CallQueue<K> {
+    pub fn new(service_time_s: f64) -> CallQueue<K> {
         let (queue, watches) = (VecDeque::new(), BTreeMap::new());
         CallQueue {
-            turn_s,
+            service_time_s,
             busy_until: 0.0,
             queue,
             watches,
@@ -66,8 +66,8 @@
     }
 
     /// Each call takes so long from now on.
-    pub fn set_turn_s(&mut self, turn_s: f64) {
-        self.turn_s = turn_s;
+    pub fn set_service_time_s(&mut self, service_time_s: f64) {
+        self.service_time_s = service_time_s;
     }
 
     /// A call has come.
@@ -78,7 +78,7 @@
     }
 
     /// Whoever asked has gone. Its call takes its turn all the same, for discovery does not notice.
-    pub fn forget(&mut self, key: K) {
+    pub fn remove_watch(&mut self, key: K) {
         self.watches.remove(&key);
     }
 
@@ -97,18 +97,18 @@
         self.max_queued
     }
 
-    /// The answers that are due now, at that version of the list; `remembers` says whether changes since a version
+    /// The answers that are due now, at that version of the list; `has_changes_since` says whether changes since a version
     /// can be told.
     pub fn poll(
         &mut self,
         now: f64,
         revision: u64,
-        remembers: impl Fn(u64) -> bool,
+        has_changes_since: impl Fn(u64) -> bool,
     ) -> Vec<(K, Answer)> {
         let mut answers = Vec::new();
         while let Some((asked_at, key, call)) = self.queue.front().copied() {
-            let done_at = self.busy_until + self.turn_s;
-            if done_at > now && self.turn_s > 0.0 {
+            let done_at = self.busy_until + self.service_time_s;
+            if done_at > now && self.service_time_s > 0.0 {
                 break;
             }
             self.queue.pop_front();
@@ -118,9 +118,9 @@
                 continue;
             }
             match call {
-                Call::WholeList => answers.push((key, Answer::WholeList)),
-                Call::Watch { since, .. } if !remembers(since) => {
-                    answers.push((key, Answer::WholeList))
+                Call::CompleteList => answers.push((key, Answer::CompleteList)),
+                Call::Watch { since, .. } if !has_changes_since(since) => {
+                    answers.push((key, Answer::CompleteList))
                 }
                 Call::Watch { since, wait_s } => {
                     self.watches.insert(
@@ -140,10 +140,10 @@
             self.watches.remove(&key);
             answers.push((
                 key,
-                if remembers(since) {
+                if has_changes_since(since) {
                     Answer::Changes { since }
                 } else {
-                    Answer::WholeList
+                    Answer::CompleteList
                 },
             ));
         }
@@ -151,13 +151,16 @@
     }
 
     /// When something falls due next, if nothing comes in.
-    pub fn next_at(&self) -> Option<f64> {
-        let turn = self.queue.front().map(|_| self.busy_until + self.turn_s);
+    pub fn next_due_at(&self) -> Option<f64> {
+        let call = self
+            .queue
+            .front()
+            .map(|_| self.busy_until + self.service_time_s);
         let watch = self
             .watches
             .values()
             .map(|watch| watch.until)
             .min_by(f64::total_cmp);
-        turn.into_iter().chain(watch).min_by(f64::total_cmp)
+        call.into_iter().chain(watch).min_by(f64::total_cmp)
     }
 }
--- a/crates/wharfhub-testbed/src/fleet/catalog.rs
+++ b/crates/wharfhub-testbed/src/fleet/catalog.rs
@@ -17,7 +17,7 @@
     /// It drains.
     Terminating,
     /// It is no longer there.
-    Gone,
+    Removed,
 }
 
 impl Phase {
@@ -25,7 +25,7 @@
         match self {
             Phase::Ready => "Ready",
             Phase::Terminating => "Terminating",
-            Phase::Gone => "Gone",
+            Phase::Removed => "Gone",
         }
     }
 }
@@ -89,7 +89,7 @@
     servers: BTreeMap<String, ListedServer>,
     changed: BTreeMap<(u64, String), ListedServer>, // the last change of each server, by version
     changed_at: HashMap<String, u64>,
-    oldest_known: u64, // changes after this version are remembered
+    forgotten_up_to: u64, // changes after this version are remembered
 }
 
 impl Catalog {
@@ -105,7 +105,7 @@
             servers,
             changed,
             changed_at,
-            oldest_known: revision,
+            forgotten_up_to: revision,
         }
     }
 
@@ -138,7 +138,7 @@
             }
             self.changed
                 .insert((self.revision, server.id.clone()), server.clone());
-            if server.phase == Phase::Gone {
+            if server.phase == Phase::Removed {
                 self.servers.remove(&server.id);
             } else {
                 self.servers.insert(server.id.clone(), server);
@@ -154,13 +154,13 @@
                 return;
             };
             self.changed_at.remove(&id);
-            self.oldest_known = self.oldest_known.max(revision);
+            self.forgotten_up_to = self.forgotten_up_to.max(revision);
         }
     }
 
     /// Whether changes since that version can be told; otherwise only the complete list can.
-    pub fn remembers(&self, since: u64) -> bool {
-        (self.oldest_known..=self.revision).contains(&since)
+    pub fn has_changes_since(&self, since: u64) -> bool {
+        (self.forgotten_up_to..=self.revision).contains(&since)
     }
 
     /// The complete list as text.
--- a/crates/wharfhub-testbed/src/fleet/discovery.rs
+++ b/crates/wharfhub-testbed/src/fleet/discovery.rs
@@ -28,7 +28,7 @@
 /// Longest wait of a watch, as the protocol has it (seconds).
 const MAX_WATCH_S: f64 = 60.0;
 /// Accepts in a row before other sockets are served.
-const MAX_ACCEPTS_A_TURN: usize = 256;
+const MAX_ACCEPTS_PER_ITERATION: usize = 256;
 /// Longest sleep of the loop where nothing is due (seconds).
 const MAX_POLL_S: f64 = 1.0;
 
@@ -43,7 +43,7 @@
     #[default]
     Whole,
     /// So many bytes of it are written, and the connection is closed.
-    CutAfter(usize),
+    TruncateAfter(usize),
     /// So many bytes of it are written, and nothing more ever.
     StallAfter(usize),
 }
@@ -52,15 +52,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Behavior {
     /// Connections are reset, new ones too.
-    pub down: bool,
+    pub is_down: bool,
     /// Calls are read and never answered.
-    pub silent: bool,
+    pub is_unresponsive: bool,
     /// Changes are told so much later (seconds).
-    pub lag_s: f64,
+    pub publish_delay_s: f64,
     /// Each call takes so long, one after the other (seconds).
-    pub turn_s: f64,
+    pub service_time_s: f64,
     /// Watches are answered with the complete list too.
-    pub whole_lists_only: bool,
+    pub complete_lists_only: bool,
     /// How lists are laid out.
     pub layout: Layout,
     /// What becomes of complete lists.
@@ -89,8 +89,8 @@
     pending: VecDeque<(Instant, Vec<ListedServer>)>,
     behavior: Behavior,
     counters: Counters,
-    region_cut_off: Vec<bool>,
-    silence_open_watches: bool,
+    region_partitioned: Vec<bool>,
+    ignore_open_watches: bool,
     stop: bool,
 }
 
@@ -135,8 +135,8 @@
             pending: VecDeque::new(),
             behavior,
             counters: Counters::default(),
-            region_cut_off: vec![false; regions],
-            silence_open_watches: false,
+            region_partitioned: vec![false; regions],
+            ignore_open_watches: false,
             stop: false,
         }));
         let (reported_cpu, cpu_known) = std::sync::mpsc::channel();
@@ -162,7 +162,7 @@
     pub fn publish(&self, changes: Vec<ListedServer>) -> Published {
         let now_us = unix_us();
         let mut shared = lock(&self.shared);
-        let lag = Duration::from_secs_f64(shared.behavior.lag_s.max(0.0));
+        let lag = Duration::from_secs_f64(shared.behavior.publish_delay_s.max(0.0));
         shared.pending.push_back((Instant::now() + lag, changes));
         let revision = shared.catalog.revision() + shared.pending.len() as u64;
         drop(shared);
@@ -174,22 +174,22 @@
     }
 
     /// Behaves in that way from now on.
-    pub fn behave(&self, behavior: Behavior) {
+    pub fn set_behavior(&self, behavior: Behavior) {
         lock(&self.shared).behavior = behavior;
         let _ = self.waker.wake();
     }
 
     /// Cuts a region off, without a sign to either side, or connects it again; what was open then is reset.
-    pub fn cut_off(&self, region: usize, cut_off: bool) {
-        if let Some(cut) = lock(&self.shared).region_cut_off.get_mut(region) {
-            *cut = cut_off;
+    pub fn set_partitioned(&self, region: usize, is_partitioned: bool) {
+        if let Some(partitioned) = lock(&self.shared).region_partitioned.get_mut(region) {
+            *partitioned = is_partitioned;
         }
         let _ = self.waker.wake();
     }
 
     /// Never answers the watches that are open now.
-    pub fn silence_open_watches(&self) {
-        lock(&self.shared).silence_open_watches = true;
+    pub fn ignore_open_watches(&self) {
+        lock(&self.shared).ignore_open_watches = true;
         let _ = self.waker.wake();
     }
 
@@ -258,9 +258,9 @@
     queue: CallQueue<ConnectionKey>,
     shared: Arc<Mutex<Shared>>,
     behavior: Behavior,
-    cut_off: Vec<bool>,
-    texts: HashMap<Answer, Rc<[u8]>>, // answers at the present version
-    texts_of: (u64, Layout),
+    partitioned: Vec<bool>,
+    rendered: HashMap<Answer, Rc<[u8]>>, // answers at the present version
+    rendered_for: (u64, Layout),
     start: Instant,
 }
 
@@ -271,10 +271,10 @@
         shared: Arc<Mutex<Shared>>,
         behavior: Behavior,
     ) -> Server {
-        let cut_off = vec![false; listeners.len()];
-        let queue = CallQueue::new(behavior.turn_s);
-        let (connections, texts) = (SlotMap::with_key(), HashMap::new());
-        let (texts_of, start) = ((0, Layout::Compact), Instant::now());
+        let partitioned = vec![false; listeners.len()];
+        let queue = CallQueue::new(behavior.service_time_s);
+        let (connections, rendered) = (SlotMap::with_key(), HashMap::new());
+        let (rendered_for, start) = ((0, Layout::Compact), Instant::now());
         Server {
             poll,
             listeners,
@@ -282,9 +282,9 @@
             queue,
             shared,
             behavior,
-            cut_off,
-            texts,
-            texts_of,
+            partitioned,
+            rendered,
+            rendered_for,
             start,
         }
     }
@@ -311,7 +311,7 @@
                     Token(key) => self.serve(ConnectionKey::from(KeyData::from_ffi(key as u64))),
                 }
             }
-            if self.obey() {
+            if self.apply_commands() {
                 return Ok(());
             }
             self.answer_due();
@@ -324,14 +324,14 @@
         let until_s = |at: Instant| at.saturating_duration_since(Instant::now()).as_secs_f64();
         let queue_s = self
             .queue
-            .next_at()
+            .next_due_at()
             .map_or(MAX_POLL_S, |at| at - self.now());
         let pending_s = pending.map_or(MAX_POLL_S, until_s);
         queue_s.min(pending_s).clamp(0.0, MAX_POLL_S)
     }
 
     /// Takes up what the owner of this discovery wants; says whether it is to end.
-    fn obey(&mut self) -> bool {
+    fn apply_commands(&mut self) -> bool {
         let shared = self.shared.clone();
         let mut shared = lock(&shared);
         while shared
@@ -344,19 +344,19 @@
             }
         }
         self.behavior = shared.behavior;
-        self.queue.set_turn_s(self.behavior.turn_s);
-        if std::mem::take(&mut shared.silence_open_watches) {
+        self.queue.set_service_time_s(self.behavior.service_time_s);
+        if std::mem::take(&mut shared.ignore_open_watches) {
             self.queue.take_watches();
         }
-        let joined = |region: usize| self.cut_off[region] && !shared.region_cut_off[region];
-        let joined: Vec<usize> = (0..self.cut_off.len())
+        let joined = |region: usize| self.partitioned[region] && !shared.region_partitioned[region];
+        let joined: Vec<usize> = (0..self.partitioned.len())
             .filter(|region| joined(*region))
             .collect();
-        self.cut_off.clone_from(&shared.region_cut_off);
+        self.partitioned.clone_from(&shared.region_partitioned);
         let stop = shared.stop;
         drop(shared);
         let is_reset =
-            |connection: &Connection| self.behavior.down || joined.contains(&connection.region);
+            |connection: &Connection| self.behavior.is_down || joined.contains(&connection.region);
         let reset: Vec<ConnectionKey> = self
             .connections
             .iter()
@@ -369,16 +369,16 @@
 
     fn close(&mut self, key: ConnectionKey) {
         self.connections.remove(key);
-        self.queue.forget(key);
+        self.queue.remove_watch(key);
     }
 
     fn accept(&mut self, region: usize) {
-        for _ in 0..MAX_ACCEPTS_A_TURN {
+        for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             let Ok((mut stream, _)) = self.listeners[region].accept() else {
                 return;
             };
             lock(&self.shared).counters.connections += 1;
-            if self.behavior.down {
+            if self.behavior.is_down {
                 continue;
             }
             let _ = stream.set_nodelay(true);
@@ -411,11 +411,11 @@
 
     /// Something has come on a connection, or more can be written to it.
     fn serve(&mut self, key: ConnectionKey) {
-        let cut_off = &self.cut_off;
+        let partitioned = &self.partitioned;
         let Some(connection) = self
             .connections
             .get_mut(key)
-            .filter(|connection| !cut_off[connection.region])
+            .filter(|connection| !partitioned[connection.region])
         else {
             return;
         };
@@ -434,7 +434,7 @@
         if read.is_err() || flushed.is_err() {
             return self.close(key);
         }
-        if !self.behavior.silent {
+        if !self.behavior.is_unresponsive {
             let now = self.now();
             calls
                 .into_iter()
@@ -447,19 +447,19 @@
         let shared = self.shared.clone();
         let mut shared = lock(&shared);
         let revision = shared.catalog.revision();
-        if self.texts_of != (revision, self.behavior.layout) {
-            self.texts.clear();
-            self.texts_of = (revision, self.behavior.layout);
+        if self.rendered_for != (revision, self.behavior.layout) {
+            self.rendered.clear();
+            self.rendered_for = (revision, self.behavior.layout);
         }
-        let (now, complete_only) = (self.now(), self.behavior.whole_lists_only);
+        let (now, complete_lists_only) = (self.now(), self.behavior.complete_lists_only);
         let catalog = &shared.catalog;
         let answers = self
             .queue
-            .poll(now, revision, |since| catalog.remembers(since));
+            .poll(now, revision, |since| catalog.has_changes_since(since));
         let mut closed = Vec::new();
         for (key, answer) in answers {
             let answer = match answer {
-                Answer::Changes { .. } if complete_only => Answer::WholeList,
+                Answer::Changes { .. } if complete_lists_only => Answer::CompleteList,
                 answer => answer,
             };
             let is_served = |connection: &&mut Connection| {
@@ -468,7 +468,7 @@
             let Some(connection) = self.connections.get_mut(key).filter(is_served) else {
                 continue;
             };
-            let text = self.texts.entry(answer);
+            let text = self.rendered.entry(answer);
             let text = text
                 .or_insert_with(|| render(&shared.catalog, answer, self.behavior.layout))
                 .clone();
@@ -476,7 +476,7 @@
             send(connection, text, answer, self.behavior.delivery);
             let unsent = connection.unsent as u64;
             shared.counters.max_unsent_bytes = shared.counters.max_unsent_bytes.max(unsent);
-            if self.cut_off[connection.region] {
+            if self.partitioned[connection.region] {
                 continue;
             }
             match connection.flush() {
@@ -526,7 +526,7 @@
         return None;
     };
     let query = match target.strip_prefix("/api/targets")? {
-        "" => return Some(Call::WholeList),
+        "" => return Some(Call::CompleteList),
         query => query.strip_prefix('?')?,
     };
     let value = |name: &str| {
@@ -541,13 +541,13 @@
             since,
             wait_s: wait_s.min(MAX_WATCH_S),
         },
-        None => Call::WholeList,
+        None => Call::CompleteList,
     })
 }
 
 fn render(catalog: &Catalog, answer: Answer, layout: Layout) -> Rc<[u8]> {
     let (status, body) = match answer {
-        Answer::WholeList => (200, catalog.complete_list(layout)),
+        Answer::CompleteList => (200, catalog.complete_list(layout)),
         Answer::Changes { since } => (200, catalog.changes_since(since, layout)),
         Answer::Overloaded => (503, "{}".into()),
     };
@@ -556,7 +556,7 @@
 
 fn count_answer(counters: &mut Counters, answer: Answer, revision: u64, bytes: usize) {
     match answer {
-        Answer::WholeList => counters.complete_lists += 1,
+        Answer::CompleteList => counters.complete_lists += 1,
         Answer::Changes { since } if since < revision => {
             counters.change_answers += 1;
             counters.change_bytes += bytes as u64;
@@ -569,12 +569,12 @@
 /// Hands a text to a connection, as far as it is to be delivered.
 fn send(connection: &mut Connection, text: Rc<[u8]>, answer: Answer, delivery: Delivery) {
     let (text, cut) = match (answer, delivery) {
-        (Answer::WholeList, Delivery::CutAfter(bytes) | Delivery::StallAfter(bytes)) => {
+        (Answer::CompleteList, Delivery::TruncateAfter(bytes) | Delivery::StallAfter(bytes)) => {
             (Rc::from(&text[..bytes.min(text.len())]), true)
         }
         _ => (text, false),
     };
-    connection.closes = cut && matches!(delivery, Delivery::CutAfter(_));
+    connection.closes = cut && matches!(delivery, Delivery::TruncateAfter(_));
     connection.stalled = cut && matches!(delivery, Delivery::StallAfter(_));
     connection.unsent += text.len();
     connection.out.push_back((text, 0));
--- a/crates/wharfhub-testbed/src/fleet/events.rs
+++ b/crates/wharfhub-testbed/src/fleet/events.rs
@@ -2,7 +2,7 @@
 //!
 //! This file owns what each event does to servers, mixers and regions. It must never judge a figure.
 
-use super::bench::{stepped, Load, MAX_CHANGE_S};
+use super::bench::{advance_phase, Load, MAX_CHANGE_S};
 use super::discovery::unix_us;
 use super::processes::merged;
 use super::propagation::Propagation;
@@ -152,14 +152,14 @@
 
     fn gone(server: &ListedServer) -> ListedServer {
         ListedServer {
-            phase: Phase::Gone,
+            phase: Phase::Removed,
             ..server.clone()
         }
     }
 
     fn back(server: &ListedServer) -> ListedServer {
-        stepped(&ListedServer {
-            phase: Phase::Gone,
+        advance_phase(&ListedServer {
+            phase: Phase::Removed,
             ..server.clone()
         })
     }
@@ -175,7 +175,7 @@
         report
             .mixers
             .iter_mut()
-            .for_each(|mixer| mixer.in_force.clear());
+            .for_each(|mixer| mixer.applied.clear());
         let before = self.regions.counters();
         self.published.iter_mut().for_each(Vec::clear);
         self.last_change_us = unix_us();
@@ -201,7 +201,7 @@
         let settled_us = |mixer: &MixerReport| {
             let revision = revisions[self.fleet.region(mixer.number)];
             let record = mixer
-                .in_force
+                .applied
                 .iter()
                 .find(|record| record.revision >= revision);
             record.map_or(0, |record| record.at_us.saturating_sub(self.last_change_us))
@@ -237,7 +237,7 @@
                 let at = begin + gap * number as u32;
                 std::thread::sleep(at.saturating_duration_since(Instant::now()));
                 let index = number / 2 * 37 % bench.servers.len();
-                bench.change(&[index], stepped);
+                bench.change(&[index], advance_phase);
             }
             Ok(())
         })?;
@@ -292,7 +292,7 @@
         })?;
         let started = (all - self.fleet.running()) as u64;
         let back = self.play("zone back", started, |bench| {
-            bench.fleet.restore(|index| index == zone)?;
+            bench.fleet.start_missing(|index| index == zone)?;
             bench.change(&indices, Self::back);
             Ok(())
         })?;
@@ -302,14 +302,14 @@
     /// The regions are apart, each changes servers of its own, and they meet again.
     pub fn regions_apart(&mut self) -> Result<EventOutcome, FleetError> {
         self.play("regions together again", 0, |bench| {
-            bench.regions.part();
+            bench.regions.partition();
             for number in 0..APART_CHANGES {
                 for region in 0..REGIONS {
                     let index = (ZONES as usize * number + region) % bench.servers.len();
-                    bench.change(&[index], stepped);
+                    bench.change(&[index], advance_phase);
                 }
             }
-            let published = bench.regions.join();
+            let published = bench.regions.heal();
             bench.note(published);
             Ok(())
         })
@@ -321,7 +321,7 @@
         self.play("all mixers restarted", started, |bench| {
             bench.fleet.kill(|_| true);
             bench.last_change_us = unix_us();
-            bench.fleet.restore(|_| true)
+            bench.fleet.start_missing(|_| true)
         })
     }
 
--- a/crates/wharfhub-testbed/src/fleet/host.rs
+++ b/crates/wharfhub-testbed/src/fleet/host.rs
@@ -99,6 +99,6 @@
         }
     }
     // All at once: each takes a moment to end.
-    mixers.iter_mut().for_each(HollowMixer::ask_to_stop);
+    mixers.iter_mut().for_each(HollowMixer::request_stop);
     Ok(())
 }
--- a/crates/wharfhub-testbed/src/fleet/mixer.rs
+++ b/crates/wharfhub-testbed/src/fleet/mixer.rs
@@ -19,7 +19,7 @@
 /// Stack of a mixer's thread: its deepest calls need a tenth of it.
 const STACK_BYTES: usize = 512 * 1024;
 /// Versions that are recorded between two reports of a mixer, at most.
-const MAX_RECORDS: usize = 20_000;
+const MAX_RECORDS_PER_REPORT: usize = 20_000;
 
 /// What a hollow mixer is made of.
 #[derive(Clone, Debug)]
@@ -50,7 +50,7 @@
 
 /// A version, and when it came into force (Unix microseconds).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct InForce {
+pub struct AppliedRevision {
     /// The version.
     pub revision: u64,
     /// When.
@@ -69,7 +69,7 @@
     /// Servers that the mixer knows.
     pub servers: u64,
     /// The versions that came into force since the last report, in order.
-    pub in_force: Vec<InForce>,
+    pub applied: Vec<AppliedRevision>,
     /// Records that found no room.
     pub dropped: u64,
     /// Why it ended, if it did.
@@ -80,20 +80,20 @@
 struct Record {
     revision: u64,
     servers: u64,
-    in_force: Vec<InForce>,
+    applied: Vec<AppliedRevision>,
     dropped: u64,
 }
 
 impl Record {
-    fn note(&mut self, list: &EndpointListInUse) {
+    fn record(&mut self, list: &EndpointListInUse) {
         let revision = list.revision.unwrap_or(0);
         self.servers = list.servers as u64;
         if revision == self.revision {
             return;
         }
         self.revision = revision;
-        if self.in_force.len() < MAX_RECORDS {
-            self.in_force.push(InForce {
+        if self.applied.len() < MAX_RECORDS_PER_REPORT {
+            self.applied.push(AppliedRevision {
                 revision,
                 at_us: unix_us(),
             });
@@ -107,7 +107,7 @@
 pub struct HollowMixer {
     number: u32,
     stop: UnixStream,
-    _reread: UnixStream, // kept open: a pipe that ends would be readable for ever
+    _reload: UnixStream, // kept open: a pipe that ends would be readable for ever
     record: Arc<Mutex<Record>>,
     failure: Arc<Mutex<Option<String>>>,
     cpu: ThreadCpu,
@@ -117,7 +117,7 @@
 
 impl Drop for HollowMixer {
     fn drop(&mut self) {
-        self.ask_to_stop();
+        self.request_stop();
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
@@ -127,7 +127,8 @@
 impl HollowMixer {
     /// Starts it on a thread of its own.
     pub fn start(setup: &MixerSetup) -> Result<HollowMixer, HollowMixerError> {
-        let ((stop, stopped), (reread, rereads)) = (UnixStream::pair()?, UnixStream::pair()?);
+        let ((stop, stopped), (reload, reload_requests)) =
+            (UnixStream::pair()?, UnixStream::pair()?);
         let options = Config::decode(config(setup).as_bytes())?.options()?;
         let record = Arc::new(Mutex::new(Record::default()));
         let failure = Arc::new(Mutex::new(None));
@@ -137,10 +138,10 @@
             let _ = reported_cpu.send(ThreadCpu::of_this_thread());
             let signals = Signals {
                 stop: stopped,
-                reload: rereads,
+                reload: reload_requests,
                 config_path: "hollow".into(),
             };
-            let observer = move |list: EndpointListInUse| lock(&thread_record).note(&list);
+            let observer = move |list: EndpointListInUse| lock(&thread_record).record(&list);
             let result = Mixer::new(options, signals).and_then(|mut mixer| {
                 mixer.observe_lists(Box::new(observer));
                 mixer.run()
@@ -159,7 +160,7 @@
         Ok(HollowMixer {
             number: setup.number,
             stop,
-            _reread: reread,
+            _reload: reload,
             record,
             failure,
             cpu,
@@ -169,7 +170,7 @@
     }
 
     /// Tells it to end, as SIGTERM does; dropping it waits for that.
-    pub fn ask_to_stop(&mut self) {
+    pub fn request_stop(&mut self) {
         let _ = self.stop.write_all(b"x");
     }
 
@@ -184,7 +185,7 @@
             cpu_s: self.last_cpu_s,
             revision: record.revision,
             servers: record.servers,
-            in_force: std::mem::take(&mut record.in_force),
+            applied: std::mem::take(&mut record.applied),
             dropped: record.dropped,
             failure: lock(&self.failure).clone(),
         }
--- a/crates/wharfhub-testbed/src/fleet/mod.rs
+++ b/crates/wharfhub-testbed/src/fleet/mod.rs
@@ -24,6 +24,6 @@
 pub use catalog::{Catalog, Layout, ListedServer, Phase};
 pub use counters::Counters;
 pub use discovery::{Behavior, Delivery, Discovery, Published};
-pub use mixer::{HollowMixer, InForce, MixerReport, MixerSetup};
+pub use mixer::{AppliedRevision, HollowMixer, MixerReport, MixerSetup};
 pub use processes::{Fleet, FleetReport};
 pub use setup::{FleetError, FleetSetup, MixerSettings};
--- a/crates/wharfhub-testbed/src/fleet/processes.rs
+++ b/crates/wharfhub-testbed/src/fleet/processes.rs
@@ -68,13 +68,13 @@
         };
         let region = index % setup.discovery.len();
         let numbers = (0..setup.mixers).filter(|number| *number % setup.processes == index as u32);
-        let words = HostSetup {
+        let host_setup = HostSetup {
             numbers: numbers.collect(),
             discovery: setup.discovery[region].to_string(),
-            settings: setup.settings.text(),
+            settings: setup.settings.to_json(),
             seed: setup.seed,
         };
-        host.say(&json::to_string(&words))?;
+        host.send_line(&json::to_string(&host_setup))?;
         Ok(host)
     }
 
@@ -85,7 +85,7 @@
         }
     }
 
-    fn say(&mut self, line: &str) -> Result<(), FleetError> {
+    fn send_line(&mut self, line: &str) -> Result<(), FleetError> {
         writeln!(self.input, "{line}").map_err(|error| self.failed(error))
     }
 
@@ -128,7 +128,7 @@
             hosts: (0..setup.processes).map(|_| None).collect(),
             setup,
         };
-        fleet.restore(|_| true)?;
+        fleet.start_missing(|_| true)?;
         Ok(fleet)
     }
 
@@ -138,8 +138,8 @@
     }
 
     /// Kills the processes of these places, all their mixers at once.
-    pub fn kill(&mut self, is_concerned: impl Fn(usize) -> bool) {
-        let indices = (0..self.hosts.len()).filter(|index| is_concerned(*index));
+    pub fn kill(&mut self, is_selected: impl Fn(usize) -> bool) {
+        let indices = (0..self.hosts.len()).filter(|index| is_selected(*index));
         let mut killed: Vec<Host> = indices
             .filter_map(|index| self.hosts[index].take())
             .collect();
@@ -147,9 +147,9 @@
     }
 
     /// Starts the processes of these places, where they do not run.
-    pub fn restore(&mut self, is_concerned: impl Fn(usize) -> bool) -> Result<(), FleetError> {
+    pub fn start_missing(&mut self, is_selected: impl Fn(usize) -> bool) -> Result<(), FleetError> {
         for index in 0..self.hosts.len() {
-            if self.hosts[index].is_none() && is_concerned(index) {
+            if self.hosts[index].is_none() && is_selected(index) {
                 self.hosts[index] = Some(Host::start(&self.setup, index)?);
             }
         }
@@ -178,7 +178,7 @@
     pub fn report(&mut self) -> Result<FleetReport, FleetError> {
         let mut hosts: Vec<&mut Host> = self.hosts.iter_mut().flatten().collect();
         for host in &mut hosts {
-            host.say(REPORT)?;
+            host.send_line(REPORT)?;
         }
         let mut all = FleetReport::default();
         for host in hosts {
@@ -220,7 +220,7 @@
                 return Ok(all);
             }
             if Instant::now() >= until {
-                return Err(FleetError::TooLate {
+                return Err(FleetError::Timeout {
                     what: format!("revisions {revisions:?}"),
                     within_s,
                     missing,
@@ -240,11 +240,11 @@
             .binary_search_by_key(&mixer.number, |other| other.number);
         if let Ok(index) = earlier {
             let records = before.mixers[index]
-                .in_force
+                .applied
                 .iter()
                 .copied()
-                .chain(mixer.in_force.iter().copied());
-            mixer.in_force = records.collect();
+                .chain(mixer.applied.iter().copied());
+            mixer.applied = records.collect();
         }
     }
     FleetReport {
--- a/crates/wharfhub-testbed/src/fleet/propagation.rs
+++ b/crates/wharfhub-testbed/src/fleet/propagation.rs
@@ -27,7 +27,7 @@
         for version in published {
             for mixer in mixers {
                 match mixer
-                    .in_force
+                    .applied
                     .iter()
                     .find(|record| record.revision >= version.revision)
                 {
--- a/crates/wharfhub-testbed/src/fleet/queries.rs
+++ b/crates/wharfhub-testbed/src/fleet/queries.rs
@@ -79,10 +79,10 @@
     pub fn play(&self) -> QueryOutcome {
         let addresses = self.daemons.iter().map(|daemon| daemon.address).collect();
         let load = load::play(&self.shared, addresses);
-        let tries = lock(&load.tally).tries;
+        let tries = lock(&load.tally).requests;
         let mut rules = lock(&self.shared.rules);
         rules.over();
-        let (asked, answered) = (tries[tally::ASKED], tries[tally::ANSWERED]);
+        let (asked, answered) = (tries[tally::TOTAL], tries[tally::ANSWERED]);
         QueryOutcome {
             asked,
             answered,
--- a/crates/wharfhub-testbed/src/fleet/regions.rs
+++ b/crates/wharfhub-testbed/src/fleet/regions.rs
@@ -11,7 +11,7 @@
 /// Regions with a discovery each.
 pub struct Regions {
     discoveries: Vec<Discovery>,
-    apart: bool,
+    is_partitioned: bool,
     missed: Vec<BTreeMap<String, ListedServer>>, // by region
 }
 
@@ -29,7 +29,7 @@
         let discoveries = (0..count).map(start).collect::<io::Result<_>>()?;
         Ok(Regions {
             discoveries,
-            apart: false,
+            is_partitioned: false,
             missed: vec![BTreeMap::new(); count],
         })
     }
@@ -51,7 +51,7 @@
     pub fn publish(&mut self, region: usize, changes: Vec<ListedServer>) -> Vec<Option<Published>> {
         let mut published = vec![None; self.discoveries.len()];
         for (index, discovery) in self.discoveries.iter().enumerate() {
-            if index == region || !self.apart {
+            if index == region || !self.is_partitioned {
                 published[index] = Some(discovery.publish(changes.clone()));
             } else {
                 let missed = changes
@@ -64,18 +64,18 @@
     }
 
     /// Parts the regions: from now on a change is known in its own region only.
-    pub fn part(&mut self) {
-        self.apart = true;
+    pub fn partition(&mut self) {
+        self.is_partitioned = true;
     }
 
     /// Joins the regions: each gets what it missed as one version.
-    pub fn join(&mut self) -> Vec<Option<Published>> {
-        self.apart = false;
+    pub fn heal(&mut self) -> Vec<Option<Published>> {
+        self.is_partitioned = false;
         let missed = self.missed.iter_mut().map(std::mem::take);
-        let notify = |(discovery, missed): (&Discovery, BTreeMap<String, ListedServer>)| {
+        let publish = |(discovery, missed): (&Discovery, BTreeMap<String, ListedServer>)| {
             (!missed.is_empty()).then(|| discovery.publish(missed.into_values().collect()))
         };
-        self.discoveries.iter().zip(missed).map(notify).collect()
+        self.discoveries.iter().zip(missed).map(publish).collect()
     }
 
     /// The latest version by region.
--- a/crates/wharfhub-testbed/src/fleet/setup.rs
+++ b/crates/wharfhub-testbed/src/fleet/setup.rs
@@ -58,7 +58,7 @@
     },
     /// Something did not come about in time.
     #[error("{what}: not within {within_s} s ({missing} mixers without it)")]
-    TooLate {
+    Timeout {
         /// What.
         what: String,
         /// The time there was (seconds).
@@ -103,7 +103,7 @@
 
 impl MixerSettings {
     /// As JSON that the daemon's decoder reads: the testbed's deployment, with lists that have to be asked for.
-    pub fn text(&self) -> String {
+    pub fn to_json(&self) -> String {
         let site = cardiff().faster("fleet", 1.0 / self.target_factor);
         let scenario = Scenario {
             mixers: self.replicas,
--- a/crates/wharfhub-testbed/src/load.rs
+++ b/crates/wharfhub-testbed/src/load.rs
@@ -120,7 +120,7 @@
             let timeout_s = query.at + query.timeout_s - asked_at;
             let mixer = (query.mixer + tried as usize) % self.mixers.len();
             lock(&shared.rules).asked(&id);
-            lock(&self.tally).tries[tally::ASKED] += 1;
+            lock(&self.tally).requests[tally::TOTAL] += 1;
             let answer = self.ask(mixer, &id, number, query, timeout_s);
             let (took_s, since_s) = (shared.now() - asked_at, shared.now() - query.at);
             let mut notified_s = None;
@@ -148,10 +148,10 @@
             lock(&shared.rules).ended(&id, query, &ended, took_s, timeout_s);
             let kind = match ended {
                 Ended::Refused(_) => tally::REFUSED,
-                Ended::Left => tally::LEFT,
+                Ended::Left => tally::CLIENT_LEFT,
                 _ => tally::FAILED,
             };
-            lock(&self.tally).tries[kind] += 1;
+            lock(&self.tally).requests[kind] += 1;
             let (max, backoff_s, _) = scenario.site.retries;
             let backoff_s = (backoff_s.0 + backoff_s.1) / 2.0;
             let again_s = notified_s
@@ -159,7 +159,7 @@
                 .unwrap_or(backoff_s);
             let may = notified_s.is_some() || class.safe();
             if tried >= max || query.timeout_s - since_s - again_s <= TOO_SHORT_S || !may {
-                return lock(&self.tally).query(scenario, query, None, since_s);
+                return lock(&self.tally).record_query(scenario, query, None, since_s);
             }
             std::thread::sleep(Duration::from_secs_f64(again_s));
         }
@@ -200,16 +200,16 @@
             timeout_s,
         );
         let mut tally = lock(&self.tally);
-        tally.tries[tally::ANSWERED] += 1;
-        tally.tries[tally::IN_PART] += u64::from(!body.full);
+        tally.requests[tally::ANSWERED] += 1;
+        tally.requests[tally::PARTIAL] += u64::from(!body.full);
         let mut share = 0.0;
         for (index, value) in &made {
             let (part, word) = (query.parts[*index], value.ends_with(" none"));
             share += part.weight;
-            tally.useful_s += part.work_s * if word { scenario.pre_check_work } else { 1.0 };
+            tally.useful_work_s += part.work_s * if word { scenario.pre_check_work } else { 1.0 };
             tally.pruned += u64::from(word);
         }
-        tally.query(
+        tally.record_query(
             scenario,
             query,
             Some((since_s, if body.full { 1.0 } else { share })),
--- a/crates/wharfhub-testbed/src/tally.rs
+++ b/crates/wharfhub-testbed/src/tally.rs
@@ -7,9 +7,9 @@
 
 const WINDOW_S: f64 = 10.0;
 /// What an answer in part earns of its share.
-const PARTIAL: f64 = 0.9;
+const PARTIAL_ANSWER_FACTOR: f64 = 0.9;
 /// A window of which less than this share of the scenario's mean was asked says nothing.
-const THIN: f64 = 0.3;
+const MIN_WINDOW_SHARE: f64 = 0.3;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Sum {
@@ -40,38 +40,38 @@
     windows: Vec<Sum>,
     classes: Vec<Sum>,
     tenants: Vec<Sum>,
-    late_fail: f64,
+    failed_late: f64,
     late: f64,
     unanswered: f64,
-    asked_work: f64,
+    asked_work_s: f64,
     /// Queries answered, by class.
     pub answered: Vec<u64>,
     /// Work of leaf servers, by class (core seconds).
     pub work_s: Vec<f64>,
     /// Of it, what went into answers that clients got (core seconds).
-    pub useful_s: f64,
+    pub useful_work_s: f64,
     /// Words of leaf servers that say that a part has no match, and that were part of an answer.
     pub pruned: u64,
     /// Tries, and among them answered, in part, refused, failed and left.
-    pub tries: [u64; 6],
+    pub requests: [u64; 6],
     /// Attempts sent.
-    pub sends: u64,
+    pub attempts_sent: u64,
     /// Attempts that pre-checked.
-    pub words: u64,
+    pub prechecks: u64,
 }
 
-/// Places in [`Tally::tries`].
-pub const ASKED: usize = 0;
+/// Places in [`Tally::requests`].
+pub const TOTAL: usize = 0;
 /// Answered.
 pub const ANSWERED: usize = 1;
 /// Answered in part.
-pub const IN_PART: usize = 2;
+pub const PARTIAL: usize = 2;
 /// Refused.
 pub const REFUSED: usize = 3;
 /// Failed.
 pub const FAILED: usize = 4;
 /// Left by the client.
-pub const LEFT: usize = 5;
+pub const CLIENT_LEFT: usize = 5;
 
 impl Tally {
     /// A scenario of which nothing is known.
@@ -83,23 +83,23 @@
             windows: vec![Sum::default(); windows],
             classes: vec![Sum::default(); scenario.site.classes.len()],
             tenants: vec![Sum::default(); scenario.site.tenants.len()],
-            late_fail: 0.0,
+            failed_late: 0.0,
             late: 0.0,
             unanswered: 0.0,
-            asked_work: 0.0,
+            asked_work_s: 0.0,
             work_s: vec![0.0; scenario.site.classes.len()],
             answered: vec![0; scenario.site.classes.len()],
-            useful_s: 0.0,
+            useful_work_s: 0.0,
             pruned: 0,
-            tries: [0; 6],
-            sends: 0,
-            words: 0,
+            requests: [0; 6],
+            attempts_sent: 0,
+            prechecks: 0,
         }
     }
 
-    /// A query is over, over all its tries: answered so long after it was first asked, from a share of its weight,
+    /// A query is over, over all its requests: answered so long after it was first asked, from a share of its weight,
     /// or not at all, and then it ended after so long.
-    pub fn query(
+    pub fn record_query(
         &mut self,
         scenario: &Scenario,
         query: &Query,
@@ -114,7 +114,11 @@
                 1.0
             };
         let earned = answered.map_or(0.0, |(took_s, share)| {
-            let part = if share > 0.9999 { 1.0 } else { PARTIAL * share };
+            let part = if share > 0.9999 {
+                1.0
+            } else {
+                PARTIAL_ANSWER_FACTOR * share
+            };
             asked
                 * part
                 * if took_s <= class.latency_objective_s {
@@ -128,10 +132,10 @@
         self.windows[((query.at / WINDOW_S) as usize).min(last)].add(asked, earned);
         self.classes[query.class].add(asked, earned);
         self.tenants[query.tenant].add(asked, earned);
-        self.asked_work += query.work_s();
+        self.asked_work_s += query.work_s();
         self.answered[query.class] += u64::from(answered.is_some());
         if answered.is_none() && ended_s > class.latency_objective_s {
-            self.late_fail += asked;
+            self.failed_late += asked;
         }
         self.unanswered += if answered.is_none() { asked } else { 0.0 };
         self.late += if answered.is_some_and(|(took_s, _)| took_s > class.latency_objective_s) {
@@ -142,13 +146,13 @@
     }
 
     /// Of the worth asked for, the shares answered late and not at all.
-    pub fn lost(&self) -> (f64, f64) {
+    pub fn late_and_unanswered_shares(&self) -> (f64, f64) {
         let asked = self.complete.asked.max(1e-9);
         (self.late / asked, self.unanswered / asked)
     }
 
     /// Worth earned over the worth asked for, of the whole scenario.
-    pub fn in_time(&self) -> f64 {
+    pub fn in_time_share(&self) -> f64 {
         self.complete.share()
     }
 
@@ -162,10 +166,10 @@
                 .map(Sum::share);
             all.fold(1.0, f64::min)
         };
-        let late = self.late_fail / self.complete.asked.max(1e-9);
+        let late = self.failed_late / self.complete.asked.max(1e-9);
         let [complete, window, class, tenant] = self.goal.weights;
         complete * self.complete.share()
-            + window * worst(&self.windows, THIN * mean)
+            + window * worst(&self.windows, MIN_WINDOW_SHARE * mean)
             + class * worst(&self.classes, 0.0)
             + tenant * worst(&self.tenants, 0.0)
             - self.goal.late_fail * late
@@ -175,6 +179,6 @@
     /// Work that no answer used, as a share of what was asked for.
     pub fn waste(&self) -> f64 {
         let worked: f64 = self.work_s.iter().sum();
-        (worked - self.useful_s).max(0.0) / self.asked_work.max(1e-9)
+        (worked - self.useful_work_s).max(0.0) / self.asked_work_s.max(1e-9)
     }
 }
--- a/crates/wharfhub-testbed/src/world/clients.rs
+++ b/crates/wharfhub-testbed/src/world/clients.rs
@@ -45,10 +45,10 @@
             ..QueryRequest::default()
         };
         let mixer = self.front(query, tried);
-        self.tally.tries[tally::ASKED] += 1;
+        self.tally.requests[tally::TOTAL] += 1;
         if self.mixers[mixer].coordinator.is_none() {
             // Nobody listens there.
-            self.tally.tries[tally::FAILED] += 1;
+            self.tally.requests[tally::FAILED] += 1;
             return self.again(number, tried, None, true);
         }
         self.taken += 1;
@@ -81,7 +81,7 @@
             return;
         };
         let took_s = self.now - open.asked_at;
-        self.tally.tries[tally::LEFT] += 1;
+        self.tally.requests[tally::CLIENT_LEFT] += 1;
         let query = &self.queries[number];
         let id = format!("q{number}-{tried}");
         if took_s >= open.timeout_s - 1e-6 {
@@ -92,7 +92,7 @@
         self.rules
             .ended(&id, query, &Ended::Left, took_s, open.timeout_s);
         let ended_s = self.now - START_S - query.at;
-        self.tally.query(self.scenario, query, None, ended_s);
+        self.tally.record_query(self.scenario, query, None, ended_s);
         self.drive(open.mixer, |coordinator, now, out| {
             coordinator.client_disconnected(now, open.request, out)
         });
@@ -121,11 +121,11 @@
                 return self.count_answer(number, complete, &is_in, &pruned);
             }
             FinalAnswer::Rejected { retry_after_s, .. } => {
-                self.tally.tries[tally::REFUSED] += 1;
+                self.tally.requests[tally::REFUSED] += 1;
                 Some(retry_after_s)
             }
             FinalAnswer::Failed { .. } => {
-                self.tally.tries[tally::FAILED] += 1;
+                self.tally.requests[tally::FAILED] += 1;
                 None
             }
         };
@@ -136,8 +136,8 @@
     fn count_answer(&mut self, number: usize, complete: bool, is_in: &[bool], pruned: &[bool]) {
         let query = &self.queries[number];
         let since_s = self.now - START_S - query.at;
-        self.tally.tries[tally::ANSWERED] += 1;
-        self.tally.tries[tally::IN_PART] += u64::from(!complete);
+        self.tally.requests[tally::ANSWERED] += 1;
+        self.tally.requests[tally::PARTIAL] += u64::from(!complete);
         let mut share = 0.0;
         for (index, part) in query.parts.iter().enumerate() {
             if !is_in[index] {
@@ -149,12 +149,12 @@
             } else {
                 1.0
             };
-            self.tally.useful_s += part.work_s * work;
+            self.tally.useful_work_s += part.work_s * work;
             self.tally.pruned += u64::from(pruned[index]);
         }
         let share = if complete { 1.0 } else { share };
         self.tally
-            .query(self.scenario, query, Some((since_s, share)), since_s);
+            .record_query(self.scenario, query, Some((since_s, share)), since_s);
     }
 
     /// A try ended without an answer: the client tries again, or its query is over.
@@ -179,7 +179,7 @@
         if tried < max && left_s > TOO_SHORT_S && may {
             self.at(self.now + again_s, Event::Ask(number, tried + 1));
         } else {
-            self.tally.query(self.scenario, query, None, since_s);
+            self.tally.record_query(self.scenario, query, None, since_s);
         }
     }
 }
--- a/crates/wharfhub-testbed/src/world/leaf_servers.rs
+++ b/crates/wharfhub-testbed/src/world/leaf_servers.rs
@@ -150,8 +150,8 @@
         let query_request = &part.query_request;
         let query = &self.queries[query_number(&query_request.id)];
         let shard = query_request.parts[part.index].shard;
-        self.tally.sends += 1;
-        self.tally.words += u64::from(part.pre_check);
+        self.tally.attempts_sent += 1;
+        self.tally.prechecks += u64::from(part.pre_check);
         self.rules.sent(
             self.now,
             (mixer as u32, leaf_server),
--- a/crates/wharfhub-testbed/src/world/mod.rs
+++ b/crates/wharfhub-testbed/src/world/mod.rs
@@ -520,11 +520,11 @@
         for (number, tried) in held {
             self.open.remove(&(number, tried));
             self.rules.void(&format!("q{number}-{tried}"));
-            self.tally.tries[tally::LEFT] += 1;
+            self.tally.requests[tally::CLIENT_LEFT] += 1;
             let query = &self.queries[number];
             if machine {
                 let ended_s = query.timeout_s;
-                self.tally.query(self.scenario, query, None, ended_s);
+                self.tally.record_query(self.scenario, query, None, ended_s);
             } else {
                 self.again(number, tried, None, false);
             }
--- a/crates/wharfhub-testbed/tests/fleet.rs
+++ b/crates/wharfhub-testbed/tests/fleet.rs
@@ -7,15 +7,15 @@
 use std::net::{SocketAddr, TcpStream};
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
-use wharfhub_testbed::fleet::bench::{servers, stepped, Load};
+use wharfhub_testbed::fleet::bench::{advance_phase, servers, Load};
 use wharfhub_testbed::fleet::call_queue::{Answer, Call, CallQueue};
 use wharfhub_testbed::fleet::fit::LineFit;
 use wharfhub_testbed::fleet::host::{self, HostError};
 use wharfhub_testbed::fleet::propagation::Propagation;
 use wharfhub_testbed::fleet::regions::Regions;
 use wharfhub_testbed::fleet::{
-    Behavior, Catalog, Delivery, Discovery, Fleet, FleetError, FleetSetup, HollowMixer, InForce,
-    Layout, ListedServer, MixerReport, MixerSettings, MixerSetup, Phase, Published,
+    AppliedRevision, Behavior, Catalog, Delivery, Discovery, Fleet, FleetError, FleetSetup,
+    HollowMixer, Layout, ListedServer, MixerReport, MixerSettings, MixerSetup, Phase, Published,
 };
 
 /// Longer than anything here takes on a busy machine.
@@ -40,7 +40,7 @@
 }
 
 fn mixer(number: u32, discovery: SocketAddr, cells: u32) -> HollowMixer {
-    let settings = settings(2, cells).text();
+    let settings = settings(2, cells).to_json();
     HollowMixer::start(&MixerSetup {
         number,
         discovery,
@@ -96,7 +96,7 @@
     );
     let mut mixer = mixer(0, discovery.addresses[0], count);
     assert_eq!(wait_for_revision(&mut mixer, 1).servers, u64::from(count));
-    let changed = discovery.publish(servers(count).iter().map(stepped).collect());
+    let changed = discovery.publish(servers(count).iter().map(advance_phase).collect());
     assert_eq!(
         wait_for_revision(&mut mixer, changed.revision).servers,
         u64::from(count)
@@ -110,7 +110,7 @@
     let mut mixer = mixer(0, discovery.addresses[0], 1_500);
     wait_for_revision(&mut mixer, 1);
     let gone = |server: &ListedServer| ListedServer {
-        phase: Phase::Gone,
+        phase: Phase::Removed,
         ..server.clone()
     };
     let changed = discovery.publish(servers(1_000).iter().map(gone).collect());
@@ -129,7 +129,7 @@
     };
     let gone = ListedServer {
         id: "s-never-there".into(),
-        phase: Phase::Gone,
+        phase: Phase::Removed,
         ..unknown.clone()
     };
     let changed = discovery.publish(vec![unknown, gone]);
@@ -140,7 +140,7 @@
 #[test]
 fn lists_that_are_cut_off_change_nothing() {
     let cut = Behavior {
-        delivery: Delivery::CutAfter(5_000),
+        delivery: Delivery::TruncateAfter(5_000),
         ..Behavior::default()
     };
     let discovery = discovery(200, cut);
@@ -148,8 +148,8 @@
     wait_until("three lists were cut off", || {
         discovery.counters().complete_lists >= 3
     });
-    assert_eq!(mixer.report().in_force, []);
-    discovery.behave(Behavior::default());
+    assert_eq!(mixer.report().applied, []);
+    discovery.set_behavior(Behavior::default());
     assert_eq!(wait_for_revision(&mut mixer, 1).servers, 200);
 }
 
@@ -158,14 +158,14 @@
     let discovery = discovery(
         50,
         Behavior {
-            whole_lists_only: true,
+            complete_lists_only: true,
             ..Behavior::default()
         },
     );
     let mut mixer = mixer(0, discovery.addresses[0], 50);
     wait_for_revision(&mut mixer, 1);
     let gone = ListedServer {
-        phase: Phase::Gone,
+        phase: Phase::Removed,
         ..servers(1)[0].clone()
     };
     let changed = discovery.publish(vec![gone]);
@@ -175,18 +175,18 @@
 
 /// Silent, down, or cut off from the mixer's region: a change is in force once discovery can be reached.
 #[rstest]
-#[case::silent(Behavior { silent: true, ..Behavior::default() }, false)]
-#[case::down(Behavior { down: true, ..Behavior::default() }, false)]
+#[case::silent(Behavior { is_unresponsive: true, ..Behavior::default() }, false)]
+#[case::down(Behavior { is_down: true, ..Behavior::default() }, false)]
 #[case::cut_off(Behavior::default(), true)]
 fn a_change_is_in_force_after_trouble_of_discovery(#[case] fault: Behavior, #[case] cut_off: bool) {
     let discovery = discovery(20, Behavior::default());
     let mut mixer = mixer(0, discovery.addresses[0], 20);
     wait_for_revision(&mut mixer, 1);
     wait_until("a watch is open", || discovery.counters().watches == 1);
-    discovery.silence_open_watches();
-    discovery.behave(fault);
-    discovery.cut_off(0, cut_off);
-    let changed = discovery.publish(vec![stepped(&servers(1)[0])]);
+    discovery.ignore_open_watches();
+    discovery.set_behavior(fault);
+    discovery.set_partitioned(0, cut_off);
+    let changed = discovery.publish(vec![advance_phase(&servers(1)[0])]);
     let before = discovery.counters();
     if cut_off {
         // Nothing passes; the mixer opens another connection for its next call.
@@ -202,8 +202,8 @@
         });
     }
     assert_eq!(mixer.report().revision, 1);
-    discovery.behave(Behavior::default());
-    discovery.cut_off(0, false);
+    discovery.set_behavior(Behavior::default());
+    discovery.set_partitioned(0, false);
     wait_for_revision(&mut mixer, changed.revision);
 }
 
@@ -222,9 +222,9 @@
         .iter_mut()
         .zip(&first)
         .for_each(|(mixer, revision)| drop(wait_for_revision(mixer, *revision)));
-    regions.part();
+    regions.partition();
     let gone = |index: usize| ListedServer {
-        phase: Phase::Gone,
+        phase: Phase::Removed,
         ..all[index].clone()
     };
     for (region, indices) in [(0, vec![0, 1, 2]), (1, vec![3])] {
@@ -239,7 +239,7 @@
         [37, 39],
         [0, 1].map(|region: usize| mixers[region].report().servers)
     );
-    let joined = regions.join();
+    let joined = regions.heal();
     for (mixer, published) in mixers.iter_mut().zip(joined) {
         assert_eq!(
             wait_for_revision(mixer, published.unwrap().revision).servers,
@@ -255,17 +255,17 @@
     let discovery = discovery(
         10,
         Behavior {
-            lag_s: 0.3,
+            publish_delay_s: 0.3,
             ..Behavior::default()
         },
     );
     let mut mixer = mixer(0, discovery.addresses[0], 10);
     wait_for_revision(&mut mixer, 1);
-    let changed = discovery.publish(vec![stepped(&servers(1)[0])]);
+    let changed = discovery.publish(vec![advance_phase(&servers(1)[0])]);
     let report = wait_for_revision(&mut mixer, changed.revision);
     assert!(
         report
-            .in_force
+            .applied
             .iter()
             .all(|record| record.at_us >= changed.at_us),
         "{changed:?} {report:?}"
@@ -299,7 +299,7 @@
     wait_until("the slow one is closed", || {
         discovery.counters().slow_closed == 1
     });
-    discovery.publish(vec![stepped(&servers(1)[0])]);
+    discovery.publish(vec![advance_phase(&servers(1)[0])]);
     for watcher in &mut watchers {
         let mut head = [0; 15];
         watcher.read_exact(&mut head).unwrap();
@@ -340,8 +340,8 @@
         .all(|mixer| mixer.revision == 0));
     fleet.kill(|index| index == 0);
     assert_eq!(fleet.running(), 3);
-    discovery.behave(Behavior::default());
-    fleet.restore(|_| true).unwrap();
+    discovery.set_behavior(Behavior::default());
+    fleet.start_missing(|_| true).unwrap();
     let report = fleet.await_revisions(&[1], MAX_WAIT.as_secs_f64()).unwrap();
     assert_eq!(
         report
@@ -375,7 +375,7 @@
     fleet.await_revisions(&[1], MAX_WAIT.as_secs_f64()).unwrap();
     let error = fleet.await_revisions(&[99], 0.0).unwrap_err();
     assert!(
-        matches!(error, FleetError::TooLate { missing: 2, .. }),
+        matches!(error, FleetError::Timeout { missing: 2, .. }),
         "{error}"
     );
 }
@@ -433,7 +433,7 @@
         .stderr(Stdio::null());
     let mut child = command.spawn().unwrap();
     let mut input = child.stdin.take().unwrap();
-    let settings = miniserde::json::to_string(&settings(1, 5).text());
+    let settings = miniserde::json::to_string(&settings(1, 5).to_json());
     let address = discovery.addresses[0];
     writeln!(
         input,
@@ -457,12 +457,12 @@
 
 /// What is answered at 10 s, having come at 9 s, with version 5 in force and versions from 3 on remembered.
 #[rstest]
-#[case::complete_list(Call::WholeList, 5, Some(Answer::WholeList))]
+#[case::complete_list(Call::CompleteList, 5, Some(Answer::CompleteList))]
 #[case::heartbeat(HEARTBEAT, 5, Some(NO_NEWS))]
 #[case::watch_without_news(WATCH, 5, None)]
 #[case::watch_with_news(WATCH, 6, Some(NO_NEWS))]
-#[case::from_too_long_ago(Call::Watch { since: 2, wait_s: 3.0 }, 5, Some(Answer::WholeList))]
-#[case::of_another_discovery(Call::Watch { since: 9, wait_s: 3.0 }, 5, Some(Answer::WholeList))]
+#[case::from_too_long_ago(Call::Watch { since: 2, wait_s: 3.0 }, 5, Some(Answer::CompleteList))]
+#[case::of_another_discovery(Call::Watch { since: 9, wait_s: 3.0 }, 5, Some(Answer::CompleteList))]
 fn calls_are_answered_by_the_version_they_know(
     #[case] call: Call,
     #[case] revision: u64,
@@ -494,23 +494,23 @@
 #[test]
 fn calls_take_turns_and_those_that_wait_too_long_fail() {
     let mut queue = CallQueue::new(0.5);
-    (0..6).for_each(|key| queue.push(0.0, key, Call::WholeList));
-    assert_eq!(queue.next_at(), Some(0.5));
+    (0..6).for_each(|key| queue.push(0.0, key, Call::CompleteList));
+    assert_eq!(queue.next_due_at(), Some(0.5));
     assert_eq!(queue.poll(0.4, 1, |_| true), []);
     assert_eq!(
         queue.poll(1.0, 1, |_| true),
-        [(0, Answer::WholeList), (1, Answer::WholeList)]
+        [(0, Answer::CompleteList), (1, Answer::CompleteList)]
     );
     let answers = queue.poll(9.0, 1, |_| true);
-    let (served, failed) = (Answer::WholeList, Answer::Overloaded);
+    let (served, failed) = (Answer::CompleteList, Answer::Overloaded);
     assert_eq!(
         answers,
         [(2, served), (3, served), (4, failed), (5, failed)]
     );
-    assert_eq!((queue.max_queued(), queue.next_at()), (6, None));
+    assert_eq!((queue.max_queued(), queue.next_due_at()), (6, None));
     // The next one finds it idle again.
-    queue.push(20.0, 7, Call::WholeList);
-    assert_eq!(queue.next_at(), Some(20.5));
+    queue.push(20.0, 7, Call::CompleteList);
+    assert_eq!(queue.next_due_at(), Some(20.5));
 }
 
 #[test]
@@ -534,9 +534,9 @@
         cpu_s: 0.0,
         revision: 0,
         servers: 0,
-        in_force: records
+        applied: records
             .iter()
-            .map(|(revision, at_us)| InForce {
+            .map(|(revision, at_us)| AppliedRevision {
                 revision: *revision,
                 at_us: *at_us,
             })
@@ -571,7 +571,7 @@
         servers: 30,
         changes_per_s: 10.0,
         changes: 3,
-        in_step: true,
+        is_sequential: true,
         idle_s: 0.01,
         round_s: 0.01,
         poll_within_s: 0.2,
--- a/crates/wharfhub-testbed/tests/scenarios.rs
+++ b/crates/wharfhub-testbed/tests/scenarios.rs
@@ -56,7 +56,7 @@
             run.rules.broken
         );
         assert!(
-            run.tally.pruned > 0 && run.tally.tries[tally::ANSWERED] > 0,
+            run.tally.pruned > 0 && run.tally.requests[tally::ANSWERED] > 0,
             "seed {seed}: {:?}",
             run.tally
         );
@@ -105,7 +105,7 @@
             run.rules.broken
         );
         assert!(
-            run.tally.tries[tally::ANSWERED] > 0,
+            run.tally.requests[tally::ANSWERED] > 0,
             "seed {seed}: {:?}",
             run.tally
         );
@@ -311,6 +311,6 @@
     let mut rules = lock(&shared.rules);
     rules.over();
     assert!(rules.broken.is_empty(), "{:?}", rules.broken);
-    assert!(lock(&load.tally).tries[tally::ANSWERED] > 0);
+    assert!(lock(&load.tally).requests[tally::ANSWERED] > 0);
     assert!(lock(&shared.work).2 > 0, "nothing was asked ahead");
 }
