--- a/crates/wharfhub-testbed/src/daemon.rs
+++ b/crates/wharfhub-testbed/src/daemon.rs
@@ -11,12 +11,12 @@
 use std::time::Duration;
 
 /// Longest wait for a line of the log.
-const PATIENCE: Duration = Duration::from_secs(10);
+const MAX_LOG_WAIT: Duration = Duration::from_secs(10);
 
 /// A mixer that runs.
 pub struct Daemon {
     child: Child,
-    file: PathBuf,
+    config_file: PathBuf,
     log: Receiver<String>,
     /// Where clients connect.
     pub address: SocketAddr,
@@ -26,14 +26,14 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.file);
+        let _ = std::fs::remove_file(&self.config_file);
     }
 }
 
 /// The program, beside this one, or where this is a test in the folder above.
 pub fn program() -> io::Result<PathBuf> {
     let own = std::env::current_exe()?;
-    let mut indices = own
+    let mut candidates = own
         .ancestors()
         .skip(1)
         .take(2)
@@ -44,7 +44,7 @@
             "the daemon is not built: cargo build --workspace",
         )
     };
-    indices.find(|path| path.is_file()).ok_or_else(missing)
+    candidates.find(|path| path.is_file()).ok_or_else(missing)
 }
 
 /// A mixer's configuration: a scenario's settings, and leaf servers that listen there; those of some numbers speak the search
@@ -58,7 +58,7 @@
     let knowing = scenario.some_leaf_servers(10, scenario.knowing);
     let endpoint = |(index, address): (usize, &SocketAddr)| {
         let leaf_server = index as u32;
-        let (queue_capacity, cell) = (
+        let (zone, cell) = (
             scenario.site.zones[usize::from(scenario.zone(leaf_server))],
             scenario.cell(leaf_server),
         );
@@ -68,7 +68,7 @@
             "frames"
         };
         format!(
-            "{{\"id\":\"box-{leaf_server}\",\"host_port\":\"{address}\",\"locality\":\"{queue_capacity}\",\"cell\":{cell},\
+            "{{\"id\":\"box-{leaf_server}\",\"host_port\":\"{address}\",\"locality\":\"{zone}\",\"cell\":{cell},\
              \"phase\":\"Ready\",\"up_since_ms\":0,\"speaks\":\"{speaks}\",\"prefilter\":{}}}",
             knowing.contains(&leaf_server)
         )
@@ -89,14 +89,14 @@
 
 /// Starts a mixer and waits until it serves.
 pub fn start(program: &Path, config: &str, name: &str) -> io::Result<Daemon> {
-    let file = std::env::temp_dir().join(format!(
+    let config_file = std::env::temp_dir().join(format!(
         "wharfhub-testbed-{}-{name}.json",
         std::process::id()
     ));
-    std::fs::write(&file, config)?;
+    std::fs::write(&config_file, config)?;
     let mut child = Command::new(program)
         .args(["serve", "--config"])
-        .arg(&file)
+        .arg(&config_file)
         .stderr(Stdio::piped())
         .spawn()?;
     let errors = child.stderr.take().ok_or(io::ErrorKind::BrokenPipe)?;
@@ -110,7 +110,7 @@
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
     let mut daemon = Daemon {
         child,
-        file,
+        config_file,
         log,
         address,
     };
@@ -162,7 +162,7 @@
 
     fn await_log(&mut self, text: &str) -> io::Result<String> {
         loop {
-            let line = self.log.recv_timeout(PATIENCE);
+            let line = self.log.recv_timeout(MAX_LOG_WAIT);
             let line = line.map_err(|_| {
                 io::Error::new(io::ErrorKind::TimedOut, format!("never logged: {text}"))
             })?;
--- a/crates/wharfhub-testbed/src/experiments/data_path.rs
+++ b/crates/wharfhub-testbed/src/experiments/data_path.rs
@@ -7,7 +7,7 @@
 
 mod cost_law;
 
-use super::{Failure, Options, Verdict};
+use super::{ExperimentError, Options, Verdict};
 use crate::daemon::{self, Daemon};
 use crate::fit::Point;
 use crate::load::{self, Load};
@@ -42,7 +42,7 @@
 const FLEET_QUERIES_PER_S: f64 = 140_000.0;
 /// An answer is in time within so long; clients wait longer (seconds).
 const LATENCY_TARGET_S: f64 = 0.24;
-const CLIENT_WAIT_S: f64 = 1.0;
+const CLIENT_TIMEOUT_S: f64 = 1.0;
 /// Mean time of a part at a leaf server in the closed loop and at the planned rate (seconds), and its spread to both
 /// sides as a share. In the closed loop parts are answered at once, so that the daemon is busy without a break: going to
 /// sleep and waking up cost a small query more than its parts do, and would hide what a part costs.
@@ -52,20 +52,20 @@
 
 /// Queries of each size in a round, and rounds: in the full and in the quick run. One round more comes first and does
 /// not count: it opens the connections.
-const QUERIES_A_ROUND: usize = 50;
+const QUERIES_PER_ROUND: usize = 50;
 const ROUNDS: (usize, usize) = (16, 8);
 /// Length of a run at the planned rate, and the time before it begins (seconds).
-const PLANNED_S: f64 = 10.0;
-const START_S: f64 = 1.0;
+const PLANNED_RUN_S: f64 = 10.0;
+const START_DELAY_S: f64 = 1.0;
 /// Leaf servers that hold a partition, in virtual time; the last is 5,220 servers for 180 partitions. Length of such a scenario
 /// (seconds): the module's windows of 8 s have to fill.
 const HOLDERS: [u32; 3] = [2, 8, PLANNED_HOLDERS];
 pub(super) const PLANNED_HOLDERS: u32 = 29;
-const VIRTUAL_S: f64 = 9.0;
+const VIRTUAL_RUN_S: f64 = 9.0;
 /// A slow server takes so many times as long: far over the latency target.
 const SLOW_FACTOR: f64 = 25.0;
 /// Times in the rules are so much longer on sockets (seconds).
-const SLACK_S: f64 = 0.05;
+const TIME_TOLERANCE_S: f64 = 0.05;
 
 /// What a run is made of beside its queries.
 #[derive(Clone, Copy, Debug)]
@@ -124,7 +124,7 @@
         }
     }
 
-    fn part_us(&self) -> f64 {
+    fn us_per_part(&self) -> f64 {
         self.min_cpu_us / self.parts as f64
     }
 }
@@ -137,24 +137,24 @@
         parts: (parts, parts, 0.0),
         work_s: PLANNED_PART_S,
         latency_objective_s: LATENCY_TARGET_S,
-        give_up_s: CLIENT_WAIT_S,
+        give_up_s: CLIENT_TIMEOUT_S,
         floor: 1.0,
         ..cardiff().classes.remove(0)
     };
-    let plain = cardiff();
+    let base = cardiff();
     let leaf_servers = crate::model::LeafServerSetup {
         cores: LEAF_CORES,
         slots: LEAF_CORES,
-        ..plain.leaf_servers
+        ..base.leaf_servers
     };
     let site = Site {
         zones: &["one"],
         layout: Layout::Ring(1, 2),
         classes: SIZES.map(class).to_vec(),
-        attempts: (plain.attempts.0, case.hedging),
-        retries: (0, plain.retries.1, false),
+        attempts: (base.attempts.0, case.hedging),
+        retries: (0, base.retries.1, false),
         leaf_servers,
-        ..plain
+        ..base
     };
     let slow_share = f64::from(case.slow_servers) / f64::from(LEAF_SERVERS);
     let slow = (0.0, f64::MAX, Fault::SomeSlow(slow_share, SLOW_FACTOR));
@@ -194,19 +194,19 @@
         tenant: 0,
         key,
         parts,
-        timeout_s: CLIENT_WAIT_S,
+        timeout_s: CLIENT_TIMEOUT_S,
         leaves_s: f64::MAX,
         mixer: 0,
     }
 }
 
 /// Opens leaf servers and starts a daemon that knows them.
-fn start(scenario: Scenario, queries: Vec<Query>, name: &str) -> Result<Rig, Failure> {
+fn start(scenario: Scenario, queries: Vec<Query>, name: &str) -> Result<Rig, ExperimentError> {
     let program = daemon::program()?;
     let shared = Arc::new(Shared {
         queries,
-        start: Instant::now() + Duration::from_secs_f64(START_S),
-        rules: Mutex::new(Rules::new(&scenario, SLACK_S)),
+        start: Instant::now() + Duration::from_secs_f64(START_DELAY_S),
+        rules: Mutex::new(Rules::new(&scenario, TIME_TOLERANCE_S)),
         work: Mutex::new((vec![0.0; scenario.site.classes.len()], 0, 0)),
         scenario,
     });
@@ -218,7 +218,7 @@
     Ok(Rig { shared, daemon })
 }
 
-/// What the judge found, in words. A hedged request that a leaf server reads after the final answer is no finding: on
+/// What the judge cost_law, in words. A hedged request that a leaf server reads after the final answer is no finding: on
 /// sockets it may have been written before that answer, and only the order of reading is seen here.
 fn broken_rules(shared: &Shared) -> Vec<String> {
     let mut rules = lock(&shared.rules);
@@ -241,7 +241,10 @@
 }
 
 /// One client in a closed loop: all sizes in turn, round after round.
-fn measure_sizes(options: &Options, short: &mut Vec<String>) -> Result<Vec<SizeCost>, Failure> {
+fn measure_sizes(
+    options: &Options,
+    shortfalls: &mut Vec<String>,
+) -> Result<Vec<SizeCost>, ExperimentError> {
     let scenario = scenario(options.seed, CLOSED_LOOP);
     let rounds = 1 + if options.quick { ROUNDS.1 } else { ROUNDS.0 };
     let mut rng = scenario.rng(30);
@@ -249,21 +252,21 @@
     for block in 0..rounds * SIZES.len() {
         let class = block % SIZES.len();
         queries.extend(
-            (0..QUERIES_A_ROUND)
+            (0..QUERIES_PER_ROUND)
                 .map(|_| query(&scenario, &mut rng, class, 0.0, CLOSED_LOOP_PART_S)),
         );
     }
     let rig = start(scenario, queries, "sizes")?;
-    std::thread::sleep(Duration::from_secs_f64(START_S));
+    std::thread::sleep(Duration::from_secs_f64(START_DELAY_S));
     let mixer = vec![rig.daemon.address];
-    Load::new(&rig.shared, mixer.clone()).play_in_turn(0..SIZES.len() * QUERIES_A_ROUND);
+    Load::new(&rig.shared, mixer.clone()).play_in_turn(0..SIZES.len() * QUERIES_PER_ROUND);
     let load = Load::new(&rig.shared, mixer);
     let mut costs = vec![Vec::new(); SIZES.len()];
     for block in SIZES.len()..rounds * SIZES.len() {
         let before = rig.daemon.usage()?;
-        load.play_in_turn(block * QUERIES_A_ROUND..(block + 1) * QUERIES_A_ROUND);
+        load.play_in_turn(block * QUERIES_PER_ROUND..(block + 1) * QUERIES_PER_ROUND);
         let spent_s = rig.daemon.usage()?.cpu_s - before.cpu_s;
-        costs[block % SIZES.len()].push(spent_s * 1e6 / QUERIES_A_ROUND as f64);
+        costs[block % SIZES.len()].push(spent_s * 1e6 / QUERIES_PER_ROUND as f64);
     }
     let (asked, answered) = {
         let tally = lock(&load.tally);
@@ -273,11 +276,11 @@
         )
     };
     if answered < asked {
-        short.push(format!(
+        shortfalls.push(format!(
             "{answered} of {asked} queries answered in the closed loop"
         ));
     }
-    short.extend(broken_rules(&rig.shared));
+    shortfalls.extend(broken_rules(&rig.shared));
     let (_, attempts, _) = *lock(&rig.shared.work);
     let parts: usize = rig
         .shared
@@ -297,17 +300,17 @@
         cpu_us: Estimate::of(costs),
         p50_ms: latency[class].value_at_quantile(0.5) as f64 / 1000.0,
         p99_ms: latency[class].value_at_quantile(0.99) as f64 / 1000.0,
-        queries: costs.len() * QUERIES_A_ROUND,
+        queries: costs.len() * QUERIES_PER_ROUND,
     };
     Ok(costs.iter().enumerate().map(cost).collect())
 }
 
 /// Shows the costs, and what their law says.
-fn judge_sizes(
+fn report_sizes(
     options: &Options,
     costs: &[SizeCost],
-    short: &mut Vec<String>,
-) -> Result<(), Failure> {
+    shortfalls: &mut Vec<String>,
+) -> Result<(), ExperimentError> {
     let columns = [
         "parts",
         "queries",
@@ -319,12 +322,12 @@
     ];
     let mut table = Table::new(&columns);
     for cost in costs {
-        table.row(vec![
+        table.add_row(vec![
             cost.parts.to_string(),
             cost.queries.to_string(),
             format!("{:.0}", cost.min_cpu_us),
             cost.cpu_us.text(0),
-            format!("{:.1}", cost.part_us()),
+            format!("{:.1}", cost.us_per_part()),
             format!("{:.1}", cost.p50_ms),
             format!("{:.1}", cost.p99_ms),
         ]);
@@ -336,8 +339,8 @@
         (
             cost.parts as f64,
             Estimate {
-                mean: cost.part_us(),
-                half: 0.0,
+                mean: cost.us_per_part(),
+                half_width: 0.0,
             },
         )
     };
@@ -355,15 +358,16 @@
     )?;
 
     let points: Vec<Point> = costs.iter().map(SizeCost::point).collect();
-    let found = CostLaw::of(&points, HOLDOUT);
-    let found = found.ok_or_else(|| Failure::Other("the sizes determine no law".into()))?;
-    show_law(&found);
-    short.extend(found.shortfalls());
+    let cost_law = CostLaw::of(&points, HOLDOUT);
+    let cost_law =
+        cost_law.ok_or_else(|| ExperimentError::Other("the sizes determine no law".into()))?;
+    print_law(&cost_law);
+    shortfalls.extend(cost_law.shortfalls());
     Ok(())
 }
 
-fn show_law(found: &CostLaw) {
-    let terms: Vec<String> = found
+fn print_law(cost_law: &CostLaw) {
+    let terms: Vec<String> = cost_law
         .law
         .coefficients
         .iter()
@@ -373,19 +377,19 @@
         "law: CPU µs a query = {} (by rising power of parts), residual {:.1}%; {} parts kept out: predicted {:.0} µs, \
          measured {:.0} µs, error {:.1}%",
         terms.join(" + "),
-        found.law.residual * 100.0,
-        found.holdout.size,
-        found.law.at(found.holdout.size),
-        found.holdout.cost,
-        found.prediction_error * 100.0
+        cost_law.law.residual * 100.0,
+        cost_law.holdout.size,
+        cost_law.law.at(cost_law.holdout.size),
+        cost_law.holdout.cost,
+        cost_law.prediction_error * 100.0
     );
     println!(
         "CPU a part, largest query over smallest: {:.2}",
-        found.largest_over_smallest
+        cost_law.largest_over_smallest
     );
     println!(
         "CPU a part, largest query over the cheapest size: {:.2} (at most {MAX_COST_RATIO})",
-        found.largest_over_cheapest
+        cost_law.largest_over_cheapest
     );
 }
 
@@ -393,15 +397,15 @@
 fn measure_planned_rate(
     seed: u64,
     case: Case,
-    short: &mut Vec<String>,
-) -> Result<Vec<String>, Failure> {
+    shortfalls: &mut Vec<String>,
+) -> Result<Vec<String>, ExperimentError> {
     let scenario = scenario(seed, case);
     let largest = SIZES.len() - 1;
     let mut rng = scenario.rng(31);
     let gaps = Exp::new(FLEET_QUERIES_PER_S / f64::from(MIXERS)).expect("the rate is above 0");
     let mut queries = Vec::new();
     let mut at = gaps.sample(&mut rng);
-    while at < PLANNED_S {
+    while at < PLANNED_RUN_S {
         queries.push(query(&scenario, &mut rng, largest, at, PLANNED_PART_S));
         at += gaps.sample(&mut rng);
     }
@@ -409,23 +413,23 @@
     let before = rig.daemon.usage()?;
     let load = load::play(&rig.shared, vec![rig.daemon.address]);
     let after = rig.daemon.usage()?;
-    let (of_time, others): (Vec<_>, Vec<_>) = broken_rules(&rig.shared)
+    let (timing, others): (Vec<_>, Vec<_>) = broken_rules(&rig.shared)
         .into_iter()
         .partition(|what| is_about_time(what));
-    of_time
+    timing
         .iter()
         .for_each(|what| println!("{}: {what}", case.name));
-    short.extend(others);
+    shortfalls.extend(others);
     let latency = &lock(&load.latency)[largest];
-    let tries = lock(&load.tally).requests;
-    let asked = tries[tally::TOTAL].max(1);
+    let requests = lock(&load.tally).requests;
+    let asked = requests[tally::TOTAL].max(1);
     let (_, attempts, _) = *lock(&rig.shared.work);
     let in_time = latency.count_between(0, (LATENCY_TARGET_S * 1e6) as u64);
     let ms = |quantile: f64| format!("{:.1}", latency.value_at_quantile(quantile) as f64 / 1000.0);
     Ok(vec![
         case.name.into(),
         asked.to_string(),
-        format!("{:.4}", tries[tally::ANSWERED] as f64 / asked as f64),
+        format!("{:.4}", requests[tally::ANSWERED] as f64 / asked as f64),
         format!("{:.4}", in_time as f64 / asked as f64),
         ms(0.5),
         ms(0.99),
@@ -433,7 +437,7 @@
             "{:.3}",
             attempts as f64 / (asked as usize * SIZES[largest].0) as f64
         ),
-        format!("{:.2}", (after.cpu_s - before.cpu_s) / PLANNED_S),
+        format!("{:.2}", (after.cpu_s - before.cpu_s) / PLANNED_RUN_S),
         format!("{:.1}", after.resident_bytes as f64 / 1e6),
         format!(
             "{:.1}",
@@ -444,32 +448,32 @@
 
 /// A scenario in virtual time at the planned rate of one mixer: 180 partitions, each at so many leaf servers.
 pub(super) fn scenario_with_holders(seed: u64, holders: u32) -> Scenario {
-    let plain = scenario(seed, CLOSED_LOOP);
+    let base = scenario(seed, CLOSED_LOOP);
     let parts = SIZES[SIZES.len() - 1].0;
     let class = Class {
         share: 1.0,
-        ..plain.site.classes[SIZES.len() - 1].clone()
+        ..base.site.classes[SIZES.len() - 1].clone()
     };
     let layout = Layout::Sets(1, holders);
     let mut scenario = Scenario {
         leaf_servers: parts as u32 * holders,
         mixers: 1,
-        seconds: VIRTUAL_S,
+        seconds: VIRTUAL_RUN_S,
         site: Site {
             layout,
             next_to: true,
             classes: vec![class],
-            ..plain.site
+            ..base.site
         },
         ideal: true,
-        ..plain
+        ..base
     };
     scenario.load *= FLEET_QUERIES_PER_S / f64::from(MIXERS) / scenario.rate();
     scenario
 }
 
 /// What choosing among more holders of each partition costs the core and its module, in virtual time without sockets.
-fn measure_holders(options: &Options, short: &mut Vec<String>) -> Result<(), Failure> {
+fn measure_holders(options: &Options, shortfalls: &mut Vec<String>) -> Result<(), ExperimentError> {
     let mut table = Table::new(&[
         "holders of a partition",
         "leaf servers",
@@ -479,13 +483,13 @@
     for holders in HOLDERS {
         let scenario = scenario_with_holders(options.seed, holders);
         let run = world::play(&scenario)?;
-        short.extend(
+        shortfalls.extend(
             run.rules
                 .broken
                 .iter()
                 .map(|what| format!("broken: {what}")),
         );
-        table.row(vec![
+        table.add_row(vec![
             holders.to_string(),
             scenario.leaf_servers.to_string(),
             run.taken.to_string(),
@@ -500,9 +504,9 @@
 
 /// Runs the experiment.
 pub fn run(options: &Options) -> Verdict {
-    let mut short = Vec::new();
-    let costs = measure_sizes(options, &mut short)?;
-    judge_sizes(options, &costs, &mut short)?;
+    let mut shortfalls = Vec::new();
+    let costs = measure_sizes(options, &mut shortfalls)?;
+    report_sizes(options, &costs, &mut shortfalls)?;
     if !options.quick {
         let columns = [
             "163 queries/s of 180 parts",
@@ -518,11 +522,11 @@
         ];
         let mut table = Table::new(&columns);
         for case in PLANNED_CASES {
-            table.row(measure_planned_rate(options.seed, case, &mut short)?);
+            table.add_row(measure_planned_rate(options.seed, case, &mut shortfalls)?);
         }
         print!("{}", table.text());
         table.save(&options.out.join("data-path-planned.csv"))?;
-        measure_holders(options, &mut short)?;
+        measure_holders(options, &mut shortfalls)?;
     }
-    Ok((!short.is_empty()).then(|| short.join("; ")))
+    Ok((!shortfalls.is_empty()).then(|| shortfalls.join("; ")))
 }
--- a/crates/wharfhub-testbed/src/experiments/data_path/cost_law.rs
+++ b/crates/wharfhub-testbed/src/experiments/data_path/cost_law.rs
@@ -51,20 +51,20 @@
         })
     }
 
-    /// What falls short.
+    /// What falls shortfalls.
     pub fn shortfalls(&self) -> Vec<String> {
-        let mut short = Vec::new();
+        let mut shortfalls = Vec::new();
         if self.largest_over_cheapest > MAX_COST_RATIO {
             let ratio = self.largest_over_cheapest;
-            short.push(format!(
+            shortfalls.push(format!(
                 "a part of the largest query costs {ratio:.2} times the cheapest one"
             ));
         }
         if self.prediction_error > MAX_PREDICTION_ERROR {
             let percent = self.prediction_error * 100.0;
-            short.push(format!("the law is {percent:.0}% off at the size kept out"));
+            shortfalls.push(format!("the law is {percent:.0}% off at the size kept out"));
         }
-        short
+        shortfalls
     }
 }
 
--- a/crates/wharfhub-testbed/src/experiments/decisions.rs
+++ b/crates/wharfhub-testbed/src/experiments/decisions.rs
@@ -6,7 +6,7 @@
 //! with those of the cells, tell whether another program decides the same.
 
 use super::two_phase::PHASES;
-use super::{Failure, Options, Verdict};
+use super::{ExperimentError, Options, Verdict};
 use crate::report::{chart, Estimate, Line, Table};
 use crate::site::{cardiff, szeged, Class, Fault, Scenario, Site};
 use crate::world::{self, Run};
@@ -15,17 +15,17 @@
 const RATES: [f64; 3] = [50.0, 500.0, 5000.0];
 const LEAF_SERVER_COUNTS: [u32; 4] = [4, 20, 200, 2000];
 /// The cost may differ so many times.
-const FLAT: f64 = 1.3;
+const MAX_COST_SPREAD: f64 = 1.3;
 /// Queries that a run plays at least, and its least length (seconds): the windows of 8 s have to fill.
-const QUERIES: f64 = 4000.0;
+const MIN_QUERIES: f64 = 4000.0;
 const MIN_SCENARIO_S: f64 = 9.0;
 
 /// Parts of a query, the leaf servers that answer them, and the rate of parts (a second).
 const PARTS: [usize; 3] = [4, 45, 180];
-const SERVERS: u32 = 200;
+const LEAF_SERVERS: u32 = 200;
 const PARTS_PER_S: f64 = 4000.0;
 /// The cost of a part may differ so many times between the least and the greatest query.
-const LINEAR: f64 = 1.5;
+const MAX_PART_COST_RATIO: f64 = 1.5;
 /// Length of a scenario on which much goes wrong (seconds).
 const FAULTY_SCENARIO_S: f64 = 14.0;
 
@@ -43,7 +43,7 @@
         seed,
         leaf_servers,
         mixers: 1,
-        seconds: (QUERIES / rate).clamp(min_s, 80.0),
+        seconds: (MIN_QUERIES / rate).clamp(min_s, 80.0),
         site: Site {
             classes: vec![class],
             ..cardiff()
@@ -74,7 +74,7 @@
     ];
     Scenario {
         seed,
-        leaf_servers: SERVERS,
+        leaf_servers: LEAF_SERVERS,
         mixers: 2,
         seconds: FAULTY_SCENARIO_S,
         site: Site {
@@ -106,13 +106,13 @@
         }
     }
 
-    fn play(&mut self) -> Result<Run, Failure> {
+    fn play(&mut self) -> Result<Run, ExperimentError> {
         let run = world::play(&self.scenario)?;
         self.min_cost_us = self
             .min_cost_us
             .min(run.cpu_s * 1e6 / run.taken.max(1) as f64);
         if *self.digest.get_or_insert(run.digest) != run.digest {
-            return Err(Failure::Other("two plays of one day differ".into()));
+            return Err(ExperimentError::Other("two plays of one day differ".into()));
         }
         self.broken += run.rules.count as usize;
         Ok(run)
@@ -124,7 +124,7 @@
 }
 
 /// How many times the highest cost is the least.
-fn spread(costs: impl Iterator<Item = f64>) -> f64 {
+fn cost_spread(costs: impl Iterator<Item = f64>) -> f64 {
     let (min, max) = costs.fold((f64::MAX, 0.0_f64), |(min, max), cost| {
         (min.min(cost), max.max(cost))
     });
@@ -132,7 +132,7 @@
 }
 
 /// The table and the chart by rate and by number of leaf servers; gives how much the cost differs.
-fn show_rates(cells: &[Cell], out: &Path) -> Result<f64, Failure> {
+fn report_rates(cells: &[Cell], out: &Path) -> Result<f64, ExperimentError> {
     let mut table = Table::new(&[
         "boxes",
         "queries/s",
@@ -145,7 +145,7 @@
         .flat_map(|leaf_servers| RATES.map(|rate| (*leaf_servers, rate)));
     for (cell, (leaf_servers, rate)) in cells.iter().zip(cell_keys) {
         let cost = cell.min_cost_us;
-        table.row(vec![
+        table.add_row(vec![
             leaf_servers.to_string(),
             format!("{rate:.0}"),
             format!("{cost:.1}"),
@@ -161,7 +161,7 @@
             rate,
             Estimate {
                 mean: cost,
-                half: 0.0,
+                half_width: 0.0,
             },
         );
         lines
@@ -170,7 +170,7 @@
             .into_iter()
             .for_each(|line| line.points.push(point));
     }
-    let spread = spread(cells.iter().map(|cell| cell.min_cost_us));
+    let spread = cost_spread(cells.iter().map(|cell| cell.min_cost_us));
     print!("{}", table.text());
     println!("highest over lowest: {spread:.2}");
     table.save(&out.join("decisions.csv"))?;
@@ -186,7 +186,7 @@
 }
 
 /// The table by the number of parts; gives how many times as much a part of the greatest query costs.
-fn show_parts(cells: &[Cell], out: &Path) -> Result<f64, Failure> {
+fn report_parts(cells: &[Cell], out: &Path) -> Result<f64, ExperimentError> {
     let mut table = Table::new(&[
         "parts",
         "CPU µs a query",
@@ -196,22 +196,22 @@
     let cost = |index: usize| cells[index].min_cost_us / PARTS[index] as f64;
     for (index, cell) in cells.iter().enumerate() {
         let query = format!("{:.1}", cell.min_cost_us);
-        table.row(vec![
+        table.add_row(vec![
             PARTS[index].to_string(),
             query,
             format!("{:.2}", cost(index)),
             cell.digest(),
         ]);
     }
-    let growth = cost(PARTS.len() - 1) / cost(0);
+    let part_cost_ratio = cost(PARTS.len() - 1) / cost(0);
     print!("{}", table.text());
-    println!("a part of the greatest query over one of the least: {growth:.2}");
+    println!("a part of the greatest query over one of the least: {part_cost_ratio:.2}");
     table.save(&out.join("decisions-parts.csv"))?;
-    Ok(growth)
+    Ok(part_cost_ratio)
 }
 
 /// Scenarios on which much goes wrong: only what was done counts there.
-fn faulty_scenarios(options: &Options) -> Result<usize, Failure> {
+fn faulty_scenarios(options: &Options) -> Result<usize, ExperimentError> {
     let mut table = Table::new(&[
         "site",
         "parts",
@@ -227,7 +227,7 @@
             let taken = cell.play()?.taken;
             broken += cell.broken;
             let phases = if phases { "on" } else { "off" };
-            table.row(vec![
+            table.add_row(vec![
                 name.into(),
                 parts.to_string(),
                 phases.into(),
@@ -258,7 +258,7 @@
         .collect();
     let mut parts: Vec<Cell> = PARTS
         .iter()
-        .map(|parts| scenario(PARTS_PER_S / *parts as f64, SERVERS, *parts))
+        .map(|parts| scenario(PARTS_PER_S / *parts as f64, LEAF_SERVERS, *parts))
         .collect();
     // The same scenarios again and again, in turns: what differs is the machine, and the least is the cost.
     for _ in 0..runs {
@@ -266,18 +266,19 @@
             cell.play()?;
         }
     }
-    let spread = show_rates(&rates, &options.out)?;
-    let growth = show_parts(&parts, &options.out)?;
+    let spread = report_rates(&rates, &options.out)?;
+    let part_cost_ratio = report_parts(&parts, &options.out)?;
     let mut broken: usize = rates.iter().chain(&parts).map(|cell| cell.broken).sum();
     broken += faulty_scenarios(options)?;
     if broken > 0 {
         return Ok(Some(format!("{broken} rules broken")));
     }
-    if growth > LINEAR {
+    if part_cost_ratio > MAX_PART_COST_RATIO {
         return Ok(Some(format!(
-            "a part of {} costs {growth:.2} times one of 4, not {LINEAR} at most",
+            "a part of {} costs {part_cost_ratio:.2} times one of 4, not {MAX_PART_COST_RATIO} at most",
             PARTS[2]
         )));
     }
-    Ok((spread > FLAT).then(|| format!("the cost differs {spread:.2} times, not {FLAT} at most")))
+    Ok((spread > MAX_COST_SPREAD)
+        .then(|| format!("the cost differs {spread:.2} times, not {MAX_COST_SPREAD} at most")))
 }
--- a/crates/wharfhub-testbed/src/experiments/deployments.rs
+++ b/crates/wharfhub-testbed/src/experiments/deployments.rs
@@ -3,21 +3,21 @@
 //! Every cell plays the same scenarios whatever the daemon does, so that two versions of it can be set against each other scenario by
 //! scenario: the scenarios stand in `deployments-days.csv`. The verdict rests on the rules alone.
 
-use super::{parallel, Failure, Options, Verdict};
+use super::{parallel, ExperimentError, Options, Verdict};
 use crate::report::{chart, Estimate, Line, Table};
 use crate::site::{cardiff, szeged, Fault, Layout, Scenario, Site};
 use crate::{tally, world};
 
 /// Scenarios of a cell, and their length (seconds).
-const DAYS: (u64, u64) = (20, 4);
-const DAY_S: (f64, f64) = (45.0, 30.0);
+const SCENARIOS_PER_CELL: (u64, u64) = (20, 4);
+const SCENARIO_S: (f64, f64) = (45.0, 30.0);
 /// Broken rules that are printed, at most.
 const MAX_PRINTED: usize = 20;
 /// How much faster the same profile is on the real-socket scenarios.
-const FASTER: f64 = 4.0;
+const FAST_PROFILE_FACTOR: f64 = 4.0;
 
 /// One kind of scenario: its name, its load, and what goes wrong, in shares of the scenario's length.
-pub struct Kind {
+pub struct ScenarioKind {
     /// Its name.
     pub name: &'static str,
     /// What is asked, in shares of what the leaf servers can do.
@@ -25,22 +25,22 @@
     /// What goes wrong, from when to when.
     pub faults: Vec<(f64, f64, Fault)>,
     /// Whether a larger fleet plays it.
-    pub big: bool,
+    pub has_large_fleet: bool,
 }
 
 /// The kinds of scenario that the operators' accounts tell of.
-pub fn kinds() -> Vec<Kind> {
-    let kind = |name, load, faults| Kind {
+pub fn kinds() -> Vec<ScenarioKind> {
+    let kind = |name, load, faults| ScenarioKind {
         name,
         load,
         faults,
-        big: false,
+        has_large_fleet: false,
     };
-    let big = |name, load, faults| Kind {
+    let large_fleet = |name, load, faults| ScenarioKind {
         name,
         load,
         faults,
-        big: true,
+        has_large_fleet: true,
     };
     vec![
         kind("quiet", 0.35, vec![]),
@@ -73,8 +73,8 @@
             0.95,
             vec![(0.3, 0.8, Fault::SomeSlow(0.15, 4.0))],
         ),
-        big("room lost", 0.5, vec![(0.3, 0.7, Fault::ZoneLoss(0, true))]),
-        big(
+        large_fleet("room lost", 0.5, vec![(0.3, 0.7, Fault::ZoneLoss(0, true))]),
+        large_fleet(
             "room lost, all slow",
             0.5,
             vec![
@@ -87,13 +87,13 @@
 }
 
 /// A scenario of a kind at a site.
-pub fn scenario(site: &Site, kind: &Kind, seed: u64, seconds: f64) -> Scenario {
+pub fn scenario(site: &Site, kind: &ScenarioKind, seed: u64, seconds: f64) -> Scenario {
     let faults = kind
         .faults
         .iter()
         .map(|(from, to, what)| (from * seconds, to * seconds, what.clone()))
         .collect();
-    let leaf_servers = if kind.big { 18 } else { 14 };
+    let leaf_servers = if kind.has_large_fleet { 18 } else { 14 };
     let mut site = site.clone();
     if let Layout::Sets(_, endpoints) = &mut site.layout {
         *endpoints = 2 + (seed % 2) as u32; // two or three leaf servers hold a shard
@@ -113,7 +113,7 @@
     }
 }
 
-struct Played {
+struct RunMetrics {
     service: f64,
     in_time: f64,
     late: f64,
@@ -124,11 +124,11 @@
     broken: Vec<String>,
 }
 
-fn play(scenario: &Scenario) -> Result<Played, Failure> {
+fn play(scenario: &Scenario) -> Result<RunMetrics, ExperimentError> {
     let run = world::play(scenario)?;
     let asked = run.tally.requests[tally::TOTAL].max(1) as f64;
     let (late, unanswered) = run.tally.late_and_unanswered_shares();
-    Ok(Played {
+    Ok(RunMetrics {
         service: run.tally.service(),
         in_time: run.tally.in_time_share(),
         late,
@@ -150,9 +150,9 @@
 /// Plays all cells, and says how many rules were broken.
 pub fn run(options: &Options) -> Verdict {
     let (scenarios, seconds) = if options.quick {
-        (DAYS.1, DAY_S.1)
+        (SCENARIOS_PER_CELL.1, SCENARIO_S.1)
     } else {
-        (DAYS.0, DAY_S.0)
+        (SCENARIOS_PER_CELL.0, SCENARIO_S.0)
     };
     let kinds = kinds();
     let jobs = jobs(&kinds, options.seed..options.seed + scenarios, seconds);
@@ -170,12 +170,12 @@
 }
 
 /// The scenarios of all cells, cell by cell, at both sites and both paces.
-fn jobs(kinds: &[Kind], seeds: std::ops::Range<u64>, seconds: f64) -> Vec<Job> {
-    let swift = [
-        cardiff().faster("cardiff x4", FASTER),
-        szeged().faster("szeged x4", FASTER),
+fn jobs(kinds: &[ScenarioKind], seeds: std::ops::Range<u64>, seconds: f64) -> Vec<Job> {
+    let fast = [
+        cardiff().faster("cardiff x4", FAST_PROFILE_FACTOR),
+        szeged().faster("szeged x4", FAST_PROFILE_FACTOR),
     ];
-    let sites: Vec<Site> = [cardiff(), szeged()].into_iter().chain(swift).collect();
+    let sites: Vec<Site> = [cardiff(), szeged()].into_iter().chain(fast).collect();
     let mut jobs = Vec::new();
     for site in &sites {
         for kind in kinds {
@@ -227,13 +227,13 @@
     }
 
     /// Adds a cell, which is the one of that kind (by its place) at its site.
-    fn add_cell(&mut self, kind_number: usize, jobs: &[Job], played: &[Played]) {
+    fn add_cell(&mut self, kind_number: usize, jobs: &[Job], played: &[RunMetrics]) {
         let Job { site, kind, .. } = &jobs[0];
-        let of = |value: &dyn Fn(&Played) -> f64| {
+        let of = |value: &dyn Fn(&RunMetrics) -> f64| {
             Estimate::of(&played.iter().map(value).collect::<Vec<_>>())
         };
         let service = of(&|scenario| scenario.service);
-        self.cells.row(vec![
+        self.cells.add_row(vec![
             site.to_string(),
             kind.to_string(),
             service.text(3),
@@ -258,10 +258,10 @@
         }
     }
 
-    fn add_scenario(&mut self, job: &Job, played: &Played) {
+    fn add_scenario(&mut self, job: &Job, played: &RunMetrics) {
         let Job { site, kind, .. } = job;
         let seed = job.scenario.seed;
-        self.scenarios.row(vec![
+        self.scenarios.add_row(vec![
             site.to_string(),
             kind.to_string(),
             seed.to_string(),
--- a/crates/wharfhub-testbed/src/experiments/mod.rs
+++ b/crates/wharfhub-testbed/src/experiments/mod.rs
@@ -1,4 +1,4 @@
-//! Experiments: each plays scenarios, prints its table, leaves CSV and charts, and says whether it falls short.
+//! Experiments: each plays scenarios, prints its table, leaves CSV and charts, and says whether it falls shortfalls.
 
 mod data_path;
 mod decisions;
@@ -31,7 +31,7 @@
 
 /// Why an experiment has no result.
 #[derive(Debug, Error)]
-pub enum Failure {
+pub enum ExperimentError {
     /// Its settings are not taken.
     #[error(transparent)]
     Settings(#[from] wharfhub::config::SettingsError),
@@ -49,15 +49,15 @@
     Other(String),
 }
 
-/// What falls short, in a few words; none where all is well.
-pub type Verdict = Result<Option<String>, Failure>;
+/// What falls shortfalls, in a few words; none where all is well.
+pub type Verdict = Result<Option<String>, ExperimentError>;
 
 /// An experiment.
 pub struct Experiment {
     /// Its name.
     pub name: &'static str,
     /// What it shows.
-    pub what: &'static str,
+    pub description: &'static str,
     /// Runs it.
     pub run: fn(&Options) -> Verdict,
 }
@@ -66,38 +66,41 @@
 pub const ALL: [Experiment; 7] = [
     Experiment {
         name: "data-path",
-        what: "the daemon's CPU for a query, by the number of its parts",
+        description: "the daemon's CPU for a query, by the number of its parts",
         run: data_path::run,
     },
     Experiment {
         name: "decisions",
-        what: "the CPU of a decision, by rate and by number of boxes",
+        description: "the CPU of a decision, by rate and by number of boxes",
         run: decisions::run,
     },
     Experiment {
         name: "deployments",
-        what: "both kinds of deployment on quiet days and with each of their troubles",
+        description: "both kinds of deployment on quiet days and with each of their troubles",
         run: deployments::run,
     },
     Experiment {
         name: "scale",
-        what: "memory, CPU, messages and time for a change by mixers, servers and changes a second",
+        description:
+            "memory, CPU, messages and time for a change by mixers, servers and changes a second",
         run: scale::run,
     },
     Experiment {
         name: "soak",
-        what:
+        description:
             "real daemons under random faults that overlap in time, judged by the operators' rules",
         run: soak::run,
     },
     Experiment {
         name: "tail",
-        what: "180 answers with slow leaf servers: queries in time, and what second copies cost",
+        description:
+            "180 answers with slow leaf servers: queries in time, and what second copies cost",
         run: tail::run,
     },
     Experiment {
         name: "two-phase",
-        what: "work saved and service kept with queries in two phases, on and off side by side",
+        description:
+            "work saved and service kept with queries in two phases, on and off side by side",
         run: two_phase::run,
     },
 ];
@@ -116,14 +119,14 @@
                 let result = work(job);
                 results
                     .lock()
-                    .unwrap_or_else(|broken| broken.into_inner())
+                    .unwrap_or_else(|poisoned| poisoned.into_inner())
                     .push((index, result));
             });
         }
     });
     let mut results = results
         .into_inner()
-        .unwrap_or_else(|broken| broken.into_inner());
+        .unwrap_or_else(|poisoned| poisoned.into_inner());
     results.sort_by_key(|(index, _)| *index);
     results.into_iter().map(|(_, result)| result).collect()
 }
--- a/crates/wharfhub-testbed/src/experiments/scale.rs
+++ b/crates/wharfhub-testbed/src/experiments/scale.rs
@@ -7,14 +7,14 @@
 mod events;
 mod quantity;
 
-use super::{Failure, Options, Verdict};
+use super::{ExperimentError, Options, Verdict};
 use crate::fleet::bench::{Bench, Load, Point};
 use crate::fleet::events::CompressedDay;
 use crate::fleet::fit::LineFit;
 use crate::report::{chart, Estimate, Line, Table};
 use events::events;
 use quantity::{
-    change_bytes, change_messages, changes, mixers, whole_list_bytes, FigureOf, Quantity,
+    change_bytes, change_messages, changes, complete_list_bytes, mixers, FigureOf, Quantity,
     BY_MIXERS, BY_RATE, BY_SERVERS,
 };
 use std::path::{Path, PathBuf};
@@ -28,7 +28,7 @@
 /// The size to plan with.
 const FULL_SIZE: (u32, u32) = (860, 5_300);
 /// A change is to be in force everywhere within this time (seconds).
-const MAX_IN_FORCE_S: f64 = 10.0;
+const MAX_PROPAGATION_S: f64 = 10.0;
 
 /// The sizes of a run.
 struct Plan {
@@ -38,11 +38,11 @@
     standard: (u32, u32), // mixers for the slope over servers, servers for the slope over mixers
     full: Option<(u32, u32)>,
     events: (u32, u32),
-    scenario: CompressedDay,
+    day: CompressedDay,
     changes: u32,
     idle_s: f64,
     rate_s: f64,
-    rates_in_step: bool, // where a busy machine must not let changes be told together
+    are_rates_sequential: bool, // where a busy machine must not let changes be told together
     poll_within_s: f64,
 }
 
@@ -55,14 +55,14 @@
             standard: (100, 660),
             full: Some(FULL_SIZE),
             events: FULL_SIZE,
-            scenario: CompressedDay {
+            day: CompressedDay {
                 changes: 150,
-                per_s: 10.0,
+                changes_per_s: 10.0,
             },
             changes: 12,
             idle_s: 2.0,
             rate_s: 3.0,
-            rates_in_step: false,
+            are_rates_sequential: false,
             poll_within_s: 4.0,
         }
     }
@@ -75,14 +75,14 @@
             standard: (16, 100),
             full: None,
             events: (40, 200),
-            scenario: CompressedDay {
+            day: CompressedDay {
                 changes: 40,
-                per_s: 20.0,
+                changes_per_s: 20.0,
             },
             changes: 4,
             idle_s: 0.2,
             rate_s: 1.0,
-            rates_in_step: true,
+            are_rates_sequential: true,
             poll_within_s: 1.0,
         }
     }
@@ -122,7 +122,7 @@
     points: Vec<Point>,
 }
 
-fn measure(options: &Options, load: &Load) -> Result<Point, Failure> {
+fn measure(options: &Options, load: &Load) -> Result<Point, ExperimentError> {
     let mut bench = Bench::start(load, std::env::current_exe()?, PROCESSES, options.seed)?;
     let point = bench.measure(load)?;
     let Load {
@@ -140,7 +140,7 @@
     Ok(point)
 }
 
-fn by_rate(options: &Options, plan: &Plan) -> Result<Vec<Point>, Failure> {
+fn by_rate(options: &Options, plan: &Plan) -> Result<Vec<Point>, ExperimentError> {
     let load = plan.load(plan.standard.0, plan.standard.1);
     let mut bench = Bench::start(&load, std::env::current_exe()?, PROCESSES, options.seed)?;
     let at = |changes_per_s: f64| {
@@ -149,15 +149,15 @@
             .measure(&Load {
                 changes_per_s,
                 changes,
-                is_sequential: plan.rates_in_step,
+                is_sequential: plan.are_rates_sequential,
                 ..load
             })
-            .map_err(Failure::from)
+            .map_err(ExperimentError::from)
     };
     plan.rates.into_iter().map(at).collect()
 }
 
-fn axes(options: &Options, plan: &Plan) -> Result<Vec<Axis>, Failure> {
+fn axes(options: &Options, plan: &Plan) -> Result<Vec<Axis>, ExperimentError> {
     let (standard_mixers, standard_servers) = plan.standard;
     let by_mixers = plan
         .mixers
@@ -174,7 +174,7 @@
         let measured = by_mixers.iter().find(|point| point.load == *load);
         measured.map_or_else(|| measure(options, load), |point| Ok(*point))
     });
-    let by_servers = by_servers.collect::<Result<Vec<Point>, Failure>>()?;
+    let by_servers = by_servers.collect::<Result<Vec<Point>, ExperimentError>>()?;
     Ok(vec![
         Axis {
             name: "mixers",
@@ -232,7 +232,7 @@
         let Point {
             load, propagation, ..
         } = point;
-        table.row(vec![
+        table.add_row(vec![
             name.into(),
             load.mixers.to_string(),
             load.servers.to_string(),
@@ -241,7 +241,7 @@
             format!("{:.3}", each(point.idle_cores) * 100.0),
             format!("{:.1}", each(idle.bytes() as f64) / idle_s),
             format!("{:.3}", each(idle.messages() as f64) / idle_s),
-            started(format!("{:.1}", whole_list_bytes(point) / 1e3)),
+            started(format!("{:.1}", complete_list_bytes(point) / 1e3)),
             started(format!("{:.2}", each(point.start_cpu_s) * 1e3)),
             format!("{:.3}", each(point.change_cpu_s) * 1e3),
             format!("{:.1}", change_messages(point) / changes(point)),
@@ -271,7 +271,7 @@
         "measured",
         "error %",
     ];
-    let (mut table, mut short) = (Table::new(&columns), Vec::new());
+    let (mut table, mut shortfalls) = (Table::new(&columns), Vec::new());
     for axis in axes {
         let Some((kept_out, fitted)) = axis.points.split_last() else {
             continue;
@@ -282,12 +282,12 @@
                 .map(|point| ((axis.x)(point), (quantity.of)(point)))
                 .collect();
             let Some(fit) = LineFit::of(&points) else {
-                short.push(format!("no line for {} by {}", quantity.name, axis.name));
+                shortfalls.push(format!("no line for {} by {}", quantity.name, axis.name));
                 continue;
             };
             let (x, measured) = ((axis.x)(kept_out), (quantity.of)(kept_out));
             let error = fit.error(x, measured);
-            table.row(vec![
+            table.add_row(vec![
                 axis.name.into(),
                 quantity.role.into(),
                 quantity.name.into(),
@@ -301,20 +301,20 @@
             ]);
             if error > MAX_PREDICTION_ERROR && (quantity.is_count || !counts_only) {
                 let (name, error) = (quantity.name, error * 100.0);
-                short.push(format!(
+                shortfalls.push(format!(
                     "{name} at {x} {} is predicted {error:.0}% off",
                     axis.name
                 ));
             }
         }
     }
-    (table, short)
+    (table, shortfalls)
 }
 
 /// What the size to plan with would be by the slopes over servers, against what was measured there.
 fn full_size_table(by_servers: &Axis, full: &Point) -> (Table, Vec<String>) {
     let mut table = Table::new(&["figure at full size", "predicted", "measured", "error %"]);
-    let mut short = Vec::new();
+    let mut shortfalls = Vec::new();
     let fitted = &by_servers.points[..by_servers.points.len() - 1];
     for quantity in &by_servers.quantities[..2] {
         let points: Vec<(f64, f64)> = fitted
@@ -331,29 +331,29 @@
             format!("{measured:.3}"),
             format!("{:.1}", error * 100.0),
         ];
-        table.row(
+        table.add_row(
             [quantity.name.to_string()]
                 .into_iter()
                 .chain(cells)
                 .collect(),
         );
         if error > MAX_PREDICTION_ERROR {
-            short.push(format!(
+            shortfalls.push(format!(
                 "{} at full size is predicted {:.0}% off",
                 quantity.name,
                 error * 100.0
             ));
         }
     }
-    (table, short)
+    (table, shortfalls)
 }
 
-fn charts(out: &Path, axes: &[Axis]) -> Result<(), Failure> {
+fn charts(out: &Path, axes: &[Axis]) -> Result<(), ExperimentError> {
     for axis in axes {
         let line = |(name, of): (&str, FigureOf)| {
             let value = |point: &Point| Estimate {
                 mean: of(point),
-                half: f64::INFINITY,
+                half_width: f64::INFINITY,
             };
             let points = axis
                 .points
@@ -400,7 +400,7 @@
     Ok(())
 }
 
-fn slopes(options: &Options, plan: &Plan) -> Result<Vec<String>, Failure> {
+fn slopes(options: &Options, plan: &Plan) -> Result<Vec<String>, ExperimentError> {
     let axes = axes(options, plan)?;
     let full = match plan.full {
         Some((mixers, servers)) => {
@@ -413,13 +413,13 @@
         None => None,
     };
     let points = points_table(&axes, full.as_ref());
-    let (fits, mut short) = fits_table(&axes, options.quick);
+    let (fits, mut shortfalls) = fits_table(&axes, options.quick);
     println!("{}\n{}", points.text(), fits.text());
     points.save(&options.out.join("scale.csv"))?;
     fits.save(&options.out.join("scale-fits.csv"))?;
     charts(&options.out, &axes)?;
     let all = axes.iter().flat_map(|axis| &axis.points).chain(&full);
-    short.extend(
+    shortfalls.extend(
         all.filter(|point| point.propagation.missing > 0)
             .map(|point| {
                 format!(
@@ -432,15 +432,15 @@
         let (table, missed) = full_size_table(&axes[1], full);
         println!("{}", table.text());
         table.save(&options.out.join("scale-full-size.csv"))?;
-        short.extend(missed);
-        if full.propagation.last_s > MAX_IN_FORCE_S {
-            short.push(format!(
+        shortfalls.extend(missed);
+        if full.propagation.last_s > MAX_PROPAGATION_S {
+            shortfalls.push(format!(
                 "a change takes {:.1} s at full size",
                 full.propagation.last_s
             ));
         }
     }
-    Ok(short)
+    Ok(shortfalls)
 }
 
 pub fn run(options: &Options) -> Verdict {
@@ -449,19 +449,19 @@
     } else {
         Plan::full()
     };
-    let mut short = Vec::new();
+    let mut shortfalls = Vec::new();
     match options.part.as_deref() {
         None => {
-            short.extend(slopes(options, &plan)?);
-            short.extend(events(options, &plan)?);
+            shortfalls.extend(slopes(options, &plan)?);
+            shortfalls.extend(events(options, &plan)?);
         }
-        Some("slopes") => short.extend(slopes(options, &plan)?),
-        Some("events") => short.extend(events(options, &plan)?),
+        Some("slopes") => shortfalls.extend(slopes(options, &plan)?),
+        Some("events") => shortfalls.extend(events(options, &plan)?),
         Some(other) => {
-            return Err(Failure::Other(format!(
+            return Err(ExperimentError::Other(format!(
                 "part: {other:?} is none of slopes, events"
             )))
         }
     }
-    Ok((!short.is_empty()).then(|| short.join("; ")))
+    Ok((!shortfalls.is_empty()).then(|| shortfalls.join("; ")))
 }
--- a/crates/wharfhub-testbed/src/experiments/scale/events.rs
+++ b/crates/wharfhub-testbed/src/experiments/scale/events.rs
@@ -3,8 +3,8 @@
 //! This file owns the order of the events and their table. Its verdict rests on counts, in the full run also on when a change
 //! is in force.
 
-use super::{Plan, MAX_IN_FORCE_S};
-use crate::experiments::{Failure, Options};
+use super::{Plan, MAX_PROPAGATION_S};
+use crate::experiments::{ExperimentError, Options};
 use crate::fleet::events::{EventBench, EventOutcome};
 use crate::fleet::queries::{QueryOutcome, QueryPath};
 use crate::report::Table;
@@ -19,8 +19,8 @@
     bench: &mut EventBench,
     plan: &Plan,
     seed: u64,
-) -> Result<(EventOutcome, QueryOutcome), Failure> {
-    let seconds = plan.scenario.changes as f64 / plan.scenario.per_s;
+) -> Result<(EventOutcome, QueryOutcome), ExperimentError> {
+    let seconds = plan.day.changes as f64 / plan.day.changes_per_s;
     let scenario = Scenario {
         seed,
         seconds,
@@ -33,44 +33,44 @@
     bench.list_leaf_servers(leaves)?;
     std::thread::scope(|scope| {
         let played = scope.spawn(move || queries.play());
-        let scenario = bench.ordinary_day(plan.scenario, u64::from(QUERY_MIXERS))?;
+        let day = bench.ordinary_day(plan.day, u64::from(QUERY_MIXERS))?;
         let queries = played
             .join()
-            .map_err(|_| Failure::Other("the load failed".into()))?;
-        Ok((scenario, queries))
+            .map_err(|_| ExperimentError::Other("the load failed".into()))?;
+        Ok((day, queries))
     })
 }
 
-/// Plays the events, and says which of them fell short.
-pub(super) fn events(options: &Options, plan: &Plan) -> Result<Vec<String>, Failure> {
+/// Plays the events, and says which of them fell shortfalls.
+pub(super) fn events(options: &Options, plan: &Plan) -> Result<Vec<String>, ExperimentError> {
     let (mixers, servers) = plan.events;
     let load = match plan.full {
         Some(_) => plan.full_size_load(mixers, servers),
         None => plan.load(mixers, servers),
     };
     let mut bench = EventBench::start(&load, std::env::current_exe()?, options.seed)?;
-    let (scenario, queries) = ordinary_day_with_queries(&mut bench, plan, options.seed)?;
-    let mut outcomes: Vec<EventOutcome> = vec![scenario];
-    outcomes.extend(bench.rack()?);
-    outcomes.extend(bench.zone()?);
-    outcomes.push(bench.regions_apart()?);
+    let (day, queries) = ordinary_day_with_queries(&mut bench, plan, options.seed)?;
+    let mut outcomes: Vec<EventOutcome> = vec![day];
+    outcomes.extend(bench.lose_and_restore_rack()?);
+    outcomes.extend(bench.lose_and_restore_zone()?);
+    outcomes.push(bench.region_partition()?);
     outcomes.push(bench.rolling_release()?);
     outcomes.push(bench.restart_all_mixers()?);
     drop(bench);
 
     let table = table_of(&outcomes, servers);
     println!("{}", table.text());
-    let mut short: Vec<String> = outcomes
+    let mut shortfalls: Vec<String> = outcomes
         .iter()
         .flat_map(|outcome| shortfalls(outcome, options.quick))
         .collect();
-    short.extend(judge_queries(&queries));
-    let (scenario, faster) = (plan.scenario.changes, plan.scenario.times_faster());
+    shortfalls.extend(check_queries(&queries));
+    let (changes, speedup) = (plan.day.changes, plan.day.speedup());
     println!(
-        "the ordinary day: {scenario} changes of its list, {faster:.0} times faster than they come"
+        "the ordinary day: {changes} of its list changes, {speedup:.0} times faster than in operation"
     );
     table.save(&options.out.join("scale-events.csv"))?;
-    Ok(short)
+    Ok(shortfalls)
 }
 
 fn table_of(outcomes: &[EventOutcome], servers: u32) -> Table {
@@ -95,11 +95,11 @@
             counters,
             ..
         } = outcome;
-        table.row(vec![
+        table.add_row(vec![
             name.to_string(),
             outcome.mixers.to_string(),
             servers.to_string(),
-            format!("{:.2}", outcome.settled_s),
+            format!("{:.2}", outcome.convergence_s),
             format!("{:.3}", propagation.median_s),
             format!("{:.3}", propagation.p99_s),
             format!("{:.3}", propagation.last_s),
@@ -107,7 +107,7 @@
             counters.complete_lists.to_string(),
             counters.change_answers.to_string(),
             format!("{:.2}", counters.bytes() as f64 / 1e6),
-            format!("{:.1}", outcome.bytes_a_mixer() / 1e3),
+            format!("{:.1}", outcome.bytes_per_mixer() / 1e3),
         ]);
     }
     table
@@ -115,23 +115,23 @@
 
 /// Where an event needed more whole lists than necessary, or came into force too late.
 fn shortfalls(outcome: &EventOutcome, is_quick: bool) -> Vec<String> {
-    let mut short = Vec::new();
+    let mut shortfalls = Vec::new();
     let name = &outcome.name;
-    let (lists, needed) = (outcome.counters.complete_lists, outcome.whole_lists_needed);
+    let (lists, needed) = (outcome.counters.complete_lists, outcome.max_complete_lists);
     if lists > needed {
-        short.push(format!(
+        shortfalls.push(format!(
             "{name}: {lists} whole lists where {needed} were needed"
         ));
     }
     // A mixer that starts anew waits for its turn to ask, by the settings.
     let last_s = outcome.propagation.last_s;
-    if outcome.mixers_started == 0 && !is_quick && last_s > MAX_IN_FORCE_S {
-        short.push(format!("{name}: in force after {last_s:.1} s"));
+    if outcome.mixers_started == 0 && !is_quick && last_s > MAX_PROPAGATION_S {
+        shortfalls.push(format!("{name}: in force after {last_s:.1} s"));
     }
-    short
+    shortfalls
 }
 
-fn judge_queries(queries: &QueryOutcome) -> Option<String> {
+fn check_queries(queries: &QueryOutcome) -> Option<String> {
     let QueryOutcome {
         asked,
         answered,
--- a/crates/wharfhub-testbed/src/experiments/scale/quantity.rs
+++ b/crates/wharfhub-testbed/src/experiments/scale/quantity.rs
@@ -46,7 +46,7 @@
 }
 
 /// How long changes were made (seconds).
-pub(super) fn changing_s(point: &Point) -> f64 {
+pub(super) fn change_period_s(point: &Point) -> f64 {
     changes(point) / point.load.changes_per_s
 }
 
@@ -55,7 +55,7 @@
     2.0 * point.change.change_answers as f64
 }
 
-pub(super) fn whole_list_bytes(point: &Point) -> f64 {
+pub(super) fn complete_list_bytes(point: &Point) -> f64 {
     point.start.bytes_out as f64 / point.start.complete_lists.max(1) as f64
 }
 
@@ -103,7 +103,7 @@
         point.idle_cores / mixers(point) * 100.0
     }),
     counted("discovery", "bytes of the whole list (kB)", |point| {
-        whole_list_bytes(point) / 1e3
+        complete_list_bytes(point) / 1e3
     }),
     timed("fleet", "change in force, median (ms)", |point| {
         point.propagation.median_s * 1e3
@@ -112,14 +112,15 @@
 
 pub(super) const BY_RATE: [Quantity; 4] = [
     timed("mixers", "CPU for changes, each (% of a core)", |point| {
-        let answers_per_s = point.change.change_answers as f64 / mixers(point) / changing_s(point);
+        let answers_per_s =
+            point.change.change_answers as f64 / mixers(point) / change_period_s(point);
         point.change_cpu_s * answers_per_s / mixers(point) * 100.0
     }),
     counted("mixers", "messages a second, each", |point| {
-        change_messages(point) / changing_s(point) / mixers(point)
+        change_messages(point) / change_period_s(point) / mixers(point)
     }),
     counted("mixers", "bytes a second, each", |point| {
-        change_bytes(point) / changing_s(point) / mixers(point)
+        change_bytes(point) / change_period_s(point) / mixers(point)
     }),
     timed("discovery", "CPU for changes (% of a core)", |point| {
         point.discovery_change_cpu_s * point.load.changes_per_s * 100.0
--- a/crates/wharfhub-testbed/src/experiments/soak.rs
+++ b/crates/wharfhub-testbed/src/experiments/soak.rs
@@ -1,6 +1,6 @@
 //! The randomized fault soak: real daemons under faults that overlap in time, judged from outside, over many seeds.
 
-use super::{Failure, Options, Verdict};
+use super::{ExperimentError, Options, Verdict};
 use crate::report::Table;
 use crate::soak::plan::Plan;
 use crate::soak::run::{self, Outcome};
@@ -112,22 +112,22 @@
         "broken",
     ];
     let mut table = Table::new(&columns);
-    let mut short = Vec::new();
+    let mut shortfalls = Vec::new();
     for seed in options.seed..options.seed + seeds {
         let plan = Plan::draw(seed, options.quick);
         let folder = options.out.join(format!("soak-{seed}"));
-        let (_, outcome) = run::play(&plan, &folder).map_err(Failure::from)?;
-        table.row(row(&plan, &outcome));
+        let (_, outcome) = run::play(&plan, &folder).map_err(ExperimentError::from)?;
+        table.add_row(row(&plan, &outcome));
         if !outcome.violations.is_empty() {
             print_violations(&plan, &outcome);
             print_log_lines(&folder)?;
-            short.push(format!(
+            shortfalls.push(format!(
                 "seed {seed}: {} rules broken",
                 outcome.violations.len()
             ));
         }
         if outcome.served_at_the_end < MIN_SERVED_AT_THE_END {
-            short.push(format!(
+            shortfalls.push(format!(
                 "seed {seed}: {:.3} served at the end",
                 outcome.served_at_the_end
             ));
@@ -135,5 +135,5 @@
     }
     print!("{}", table.text());
     table.save(&options.out.join("soak.csv"))?;
-    Ok((!short.is_empty()).then(|| short.join("; ")))
+    Ok((!shortfalls.is_empty()).then(|| shortfalls.join("; ")))
 }
--- a/crates/wharfhub-testbed/src/experiments/tail.rs
+++ b/crates/wharfhub-testbed/src/experiments/tail.rs
@@ -4,7 +4,7 @@
 //! Nothing here depends on the machine. The mixer is told that it is alone, so it may send more copies than one of 860.
 
 use super::data_path::{scenario_with_holders, PLANNED_HOLDERS};
-use super::{parallel, Failure, Options, Verdict};
+use super::{parallel, ExperimentError, Options, Verdict};
 use crate::report::Table;
 use crate::site::{Fault, Scenario};
 use crate::tally;
@@ -27,10 +27,10 @@
 }
 
 fn scenario(options: &Options, case: Case) -> Scenario {
-    let plain = scenario_with_holders(options.seed, PLANNED_HOLDERS);
-    let mut site = plain.site.clone();
+    let base = scenario_with_holders(options.seed, PLANNED_HOLDERS);
+    let mut site = base.site.clone();
     site.attempts.1 = case.hedging;
-    let slow_share = f64::from(case.slow_servers) / f64::from(plain.leaf_servers);
+    let slow_share = f64::from(case.slow_servers) / f64::from(base.leaf_servers);
     let seconds = if options.quick { SECONDS.1 } else { SECONDS.0 };
     let faults = vec![(0.0, f64::MAX, Fault::SomeSlow(slow_share, SLOW_FACTOR))];
     Scenario {
@@ -38,7 +38,7 @@
         seconds,
         faults,
         ideal: false,
-        ..plain
+        ..base
     }
 }
 
@@ -56,7 +56,7 @@
         .collect();
     let scenarios: Vec<Scenario> = cases.iter().map(|case| scenario(options, *case)).collect();
     let runs = parallel(&scenarios, |scenario| {
-        world::play(scenario).map_err(Failure::from)
+        world::play(scenario).map_err(ExperimentError::from)
     });
     let columns = [
         "slow of 5220",
@@ -68,13 +68,13 @@
         "attempts a part",
     ];
     let mut table = Table::new(&columns);
-    let mut short = Vec::new();
+    let mut shortfalls = Vec::new();
     for (case, run) in cases.iter().zip(runs) {
         let run = run?;
         let (late, unanswered) = run.tally.late_and_unanswered_shares();
         let in_time = 1.0 - late - unanswered;
         let parts = run.tally.requests[tally::TOTAL] * 180;
-        table.row(vec![
+        table.add_row(vec![
             case.slow_servers.to_string(),
             if case.hedging { "on" } else { "off" }.into(),
             run.taken.to_string(),
@@ -86,19 +86,19 @@
                 run.tally.attempts_sent as f64 / parts.max(1) as f64
             ),
         ]);
-        short.extend(
+        shortfalls.extend(
             run.rules
                 .broken
                 .iter()
                 .map(|what| format!("broken: {what}")),
         );
         if case.hedging && case.slow_servers == JUDGED_SLOW_SERVERS && in_time < MIN_IN_TIME {
-            short.push(format!(
+            shortfalls.push(format!(
                 "{in_time:.4} in time with one slow server in a thousand"
             ));
         }
     }
     print!("{}", table.text());
     table.save(&options.out.join("tail.csv"))?;
-    Ok((!short.is_empty()).then(|| short.join("; ")))
+    Ok((!shortfalls.is_empty()).then(|| shortfalls.join("; ")))
 }
--- a/crates/wharfhub-testbed/src/experiments/two_phase.rs
+++ b/crates/wharfhub-testbed/src/experiments/two_phase.rs
@@ -3,7 +3,7 @@
 //! In virtual time every cell plays the same scenarios, query for query, with phases on and off; differences are taken scenario
 //! by scenario. The verdict rests on the latency objectives.
 
-use super::{parallel, Failure, Options, Verdict};
+use super::{parallel, ExperimentError, Options, Verdict};
 use crate::report::{chart, Estimate, Line, Table};
 use crate::rules::Rules;
 use crate::site::{Fault, Scenario};
@@ -15,29 +15,29 @@
 const SELECTIVITIES: [f64; 4] = [0.1, 0.25, 0.5, 1.0];
 const LOADS: [f64; 2] = [0.7, 1.3];
 const SITUATIONS: [&str; 3] = ["calm", "all slow", "quarter dead"];
-const AREA: usize = 0;
+const AREA_SEARCH: usize = 0;
 /// Seeds of a cell.
 const SEEDS: (u64, u64) = (20, 4);
-const MORE_SEEDS: u64 = 5;
+const FULL_MATCH_SEED_FACTOR: u64 = 5;
 /// Length of a scenario (seconds).
-const DAY_S: (f64, f64) = (60.0, 30.0);
+const SCENARIO_S: (f64, f64) = (60.0, 30.0);
 /// All slow together: so many times, over this share of the scenario.
-const SLOW: (f64, f64, f64) = (1.7, 0.35, 0.75);
+const SLOWDOWN: (f64, f64, f64) = (1.7, 0.35, 0.75);
 /// Aims: work saved at a quarter matching; service lost at most; service gained when all are slow at load 1.3; more work at
 /// most where all matches.
-const SAVED: f64 = 0.45;
-const LOST: f64 = 0.005;
-const GAINED: f64 = 0.05;
-const MORE: f64 = 0.03;
+const MIN_WORK_SAVED: f64 = 0.45;
+const MAX_SERVICE_LOSS: f64 = 0.005;
+const MIN_SERVICE_GAIN: f64 = 0.05;
+const MAX_EXTRA_WORK: f64 = 0.03;
 
-/// The short scenario on sockets: its length, the time before it begins (seconds), its load, its seeds, how near it comes to
+/// The shortfalls scenario on sockets: its length, the time before it begins (seconds), its load, its seeds, how near it comes to
 /// virtual time, and how much longer its time limits are (seconds).
 const REAL_S: f64 = 14.0;
-const START_S: f64 = 1.0;
+const START_DELAY_S: f64 = 1.0;
 const REAL_LOAD: f64 = 0.7;
 const REAL_SEEDS: (u64, u64) = (8, 2);
-const REAL_WITHIN: f64 = 0.05;
-const SLACK_S: f64 = 0.05;
+const MAX_SERVICE_DIFFERENCE: f64 = 0.05;
+const TIME_TOLERANCE_S: f64 = 0.05;
 
 /// Broken rules that are printed, at most.
 const MAX_PRINTED: usize = 20;
@@ -57,18 +57,18 @@
 struct Pair {
     service: [f64; 2],
     area_work: [f64; 2],
-    area_each: [f64; 2],
+    area_work_per_answer: [f64; 2],
     pruned: u64,
-    words: u64,
+    prechecks: u64,
     broken: Vec<String>,
 }
 
 fn scenario(cell: &Cell, seed: u64, quick: bool) -> Scenario {
-    let seconds = if quick { DAY_S.1 } else { DAY_S.0 };
-    let (from, to) = (SLOW.1 * seconds, SLOW.2 * seconds);
+    let seconds = if quick { SCENARIO_S.1 } else { SCENARIO_S.0 };
+    let (from, to) = (SLOWDOWN.1 * seconds, SLOWDOWN.2 * seconds);
     let faults = match cell.situation {
         0 => vec![],
-        1 => vec![(from, to, Fault::Slow(SLOW.0))],
+        1 => vec![(from, to, Fault::Slow(SLOWDOWN.0))],
         _ => vec![(from, to, Fault::Dead(0.25))],
     };
     let (load, selectivity, pre_check_first) = (cell.load, cell.selectivity, cell.pre_check_first);
@@ -83,7 +83,7 @@
     }
 }
 
-fn pair(cell: &Cell, seed: u64, quick: bool) -> Result<Pair, Failure> {
+fn pair(cell: &Cell, seed: u64, quick: bool) -> Result<Pair, ExperimentError> {
     let off = scenario(cell, seed, quick);
     let on = Scenario {
         phases: Some(PHASES.into()),
@@ -94,33 +94,35 @@
     let rules = [off.rules.broken, on.rules.broken];
     Ok(Pair {
         service: both(tally::Tally::service),
-        area_work: both(|tally| tally.work_s[AREA]),
-        area_each: both(|tally| tally.work_s[AREA] / tally.answered[AREA].max(1) as f64),
+        area_work: both(|tally| tally.work_s[AREA_SEARCH]),
+        area_work_per_answer: both(|tally| {
+            tally.work_s[AREA_SEARCH] / tally.answered[AREA_SEARCH].max(1) as f64
+        }),
         pruned: on.tally.pruned,
-        words: on.tally.prechecks,
+        prechecks: on.tally.prechecks,
         broken: rules.into_iter().flatten().collect(),
     })
 }
 
-/// What a short scenario on sockets gave.
-struct Real {
+/// What a shortfalls scenario on sockets gave.
+struct SocketRun {
     service: f64,
-    area_each: f64,
+    area_work_per_answer: f64,
     broken: Vec<String>,
     answered: u64,
-    words: u64,
+    prechecks: u64,
     p50_p99_ms: (f64, f64),
-    late_ms: f64,
+    load_delay_ms: f64,
 }
 
 /// Plays a scenario on sockets: stand-ins, the daemon's processes, clients.
-fn play_real(scenario: &Scenario) -> Result<Real, Failure> {
+fn play_real(scenario: &Scenario) -> Result<SocketRun, ExperimentError> {
     let program = daemon::program()?;
     let shared = Arc::new(Shared {
         queries: scenario.queries(),
         scenario: scenario.clone(),
-        start: Instant::now() + Duration::from_secs_f64(START_S),
-        rules: Mutex::new(Rules::new(scenario, SLACK_S)),
+        start: Instant::now() + Duration::from_secs_f64(START_DELAY_S),
+        rules: Mutex::new(Rules::new(scenario, TIME_TOLERANCE_S)),
         work: Mutex::new((vec![0.0; scenario.site.classes.len()], 0, 0)),
     });
     let leaf_servers: Result<Vec<_>, _> = (0..scenario.leaf_servers)
@@ -152,17 +154,17 @@
     let work = standin::lock(&shared.work).clone();
     let mut rules = standin::lock(&shared.rules);
     rules.over();
-    let latency = standin::lock(&load.latency)[AREA].clone();
-    let late = standin::lock(&load.lateness).value_at_quantile(0.99);
+    let latency = standin::lock(&load.latency)[AREA_SEARCH].clone();
+    let load_delay_us = standin::lock(&load.lateness).value_at_quantile(0.99);
     let ms = |quantile| latency.value_at_quantile(quantile) as f64 / 1000.0;
-    Ok(Real {
+    Ok(SocketRun {
         service: tally.service(),
-        area_each: work.0[AREA] / tally.answered[AREA].max(1) as f64,
+        area_work_per_answer: work.0[AREA_SEARCH] / tally.answered[AREA_SEARCH].max(1) as f64,
         broken: rules.broken.clone(),
         answered: tally.requests[tally::ANSWERED],
-        words: work.2,
+        prechecks: work.2,
         p50_p99_ms: (ms(0.5), ms(0.99)),
-        late_ms: late as f64 / 1000.0,
+        load_delay_ms: load_delay_us as f64 / 1000.0,
     })
 }
 
@@ -170,7 +172,7 @@
 fn run_real(options: &Options) -> Verdict {
     let scenarios = real_scenarios(options);
     let played = parallel(&scenarios, |scenario| {
-        Ok::<_, Failure>((play_real(scenario)?, world::play(scenario)?))
+        Ok::<_, ExperimentError>((play_real(scenario)?, world::play(scenario)?))
     });
     let mut comparison = Comparison::new();
     for (scenario, played) in scenarios.iter().zip(played) {
@@ -193,7 +195,7 @@
         load: REAL_LOAD,
         pre_check_first: true,
     };
-    let slow = (0.4 * REAL_S, 0.7 * REAL_S, Fault::Slow(SLOW.0));
+    let slow = (0.4 * REAL_S, 0.7 * REAL_S, Fault::Slow(SLOWDOWN.0));
     let mut scenarios = Vec::new();
     for seed in options.seed..options.seed + seeds {
         for phases in [None, Some(PHASES.to_string())] {
@@ -212,7 +214,7 @@
 }
 
 /// The work for each answer of a scenario, on sockets and in virtual time.
-struct WorkEach {
+struct WorkPerAnswer {
     real: f64,
     simulated: f64,
 }
@@ -221,10 +223,10 @@
 struct Comparison {
     table: Table,
     differences: [Vec<f64>; 2],
-    work_each: [Vec<WorkEach>; 2],
+    work_per_answer: [Vec<WorkPerAnswer>; 2],
     /// How late the load was at most (milliseconds).
-    late_ms: f64,
-    short: Vec<String>,
+    load_delay_ms: f64,
+    shortfalls: Vec<String>,
 }
 
 impl Comparison {
@@ -242,34 +244,35 @@
                 "area p50/p99 ms",
             ]),
             differences: [Vec::new(), Vec::new()],
-            work_each: [Vec::new(), Vec::new()],
-            late_ms: 0.0,
-            short: Vec::new(),
+            work_per_answer: [Vec::new(), Vec::new()],
+            load_delay_ms: 0.0,
+            shortfalls: Vec::new(),
         }
     }
 
-    fn add(&mut self, scenario: &Scenario, real: &Real, simulated: &tally::Tally) {
+    fn add(&mut self, scenario: &Scenario, real: &SocketRun, simulated: &tally::Tally) {
         let on = scenario.phases.is_some();
-        self.late_ms = self.late_ms.max(real.late_ms);
-        let work_each = WorkEach {
-            real: real.area_each,
-            simulated: simulated.work_s[AREA] / simulated.answered[AREA].max(1) as f64,
+        self.load_delay_ms = self.load_delay_ms.max(real.load_delay_ms);
+        let work_per_answer = WorkPerAnswer {
+            real: real.area_work_per_answer,
+            simulated: simulated.work_s[AREA_SEARCH]
+                / simulated.answered[AREA_SEARCH].max(1) as f64,
         };
-        self.table.row(vec![
+        self.table.add_row(vec![
             scenario.seed.to_string(),
             if on { "on" } else { "off" }.into(),
             format!("{:.3}", real.service),
             format!("{:.3}", simulated.service()),
-            format!("{:.3}", work_each.real),
-            format!("{:.3}", work_each.simulated),
+            format!("{:.3}", work_per_answer.real),
+            format!("{:.3}", work_per_answer.simulated),
             real.answered.to_string(),
-            real.words.to_string(),
+            real.prechecks.to_string(),
             format!("{:.0}/{:.0}", real.p50_p99_ms.0, real.p50_p99_ms.1),
         ]);
         self.differences[usize::from(on)].push(real.service - simulated.service());
-        self.work_each[usize::from(on)].push(work_each);
+        self.work_per_answer[usize::from(on)].push(work_per_answer);
         let broken = real.broken.iter();
-        self.short
+        self.shortfalls
             .extend(broken.map(|what| format!("broken: {what}")));
     }
 
@@ -281,28 +284,28 @@
                 "service on sockets less that in virtual time, phases {name}: {}",
                 difference.text(3)
             );
-            if difference.mean.abs() > REAL_WITHIN {
+            if difference.mean.abs() > MAX_SERVICE_DIFFERENCE {
                 let mean = difference.mean;
-                self.short
+                self.shortfalls
                     .push(format!("service differs by {mean:.3} (phases {name})"));
             }
         }
-        let [off, on] = &self.work_each;
+        let [off, on] = &self.work_per_answer;
         for (index, (off, on)) in off.iter().zip(on).enumerate() {
             if (off.real > on.real) != (off.simulated > on.simulated) {
                 let day = index + 1;
-                self.short
+                self.shortfalls
                     .push(format!("work saved has another sign on day {day}"));
             }
         }
-        let late_ms = self.late_ms;
-        println!("the load itself was late by {late_ms:.1} ms at most (p99 of a day)");
+        let load_delay_ms = self.load_delay_ms;
+        println!("the load itself was late by {load_delay_ms:.1} ms at most (p99 of a day)");
         self.table.save(&options.out.join("two-phase-real.csv"))?;
-        Ok((!self.short.is_empty()).then(|| self.short.join("; ")))
+        Ok((!self.shortfalls.is_empty()).then(|| self.shortfalls.join("; ")))
     }
 }
 
-/// Plays the cells in virtual time, or a few scenarios on sockets too, and says what falls short.
+/// Plays the cells in virtual time, or a few scenarios on sockets too, and says what falls shortfalls.
 pub fn run(options: &Options) -> Verdict {
     if options.real {
         return run_real(options);
@@ -313,7 +316,7 @@
         .iter()
         .flat_map(|cell| (0..cell.seeds(quick)).map(|number| (*cell, options.seed + number)))
         .collect();
-    let pairs: Result<Vec<Pair>, Failure> =
+    let pairs: Result<Vec<Pair>, ExperimentError> =
         parallel(&jobs, |(cell, seed)| pair(cell, *seed, quick))
             .into_iter()
             .collect();
@@ -333,7 +336,7 @@
     fn seeds(&self, quick: bool) -> u64 {
         let seeds = if quick { SEEDS.1 } else { SEEDS.0 };
         if self.selectivity >= 1.0 && !quick {
-            seeds * MORE_SEEDS
+            seeds * FULL_MATCH_SEED_FACTOR
         } else {
             seeds
         }
@@ -369,7 +372,7 @@
     gain: Estimate,
     work_saved: Estimate,
     /// Work saved for each answer.
-    work_saved_each: Estimate,
+    work_saved_per_answer: Estimate,
     /// Pre-checks without a match, of all.
     pruned_share: f64,
 }
@@ -380,47 +383,52 @@
             Estimate::of(&pairs.iter().map(value).collect::<Vec<_>>())
         };
         let pruned = pairs.iter().map(|pair| pair.pruned).sum::<u64>();
-        let words = pairs.iter().map(|pair| pair.words).sum::<u64>();
+        let prechecks = pairs.iter().map(|pair| pair.prechecks).sum::<u64>();
         CellResult {
             service_off: of(&|pair| pair.service[0]),
             service_on: of(&|pair| pair.service[1]),
             gain: of(&|pair| pair.service[1] - pair.service[0]),
             work_saved: of(&|pair| 1.0 - pair.area_work[1] / pair.area_work[0].max(1e-9)),
-            work_saved_each: of(&|pair| 1.0 - pair.area_each[1] / pair.area_each[0].max(1e-9)),
-            pruned_share: pruned as f64 / words.max(1) as f64,
+            work_saved_per_answer: of(&|pair| {
+                1.0 - pair.area_work_per_answer[1] / pair.area_work_per_answer[0].max(1e-9)
+            }),
+            pruned_share: pruned as f64 / prechecks.max(1) as f64,
         }
     }
 
     /// What misses the objectives of a cell, which `at` names.
     fn shortfalls(&self, cell: &Cell, at: &str) -> Vec<String> {
-        let mut short = Vec::new();
-        let (gain, saved, each) = (&self.gain, &self.work_saved, &self.work_saved_each);
+        let mut shortfalls = Vec::new();
+        let (gain, saved, per_answer) = (&self.gain, &self.work_saved, &self.work_saved_per_answer);
         // Below by chance alone is no loss: the interval has to lie below.
-        if gain.mean + gain.half < -LOST {
-            short.push(format!("service {} at {at}", gain.text(4)));
+        if gain.mean + gain.half_width < -MAX_SERVICE_LOSS {
+            shortfalls.push(format!("service {} at {at}", gain.text(4)));
         }
         // Leaf servers that are full do as much as they can either way, and answer more with phases: work counts by answer.
         let is_quarter = cell.selectivity == 0.25 && cell.pre_check_first;
-        if is_quarter && each.mean < SAVED {
-            short.push(format!("work saved each answer {:.3} at {at}", each.mean));
+        if is_quarter && per_answer.mean < MIN_WORK_SAVED {
+            shortfalls.push(format!(
+                "work saved each answer {:.3} at {at}",
+                per_answer.mean
+            ));
         }
-        if is_quarter && cell.situation == 1 && cell.load > 1.0 && gain.mean < GAINED {
-            short.push(format!("service gained {:.4} at {at}", gain.mean));
+        if is_quarter && cell.situation == 1 && cell.load > 1.0 && gain.mean < MIN_SERVICE_GAIN {
+            shortfalls.push(format!("service gained {:.4} at {at}", gain.mean));
         }
-        if cell.selectivity == 1.0 && saved.mean < -MORE {
-            short.push(format!("work saved {:.3} at {at}", saved.mean));
+        if cell.selectivity == 1.0 && saved.mean < -MAX_EXTRA_WORK {
+            shortfalls.push(format!("work saved {:.3} at {at}", saved.mean));
         }
-        short
+        shortfalls
     }
 }
 
-/// What all cells gave: a table, lines of two charts, and what falls short.
+/// What all cells gave: a table, lines of two charts, and what falls shortfalls.
 struct Report {
     table: Table,
     service: Vec<Line>,
     work: Vec<Line>,
-    short: Vec<String>,
-    unproved: Vec<String>,
+    shortfalls: Vec<String>,
+    unproven: Vec<String>,
     broken: Vec<String>,
 }
 
@@ -441,8 +449,8 @@
             ]),
             service: Vec::new(),
             work: Vec::new(),
-            short: Vec::new(),
-            unproved: Vec::new(),
+            shortfalls: Vec::new(),
+            unproven: Vec::new(),
             broken: Vec::new(),
         }
     }
@@ -454,17 +462,17 @@
         let name = format!("{}, load {}", SITUATIONS[cell.situation], cell.load);
         self.add_row(cell, &result);
         self.add_points(cell, &name, &result);
-        let turn = if cell.pre_check_first {
+        let order = if cell.pre_check_first {
             ""
         } else {
             ", words in turn"
         };
-        let at = format!("{name}, matching {}{turn}", cell.selectivity);
+        let at = format!("{name}, matching {}{order}", cell.selectivity);
         let gain = &result.gain;
-        if gain.mean - gain.half < -LOST {
-            self.unproved.push(format!("{} at {at}", gain.text(4)));
+        if gain.mean - gain.half_width < -MAX_SERVICE_LOSS {
+            self.unproven.push(format!("{} at {at}", gain.text(4)));
         }
-        self.short.extend(result.shortfalls(cell, &at));
+        self.shortfalls.extend(result.shortfalls(cell, &at));
     }
 
     fn add_row(&mut self, cell: &Cell, result: &CellResult) {
@@ -473,7 +481,7 @@
         } else {
             "in turn"
         };
-        self.table.row(vec![
+        self.table.add_row(vec![
             SITUATIONS[cell.situation].into(),
             cell.load.to_string(),
             cell.selectivity.to_string(),
@@ -482,7 +490,7 @@
             result.service_on.text(3),
             result.gain.text(4),
             result.work_saved.text(3),
-            result.work_saved_each.text(3),
+            result.work_saved_per_answer.text(3),
             format!("{:.2}", result.pruned_share),
         ]);
     }
@@ -507,8 +515,8 @@
     /// Prints and saves everything.
     fn finish(mut self, options: &Options) -> Verdict {
         print!("{}", self.table.text());
-        for what in &self.unproved {
-            println!("not proved to lose no more than {LOST}: {what}");
+        for what in &self.unproven {
+            println!("not proved to lose no more than {MAX_SERVICE_LOSS}: {what}");
         }
         self.table.save(&options.out.join("two-phase.csv"))?;
         let x = "share of parts that match";
@@ -530,9 +538,9 @@
             println!("broken: {what}");
         }
         if !self.broken.is_empty() {
-            self.short
+            self.shortfalls
                 .insert(0, format!("{} rules broken", self.broken.len()));
         }
-        Ok((!self.short.is_empty()).then(|| self.short.join("; ")))
+        Ok((!self.shortfalls.is_empty()).then(|| self.shortfalls.join("; ")))
     }
 }
--- a/crates/wharfhub-testbed/src/fit.rs
+++ b/crates/wharfhub-testbed/src/fit.rs
@@ -4,7 +4,7 @@
 //! judge the result.
 
 /// A pivot this small means that the points do not determine the polynomial.
-const SINGULAR: f64 = 1e-12;
+const MIN_PIVOT: f64 = 1e-12;
 
 /// A measured cost at a size.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -76,7 +76,7 @@
             .max_by(|a, b| rows[*a][index].abs().total_cmp(&rows[*b][index].abs()))?;
         rows.swap(index, pivot);
         let pivot_row = rows[index].clone();
-        if pivot_row[index].abs() <= SINGULAR {
+        if pivot_row[index].abs() <= MIN_PIVOT {
             return None;
         }
         for (_, row) in rows
--- a/crates/wharfhub-testbed/src/fleet/bench.rs
+++ b/crates/wharfhub-testbed/src/fleet/bench.rs
@@ -1,6 +1,4 @@
-//! One measured point: a fleet of some size, idle and under changes.
-//!
-//! This file owns what is measured and how long; it must never judge a figure.
+//! Measurement of a fleet of a given size: at the start, while idle, and under changes of the list.
 
 use super::discovery::unix_us;
 use super::processes::merged;
@@ -13,69 +11,69 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// Zones of the fleet, as the settings of the testbed's deployment name them.
+/// Zone names of the fleet; the settings of the testbed's deployment use the same names.
 pub const ZONES: [&str; 2] = ["cardiff-bay", "newport-east"];
-/// Version of the first list.
+/// Revision of the first list.
 const FIRST_REVISION: u64 = 1;
-/// All mixers have the first list within this time (seconds).
+/// Longest time until all mixers have applied the first list (seconds).
 const MAX_START_S: f64 = 90.0;
-/// All mixers have a change within this time (seconds).
+/// Longest time until all mixers have applied a change (seconds).
 pub const MAX_CHANGE_S: f64 = 60.0;
 
-/// The size of a fleet and what is done to it.
+/// Size of a fleet and the changes that it receives.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Load {
-    /// Hollow mixers.
+    /// Number of hollow mixers.
     pub mixers: u32,
-    /// Listed servers.
+    /// Number of listed servers.
     pub servers: u32,
-    /// Changes a second, of one server each.
+    /// Changes per second, of one server each.
     pub changes_per_s: f64,
-    /// Changes in all.
+    /// Total number of changes.
     pub changes: u32,
-    /// Whether a change waits until the one before it is in force everywhere, so that none are told together.
+    /// Set if each change is published after all mixers have applied the previous one, so that no answer contains several.
     pub is_sequential: bool,
-    /// How long nothing changes (seconds).
+    /// Length of the idle period (seconds).
     pub idle_s: f64,
-    /// Shortest time between two rounds of a mixer (seconds).
+    /// Shortest interval between two control rounds of a mixer (seconds).
     pub round_s: f64,
-    /// The settings' longest time without asking (seconds).
+    /// Longest time between two calls of a mixer to discovery (seconds).
     pub poll_within_s: f64,
-    /// How many times longer latency targets are than in the deployment.
+    /// Factor by which latency targets are longer than in the deployment.
     pub target_factor: f64,
 }
 
-/// What was measured at one size. Figures of mixers are those of all together.
+/// Measurement at one load. Figures of mixers are totals over all mixers.
 #[derive(Clone, Copy, Debug)]
 pub struct Point {
-    /// What was done.
+    /// Load of the measurement.
     pub load: Load,
-    /// From the start until all mixers had the complete list (seconds).
+    /// Time from the start until all mixers had applied the complete list (seconds).
     pub start_s: f64,
-    /// Processor time of all mixers for that, without what passed idle (seconds).
+    /// CPU time of all mixers for the start, less the idle CPU time (seconds).
     pub start_cpu_s: f64,
-    /// What discovery counted meanwhile.
+    /// Traffic of discovery during the start.
     pub start: Counters,
-    /// Memory of all host processes (bytes).
+    /// Resident memory of all host processes (bytes).
     pub memory_bytes: f64,
-    /// Processor time a second of all mixers while nothing changes (cores).
+    /// CPU time per second of all mixers while the list does not change (cores).
     pub idle_cores: f64,
-    /// What discovery counted meanwhile, and for how long (seconds).
+    /// Traffic of discovery during the idle period, and the length of that period (seconds).
     pub idle: (Counters, f64),
-    /// Processor time of all mixers for one answer with changes at each, without what passes idle (seconds). Where
-    /// changes come faster than mixers take them, one answer brings several.
+    /// CPU time of all mixers when each processes one answer with changes, less the idle CPU time (seconds). An answer contains
+    /// several changes if they are published faster than mixers fetch them.
     pub change_cpu_s: f64,
-    /// Processor time of discovery for one change (seconds).
+    /// CPU time of discovery for one change (seconds).
     pub discovery_change_cpu_s: f64,
-    /// What discovery counted under changes.
+    /// Traffic of discovery while changes were published.
     pub change: Counters,
-    /// How long changes came (seconds).
+    /// Time from the first change until the last one was applied everywhere (seconds).
     pub change_s: f64,
-    /// Until changes were in force.
+    /// Times until the changes were applied.
     pub propagation: Propagation,
 }
 
-/// The servers of a catalog of that size.
+/// Returns the servers of a catalog of the given size.
 pub fn servers(count: u32) -> Vec<ListedServer> {
     let zones = ZONES.map(String::from);
     (0..count)
@@ -83,7 +81,7 @@
         .collect()
 }
 
-/// The settings of such a fleet.
+/// Returns the settings of the mixers of a fleet.
 pub fn settings(load: &Load) -> MixerSettings {
     MixerSettings {
         replicas: load.mixers,
@@ -94,7 +92,7 @@
     }
 }
 
-/// The same server after its next step: it drains, and then it is back with a fresh start.
+/// Returns a server after its next change: a ready server drains, and any other is ready again with a new start time.
 pub fn advance_phase(server: &ListedServer) -> ListedServer {
     match server.phase {
         Phase::Ready => ListedServer {
@@ -109,17 +107,17 @@
     }
 }
 
-/// A fleet with its discovery.
+/// Fleet with its discovery.
 pub struct Bench {
-    /// The fleet; dropped before its discovery.
+    /// Fleet; declared first, so that it is dropped before its discovery.
     pub fleet: Fleet,
-    /// The discovery.
+    /// Discovery of the fleet.
     pub discovery: Discovery,
     started: Instant,
 }
 
 impl Bench {
-    /// Starts both.
+    /// Starts discovery and the fleet.
     pub fn start(
         load: &Load,
         program: PathBuf,
@@ -145,7 +143,7 @@
         })
     }
 
-    /// Publishes changes of one server each, and waits until the last one is in force everywhere.
+    /// Publishes changes of one server each and waits until all mixers have applied the last one.
     fn make_changes(&mut self, load: &Load) -> Result<(Vec<Published>, FleetReport), FleetError> {
         let catalog = self.discovery.catalog();
         let mut servers: Vec<ListedServer> = catalog.servers().cloned().collect();
@@ -173,7 +171,7 @@
         Ok((published, report))
     }
 
-    /// Measures a point. Other changes may follow.
+    /// Measures one point. The same fleet can be measured again with other changes.
     pub fn measure(&mut self, load: &Load) -> Result<Point, FleetError> {
         let nothing = Counters::default();
         let revision = self.discovery.catalog().revision();
@@ -218,7 +216,7 @@
     }
 }
 
-/// How long ago mixers had their first list in force, on average (seconds).
+/// Returns the average time since the mixers applied their first list (seconds).
 fn seconds_since_first_lists(report: &FleetReport) -> f64 {
     let now_us = unix_us();
     let since_us = |mixer: &MixerReport| {
--- a/crates/wharfhub-testbed/src/fleet/call_queue.rs
+++ b/crates/wharfhub-testbed/src/fleet/call_queue.rs
@@ -1,42 +1,43 @@
-//! The turns in which a discovery takes calls, and the watches that wait for news.
+//! Queue of the calls to the discovery stand-in, and the watches that wait for changes.
 //!
-//! A state machine without sockets and clock: calls go in with a time, answers come out with a time. It must never
-//! know what a list says, only its version.
+//! The queue is a state machine without sockets and without a clock: the caller passes the current time and the revision of
+//! the list.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// A call that has waited for its turn for longer has failed, and takes its turn all the same (seconds).
+/// Longest time from the arrival of a call to the end of its processing. A call that takes longer is answered with an error and
+/// still occupies the server for its service time (seconds).
 const MAX_QUEUE_WAIT_S: f64 = 2.0;
 
-/// What is asked of discovery.
+/// Call to discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Call {
     /// The complete list.
     CompleteList,
-    /// Changes after a version, waiting for them for so long at most.
+    /// Changes after a revision; waits for the next change if there is none yet.
     Watch {
-        /// The version that is known.
+        /// Revision of the caller's list.
         since: u64,
-        /// Longest wait (seconds).
+        /// Longest wait for a change (seconds).
         wait_s: f64,
     },
 }
 
-/// What a call is answered with.
+/// Answer to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Answer {
     /// The complete list.
     CompleteList,
-    /// The changes after that version, perhaps none.
+    /// Changes after a revision; none if the watch timed out.
     Changes {
-        /// The version that is known.
+        /// Revision of the caller's list.
         since: u64,
     },
-    /// It waited too long for its turn.
+    /// Error answer to a call that waited too long in the queue.
     Overloaded,
 }
 
-/// Calls in turn, and open watches. `K` names who asked.
+/// Calls that are processed one after the other, and open watches. `K` identifies the caller's connection.
 #[derive(Debug)]
 pub struct CallQueue<K> {
     service_time_s: f64,
@@ -53,7 +54,7 @@
 }
 
 impl<K: Copy + Ord> CallQueue<K> {
-    /// A queue in which each call takes so long.
+    /// Creates an empty queue whose calls take `service_time_s` each (seconds).
     pub fn new(service_time_s: f64) -> CallQueue<K> {
         let (queue, watches) = (VecDeque::new(), BTreeMap::new());
         CallQueue {
@@ -65,40 +66,41 @@
         }
     }
 
-    /// Each call takes so long from now on.
+    /// Sets the service time of each call from now on (seconds).
     pub fn set_service_time_s(&mut self, service_time_s: f64) {
         self.service_time_s = service_time_s;
     }
 
-    /// A call has come.
+    /// Adds a call that arrived at `now`.
     pub fn push(&mut self, now: f64, key: K, call: Call) {
         self.busy_until = self.busy_until.max(now);
         self.queue.push_back((now, key, call));
         self.max_queued = self.max_queued.max(self.queue.len());
     }
 
-    /// Whoever asked has gone. Its call takes its turn all the same, for discovery does not notice.
+    /// Removes the watch of a closed connection. Its queued calls still take their service time, because the server does not
+    /// notice the disconnect before it processes them.
     pub fn remove_watch(&mut self, key: K) {
         self.watches.remove(&key);
     }
 
-    /// All open watches, which are forgotten.
+    /// Removes all open watches and returns their callers.
     pub fn take_watches(&mut self) -> Vec<K> {
         std::mem::take(&mut self.watches).into_keys().collect()
     }
 
-    /// Open watches.
+    /// Returns the number of open watches.
     pub fn watches(&self) -> usize {
         self.watches.len()
     }
 
-    /// The most calls that have waited for their turn at once.
+    /// Returns the largest number of calls that were queued at the same time.
     pub fn max_queued(&self) -> usize {
         self.max_queued
     }
 
-    /// The answers that are due now, at that version of the list; `has_changes_since` says whether changes since a version
-    /// can be told.
+    /// Returns the answers that are due at `now`, while the list has the given revision. `has_changes_since` returns whether the
+    /// changes after a revision are still stored.
     pub fn poll(
         &mut self,
         now: f64,
@@ -150,7 +152,7 @@
         answers
     }
 
-    /// When something falls due next, if nothing comes in.
+    /// Returns the time at which the next call is processed or the next watch times out, if no further call arrives.
     pub fn next_due_at(&self) -> Option<f64> {
         let call = self
             .queue
--- a/crates/wharfhub-testbed/src/fleet/catalog.rs
+++ b/crates/wharfhub-testbed/src/fleet/catalog.rs
@@ -1,22 +1,20 @@
-//! The servers that a discovery lists, by version, and its answers as text.
-//!
-//! This file owns which server changed with which version and the JSON of complete lists and of changes. It must never
-//! hold a socket, never read a clock, and never decide when a watch is answered.
+//! Server catalog of the discovery stand-in: the listed servers, the revision at which each last changed, and the JSON of
+//! complete lists and of changes.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
 
-/// Changes that are remembered: a watch from before the oldest of them gets the complete list.
+/// Number of changes that are kept. A watch with a revision older than these gets the complete list.
 const MAX_REMEMBERED_CHANGES: usize = 50_000;
 
-/// What a list says of a server's life.
+/// Phase of a server in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It serves.
+    /// The server accepts requests.
     Ready,
-    /// It drains.
+    /// The server drains.
     Terminating,
-    /// It is no longer there.
+    /// The server no longer exists; only changes name it.
     Removed,
 }
 
@@ -33,22 +31,23 @@
 /// A server as discovery lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedServer {
-    /// Its name.
+    /// Unique name.
     pub id: String,
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: String,
-    /// Its zone.
+    /// Zone name.
     pub zone: String,
-    /// Its cell.
+    /// Cell number.
     pub cell: u32,
-    /// Where it is in its life.
+    /// Current phase.
     pub phase: Phase,
-    /// When it started (Unix milliseconds), or 0.
+    /// Start time (Unix milliseconds), or 0 if unknown.
     pub started_ms: u64,
 }
 
 impl ListedServer {
-    /// A server of that number that nobody ever connects to.
+    /// Creates the entry of a server that does not exist and that no mixer connects to; name, address and zone follow from
+    /// its number.
     pub fn hollow(number: u32, zones: &[String], cell: u32) -> ListedServer {
         let zone = zones
             .get(number as usize % zones.len().max(1))
@@ -72,28 +71,28 @@
     }
 }
 
-/// How lists are laid out.
+/// Whitespace in the JSON of lists.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Layout {
-    /// Without spaces.
+    /// No whitespace.
     #[default]
     Compact,
-    /// A key a line, two spaces a level.
+    /// One key on a line, indented by two spaces for each level.
     Indented,
 }
 
-/// The servers of a discovery, by version.
+/// Servers of a discovery and their last changes.
 #[derive(Clone, Debug)]
 pub struct Catalog {
     revision: u64,
     servers: BTreeMap<String, ListedServer>,
-    changed: BTreeMap<(u64, String), ListedServer>, // the last change of each server, by version
+    changed: BTreeMap<(u64, String), ListedServer>, // last change of each server, by revision
     changed_at: HashMap<String, u64>,
-    forgotten_up_to: u64, // changes after this version are remembered
+    discarded_up_to: u64, // changes after this revision are stored
 }
 
 impl Catalog {
-    /// A catalog that lists these at that version.
+    /// Creates a catalog of the given servers at a revision.
     pub fn new(revision: u64, servers: impl IntoIterator<Item = ListedServer>) -> Catalog {
         let servers = servers
             .into_iter()
@@ -105,31 +104,31 @@
             servers,
             changed,
             changed_at,
-            forgotten_up_to: revision,
+            discarded_up_to: revision,
         }
     }
 
-    /// Its version.
+    /// Returns the current revision.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// How many servers there are.
+    /// Returns the number of servers.
     pub fn len(&self) -> usize {
         self.servers.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether the catalog has no servers.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
 
-    /// The servers, by name.
+    /// Returns the servers, sorted by name.
     pub fn servers(&self) -> impl Iterator<Item = &ListedServer> {
         self.servers.values()
     }
 
-    /// Takes changes in as one new version; gives that version.
+    /// Applies changes as one new revision, which it returns.
     pub fn apply(&mut self, changes: Vec<ListedServer>) -> u64 {
         self.revision += 1;
         for server in changes {
@@ -144,26 +143,26 @@
                 self.servers.insert(server.id.clone(), server);
             }
         }
-        self.forget_oldest_changes();
+        self.discard_oldest_changes();
         self.revision
     }
 
-    fn forget_oldest_changes(&mut self) {
+    fn discard_oldest_changes(&mut self) {
         while self.changed.len() > MAX_REMEMBERED_CHANGES {
             let Some(((revision, id), _)) = self.changed.pop_first() else {
                 return;
             };
             self.changed_at.remove(&id);
-            self.forgotten_up_to = self.forgotten_up_to.max(revision);
+            self.discarded_up_to = self.discarded_up_to.max(revision);
         }
     }
 
-    /// Whether changes since that version can be told; otherwise only the complete list can.
+    /// Returns whether all changes after a revision are stored; otherwise only the complete list can be sent.
     pub fn has_changes_since(&self, since: u64) -> bool {
-        (self.forgotten_up_to..=self.revision).contains(&since)
+        (self.discarded_up_to..=self.revision).contains(&since)
     }
 
-    /// The complete list as text.
+    /// Returns the complete list as JSON.
     pub fn complete_list(&self, layout: Layout) -> String {
         render(
             self.revision,
@@ -174,7 +173,7 @@
         )
     }
 
-    /// The last change of each server since that version, as text.
+    /// Returns the last change of each server after a revision, as JSON.
     pub fn changes_since(&self, since: u64, layout: Layout) -> String {
         let changes = self.changed.range((since + 1, String::new())..);
         let count = changes.clone().count();
--- a/crates/wharfhub-testbed/src/fleet/counters.rs
+++ b/crates/wharfhub-testbed/src/fleet/counters.rs
@@ -1,15 +1,13 @@
-//! What passed between a discovery and its mixers, counted.
-//!
-//! This file owns the counts and how they are added and compared. It must never count by itself.
+//! Counters of the traffic between a discovery stand-in and its mixers.
 
-/// What has passed since the start.
+/// Traffic since the start of a discovery, or between two points in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Connections accepted.
     pub connections: u64,
     /// Calls read.
     pub calls: u64,
-    /// Of these, calls that do not wait for news (heartbeats).
+    /// Calls that do not wait for a change (heartbeats); included in `calls`.
     pub heartbeats: u64,
     /// Answers with the complete list.
     pub complete_lists: u64,
@@ -17,26 +15,26 @@
     pub change_answers: u64,
     /// Bytes of answers with changes.
     pub change_bytes: u64,
-    /// Answers without any change.
+    /// Answers without changes.
     pub empty_answers: u64,
-    /// Answers 503.
+    /// Answers with status 503.
     pub overloaded: u64,
     /// Bytes read.
     pub bytes_in: u64,
     /// Bytes written.
     pub bytes_out: u64,
-    /// Watchers that were closed because they did not read.
+    /// Connections closed because the mixer did not read its answers.
     pub slow_closed: u64,
-    /// Most calls that waited for their turn at once.
+    /// Largest number of calls queued at the same time.
     pub max_queued: u64,
-    /// Watches open at the last look.
+    /// Watches that were open when the counters were last updated.
     pub watches: u64,
-    /// Bytes that wait to be written, at most so far; a text that many wait for counts once for each.
+    /// Largest number of bytes queued for writing on one connection.
     pub max_unsent_bytes: u64,
 }
 
 impl Counters {
-    /// What has passed since an earlier count; levels and maxima stay as they are.
+    /// Returns the traffic since `before`. Current levels and maxima are not subtracted.
     pub fn since(&self, before: &Counters) -> Counters {
         Counters {
             connections: self.connections - before.connections,
@@ -54,8 +52,8 @@
         }
     }
 
-    /// Both counts together; of maxima the larger one.
-    pub fn and(self, other: Counters) -> Counters {
+    /// Adds two sets of counters; takes the larger value of each maximum.
+    pub fn merge(self, other: Counters) -> Counters {
         Counters {
             connections: self.connections + other.connections,
             calls: self.calls + other.calls,
@@ -74,7 +72,7 @@
         }
     }
 
-    /// Calls and answers.
+    /// Returns the number of calls and answers.
     pub fn messages(&self) -> u64 {
         self.calls
             + self.complete_lists
@@ -83,7 +81,7 @@
             + self.overloaded
     }
 
-    /// Bytes in both directions.
+    /// Returns the number of bytes in both directions.
     pub fn bytes(&self) -> u64 {
         self.bytes_in + self.bytes_out
     }
--- a/crates/wharfhub-testbed/src/fleet/discovery.rs
+++ b/crates/wharfhub-testbed/src/fleet/discovery.rs
@@ -1,7 +1,7 @@
-//! A discovery stand-in on loopback sockets: one thread that serves over a thousand watchers.
+//! Discovery stand-in on loopback sockets: one thread that serves more than a thousand watching mixers.
 //!
-//! This file owns its sockets and counts what passes over them. Which call is answered when is decided in
-//! `call_queue.rs`, and what a list says in `catalog.rs`. It must never learn more of a mixer than its calls.
+//! This module handles the sockets and counts the traffic. `call_queue.rs` decides when a call is answered, and `catalog.rs`
+//! renders the lists.
 
 use super::call_queue::{Answer, Call, CallQueue};
 use super::catalog::{Catalog, Layout, ListedServer};
@@ -21,62 +21,62 @@
 use wharfhub::net::http::{self, Message, MessageReader, StartLine};
 
 const WAKER: Token = Token(usize::MAX);
-/// Bytes that may wait for one watcher that does not read; beyond that its connection is closed.
+/// Unsent bytes of one connection beyond which the connection is closed, because the mixer does not read.
 const MAX_UNSENT_BYTES: usize = 16 * 1024 * 1024;
-/// Longest body that a call may have.
+/// Longest body of a call.
 const MAX_CALL_BYTES: usize = 64 * 1024;
-/// Longest wait of a watch, as the protocol has it (seconds).
+/// Longest wait of a watch by the protocol (seconds).
 const MAX_WATCH_S: f64 = 60.0;
-/// Accepts in a row before other sockets are served.
+/// Connections accepted in a row before other sockets are served.
 const MAX_ACCEPTS_PER_ITERATION: usize = 256;
-/// Longest sleep of the loop where nothing is due (seconds).
+/// Longest wait of the event loop (seconds).
 const MAX_POLL_S: f64 = 1.0;
 
 slotmap::new_key_type! {
     struct ConnectionKey;
 }
 
-/// What becomes of the body of an answer.
+/// Extent to which an answer is written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Delivery {
-    /// It is written whole.
+    /// The whole answer.
     #[default]
     Whole,
-    /// So many bytes of it are written, and the connection is closed.
+    /// The given number of bytes, after which the connection is closed.
     TruncateAfter(usize),
-    /// So many bytes of it are written, and nothing more ever.
+    /// The given number of bytes, after which nothing more is written and the connection stays open.
     StallAfter(usize),
 }
 
-/// How discovery behaves.
+/// Behavior of discovery, faults included.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Behavior {
-    /// Connections are reset, new ones too.
+    /// All connections are closed, new ones at once.
     pub is_down: bool,
-    /// Calls are read and never answered.
+    /// Calls are read and not answered.
     pub is_unresponsive: bool,
-    /// Changes are told so much later (seconds).
+    /// Delay between the publication of a change and its appearance in answers (seconds).
     pub publish_delay_s: f64,
-    /// Each call takes so long, one after the other (seconds).
+    /// Time that each call occupies the server; calls are processed one after the other (seconds).
     pub service_time_s: f64,
-    /// Watches are answered with the complete list too.
+    /// Watches are answered with the complete list instead of changes.
     pub complete_lists_only: bool,
-    /// How lists are laid out.
+    /// Whitespace in the JSON of lists.
     pub layout: Layout,
-    /// What becomes of complete lists.
+    /// Extent to which complete lists are written.
     pub delivery: Delivery,
 }
 
-/// A version that was published, and when it could first be told (Unix microseconds).
+/// Published revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Published {
-    /// The version.
+    /// Revision number.
     pub revision: u64,
-    /// When.
+    /// Time from which on answers contain the revision (Unix microseconds).
     pub at_us: u64,
 }
 
-/// The wall clock (Unix microseconds): the same for all processes of this machine.
+/// Returns the time of the wall clock, which all processes of the machine share (Unix microseconds).
 pub fn unix_us() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -85,7 +85,7 @@
 
 struct Shared {
     catalog: Catalog,
-    /// Changes that are not told yet, and from when on they are.
+    /// Changes that answers do not contain yet, with the time from which on they do.
     pending: VecDeque<(Instant, Vec<ListedServer>)>,
     behavior: Behavior,
     counters: Counters,
@@ -94,9 +94,9 @@
     stop: bool,
 }
 
-/// A discovery that runs. It ends with this value.
+/// Running discovery; its thread ends on drop.
 pub struct Discovery {
-    /// Where it listens: an address for each region.
+    /// Listening address for each region.
     pub addresses: Vec<SocketAddr>,
     shared: Arc<Mutex<Shared>>,
     waker: Waker,
@@ -115,7 +115,7 @@
 }
 
 impl Discovery {
-    /// Starts one that serves this catalog to so many regions.
+    /// Starts a discovery that serves the catalog on a socket for each region.
     pub fn start(catalog: Catalog, regions: usize, behavior: Behavior) -> io::Result<Discovery> {
         let poll = Poll::new()?;
         let waker = Waker::new(poll.registry(), WAKER)?;
@@ -158,28 +158,29 @@
         })
     }
 
-    /// Makes changes known as one version.
+    /// Publishes changes as one revision.
     pub fn publish(&self, changes: Vec<ListedServer>) -> Published {
         let now_us = unix_us();
         let mut shared = lock(&self.shared);
-        let lag = Duration::from_secs_f64(shared.behavior.publish_delay_s.max(0.0));
-        shared.pending.push_back((Instant::now() + lag, changes));
+        let delay = Duration::from_secs_f64(shared.behavior.publish_delay_s.max(0.0));
+        shared.pending.push_back((Instant::now() + delay, changes));
         let revision = shared.catalog.revision() + shared.pending.len() as u64;
         drop(shared);
         let _ = self.waker.wake();
         Published {
             revision,
-            at_us: now_us + lag.as_micros() as u64,
+            at_us: now_us + delay.as_micros() as u64,
         }
     }
 
-    /// Behaves in that way from now on.
+    /// Sets the behavior from now on.
     pub fn set_behavior(&self, behavior: Behavior) {
         lock(&self.shared).behavior = behavior;
         let _ = self.waker.wake();
     }
 
-    /// Cuts a region off, without a sign to either side, or connects it again; what was open then is reset.
+    /// Starts or ends a network partition of a region. During a partition the region's connections stay open and no data passes;
+    /// at its end they are closed.
     pub fn set_partitioned(&self, region: usize, is_partitioned: bool) {
         if let Some(partitioned) = lock(&self.shared).region_partitioned.get_mut(region) {
             *partitioned = is_partitioned;
@@ -187,18 +188,18 @@
         let _ = self.waker.wake();
     }
 
-    /// Never answers the watches that are open now.
+    /// Discards the watches that are open now, so that they are not answered.
     pub fn ignore_open_watches(&self) {
         lock(&self.shared).ignore_open_watches = true;
         let _ = self.waker.wake();
     }
 
-    /// What has passed so far.
+    /// Returns the traffic since the start.
     pub fn counters(&self) -> Counters {
         lock(&self.shared).counters
     }
 
-    /// The servers that it lists now, and those it will list.
+    /// Returns the catalog with all published changes, the delayed ones included.
     pub fn catalog(&self) -> Catalog {
         let shared = lock(&self.shared);
         let mut catalog = shared.catalog.clone();
@@ -208,26 +209,26 @@
         catalog
     }
 
-    /// Processor time of its thread so far (seconds).
+    /// Returns the CPU time of the discovery's thread (seconds).
     pub fn cpu_s(&self) -> f64 {
         self.cpu.read_s().unwrap_or(0.0)
     }
 }
 
-/// A connection of a mixer.
+/// Connection of a mixer.
 struct Connection {
     stream: TcpStream,
     region: usize,
     reader: MessageReader,
     inbuf: Vec<u8>,
-    out: VecDeque<(Rc<[u8]>, usize)>, // texts, and how much of each is written
+    out: VecDeque<(Rc<[u8]>, usize)>, // answers, and the number of bytes of each that are written
     unsent: usize,
-    closes: bool, // once all is written
+    close_after_write: bool, // the connection is closed once all answers are written
     stalled: bool,
 }
 
 impl Connection {
-    /// Writes what the socket takes; says how much that was.
+    /// Writes as much as the socket accepts and returns the number of bytes.
     fn flush(&mut self) -> io::Result<u64> {
         let mut written = 0;
         while let Some((text, done)) = self.out.front_mut() {
@@ -244,7 +245,7 @@
                 Err(error) => return Err(error),
             }
         }
-        if self.closes && self.out.is_empty() {
+        if self.close_after_write && self.out.is_empty() {
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
         Ok(written)
@@ -259,7 +260,7 @@
     shared: Arc<Mutex<Shared>>,
     behavior: Behavior,
     partitioned: Vec<bool>,
-    rendered: HashMap<Answer, Rc<[u8]>>, // answers at the present version
+    rendered: HashMap<Answer, Rc<[u8]>>, // answers at the revision and layout in `rendered_for`
     rendered_for: (u64, Layout),
     start: Instant,
 }
@@ -318,7 +319,7 @@
         }
     }
 
-    /// How long nothing is due.
+    /// Returns the time until the next call, watch timeout or delayed change is due (seconds).
     fn wait_s(&self) -> f64 {
         let pending = lock(&self.shared).pending.front().map(|(at, _)| *at);
         let until_s = |at: Instant| at.saturating_duration_since(Instant::now()).as_secs_f64();
@@ -330,7 +331,7 @@
         queue_s.min(pending_s).clamp(0.0, MAX_POLL_S)
     }
 
-    /// Takes up what the owner of this discovery wants; says whether it is to end.
+    /// Applies the state set through [`Discovery`]: due changes, behavior and partitions. Returns whether to stop.
     fn apply_commands(&mut self) -> bool {
         let shared = self.shared.clone();
         let mut shared = lock(&shared);
@@ -348,15 +349,16 @@
         if std::mem::take(&mut shared.ignore_open_watches) {
             self.queue.take_watches();
         }
-        let joined = |region: usize| self.partitioned[region] && !shared.region_partitioned[region];
-        let joined: Vec<usize> = (0..self.partitioned.len())
-            .filter(|region| joined(*region))
+        let has_healed =
+            |region: usize| self.partitioned[region] && !shared.region_partitioned[region];
+        let healed: Vec<usize> = (0..self.partitioned.len())
+            .filter(|region| has_healed(*region))
             .collect();
         self.partitioned.clone_from(&shared.region_partitioned);
         let stop = shared.stop;
         drop(shared);
         let is_reset =
-            |connection: &Connection| self.behavior.is_down || joined.contains(&connection.region);
+            |connection: &Connection| self.behavior.is_down || healed.contains(&connection.region);
         let reset: Vec<ConnectionKey> = self
             .connections
             .iter()
@@ -395,13 +397,13 @@
                     inbuf,
                     out,
                     unsent: 0,
-                    closes: false,
+                    close_after_write: false,
                     stalled: false,
                 }
             });
             self.serve(key);
         }
-        // More may wait: the listener is looked at again in the next turn.
+        // The socket is edge-triggered and more connections may be pending: registering it again reports them in the next iteration.
         let token = Token(region);
         let _ =
             self.poll
@@ -409,7 +411,7 @@
                 .reregister(&mut self.listeners[region], token, Interest::READABLE);
     }
 
-    /// Something has come on a connection, or more can be written to it.
+    /// Reads calls from a connection and writes pending answers to it.
     fn serve(&mut self, key: ConnectionKey) {
         let partitioned = &self.partitioned;
         let Some(connection) = self
@@ -442,7 +444,7 @@
         }
     }
 
-    /// Answers what is due.
+    /// Sends the answers that are due.
     fn answer_due(&mut self) {
         let shared = self.shared.clone();
         let mut shared = lock(&shared);
@@ -495,7 +497,7 @@
     }
 }
 
-/// Reads what has come; an error ends the connection.
+/// Reads all available calls and returns the number of bytes; the caller closes the connection on an error.
 fn read_calls(connection: &mut Connection, calls: &mut Vec<Call>) -> io::Result<u64> {
     let (mut buffer, mut count) = ([0; 4096], 0);
     loop {
@@ -520,7 +522,8 @@
     }
 }
 
-/// What a message asks: the complete list, or a watch from `index` on that waits for `wait` milliseconds.
+/// Parses a call: the complete list, or a watch with the revision `index` that waits for `wait` milliseconds. Returns `None` for
+/// other messages.
 fn call_of(message: &Message) -> Option<Call> {
     let StartLine::Request { target, .. } = &message.start else {
         return None;
@@ -566,7 +569,7 @@
     }
 }
 
-/// Hands a text to a connection, as far as it is to be delivered.
+/// Queues an answer on a connection, shortened as `delivery` demands.
 fn send(connection: &mut Connection, text: Rc<[u8]>, answer: Answer, delivery: Delivery) {
     let (text, cut) = match (answer, delivery) {
         (Answer::CompleteList, Delivery::TruncateAfter(bytes) | Delivery::StallAfter(bytes)) => {
@@ -574,7 +577,7 @@
         }
         _ => (text, false),
     };
-    connection.closes = cut && matches!(delivery, Delivery::TruncateAfter(_));
+    connection.close_after_write = cut && matches!(delivery, Delivery::TruncateAfter(_));
     connection.stalled = cut && matches!(delivery, Delivery::StallAfter(_));
     connection.unsent += text.len();
     connection.out.push_back((text, 0));
--- a/crates/wharfhub-testbed/src/fleet/events.rs
+++ b/crates/wharfhub-testbed/src/fleet/events.rs
@@ -1,6 +1,5 @@
-//! The events of a year played on a fleet in two regions: how long until all is in force again, and what it costs.
-//!
-//! This file owns what each event does to servers, mixers and regions. It must never judge a figure.
+//! Operational events of a year, simulated on a fleet in two regions: the time until all mixers have applied the changes, and
+//! the traffic.
 
 use super::bench::{advance_phase, Load, MAX_CHANGE_S};
 use super::discovery::unix_us;
@@ -15,78 +14,76 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// Regions, and zones of all of them: a host process for each zone.
+/// Number of regions.
 pub const REGIONS: usize = 2;
-/// Zones of both regions together; zone `n` lies in region `n` modulo the regions.
+/// Number of zones in both regions; zone `n` lies in region `n` modulo [`REGIONS`]. Each zone has one host process.
 pub const ZONES: u32 = 8;
-/// List changes of an ordinary day: 1,500 of configuration, 1,600 machines that drain and come back, 37 that fail and
-/// are replaced.
+/// List changes of an ordinary day: 1,500 configuration changes, 1,600 machines that drain and return, and 37 machines that fail
+/// and are replaced.
 pub const DAY_CHANGES: f64 = 1_500.0 + 2.0 * 1_600.0 + 2.0 * 37.0;
-/// Seconds of a day.
 const DAY_S: f64 = 86_400.0;
-/// The cells of servers that nobody connects to begin here: those before it are for leaf servers with queries.
+/// First cell of the servers that no mixer connects to; the cells before it are for leaf servers that serve queries.
 const FIRST_CELL: u32 = 100;
-/// Servers of a rack.
 const RACK_SERVERS: usize = 40;
-/// Changes that each region makes while they are apart.
-const APART_CHANGES: usize = 20;
-/// Batches of a rolling release, and the time from one to the next (seconds).
+/// Changes that each region makes during a network partition.
+const CHANGES_DURING_PARTITION: usize = 20;
+/// Number of batches of a rolling release, and the interval between them.
 const RELEASE_BATCHES: usize = 20;
-const RELEASE_STEP: Duration = Duration::from_millis(500);
+const RELEASE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What an event came to.
+/// Result of an event.
 #[derive(Clone, Debug)]
 pub struct EventOutcome {
-    /// Which.
+    /// Name of the event.
     pub name: &'static str,
-    /// From its last change until all was in force at every mixer that runs (seconds).
-    pub settled_s: f64,
-    /// How long its versions took, where mixers ran throughout.
+    /// Time from the last change until every running mixer had applied the latest revision of its region (seconds).
+    pub convergence_s: f64,
+    /// Times until the mixers that run at the end had applied the event's revisions.
     pub propagation: Propagation,
-    /// What discovery counted.
+    /// Traffic of all discoveries during the event.
     pub counters: Counters,
-    /// Mixers that ran at its end.
+    /// Number of mixers that run at the end of the event.
     pub mixers: usize,
-    /// Mixers that started anew.
+    /// Number of mixers that were started during the event.
     pub mixers_started: u64,
-    /// Whole lists that it needs at most: one for each mixer that started anew, and for each daemon beside the fleet.
-    pub whole_lists_needed: u64,
+    /// Largest number of complete lists that the event needs: one for each started mixer or daemon.
+    pub max_complete_lists: u64,
 }
 
 impl EventOutcome {
-    /// Bytes that one mixer got and sent on average.
-    pub fn bytes_a_mixer(&self) -> f64 {
+    /// Returns the average number of bytes that a mixer received and sent.
+    pub fn bytes_per_mixer(&self) -> f64 {
         self.counters.bytes() as f64 / self.mixers.max(1) as f64
     }
 }
 
-/// How an ordinary day is compressed.
+/// Ordinary day at a higher rate of changes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CompressedDay {
-    /// Changes that are played.
+    /// Number of changes.
     pub changes: usize,
-    /// How many a second.
-    pub per_s: f64,
+    /// Changes per second.
+    pub changes_per_s: f64,
 }
 
 impl CompressedDay {
-    /// How many times faster than on a day changes come.
-    pub fn times_faster(&self) -> f64 {
-        self.per_s / (DAY_CHANGES / DAY_S)
+    /// Returns the factor by which changes come faster than on a real day.
+    pub fn speedup(&self) -> f64 {
+        self.changes_per_s / (DAY_CHANGES / DAY_S)
     }
 }
 
-/// A fleet in two regions.
+/// Fleet in two regions on which events are simulated.
 pub struct EventBench {
     fleet: Fleet,
     regions: Regions,
     servers: Vec<ListedServer>,
-    published: Vec<Vec<Published>>, // by region, in the event that is played
+    published: Vec<Vec<Published>>, // by region, in the current event
     last_change_us: u64,
 }
 
 impl EventBench {
-    /// Starts discoveries and mixers, and waits until all have their list.
+    /// Starts discoveries and mixers, and waits until all mixers have applied the first list.
     pub fn start(load: &Load, program: PathBuf, seed: u64) -> Result<EventBench, FleetError> {
         let zones: Vec<String> = (0..ZONES).map(|zone| format!("zone-{zone}")).collect();
         let servers: Vec<ListedServer> = (0..load.servers)
@@ -126,7 +123,7 @@
         server % ZONES as usize
     }
 
-    /// Makes a change of these servers known in the region of the first of them.
+    /// Changes the given servers and publishes the change in the region of the first one.
     fn change(&mut self, indices: &[usize], change: impl Fn(&ListedServer) -> ListedServer) {
         let Some(first) = indices.first() else { return };
         let region = Self::zone_of(*first) % REGIONS;
@@ -139,10 +136,10 @@
             .zip(&changes)
             .for_each(|(index, server)| self.servers[*index] = server.clone());
         let published = self.regions.publish(region, changes);
-        self.note(published);
+        self.record_published(published);
     }
 
-    fn note(&mut self, published: Vec<Option<Published>>) {
+    fn record_published(&mut self, published: Vec<Option<Published>>) {
         self.last_change_us = unix_us();
         self.published
             .iter_mut()
@@ -150,22 +147,22 @@
             .for_each(|(all, one)| all.extend(one));
     }
 
-    fn gone(server: &ListedServer) -> ListedServer {
+    fn removed(server: &ListedServer) -> ListedServer {
         ListedServer {
             phase: Phase::Removed,
             ..server.clone()
         }
     }
 
-    fn back(server: &ListedServer) -> ListedServer {
+    fn restarted(server: &ListedServer) -> ListedServer {
         advance_phase(&ListedServer {
             phase: Phase::Removed,
             ..server.clone()
         })
     }
 
-    /// Plays an event, waits until its last change is in force everywhere, and says what came of it.
-    fn play(
+    /// Runs an event, waits until all mixers have applied its last change, and returns the result.
+    fn run_event(
         &mut self,
         name: &'static str,
         mixers_started: u64,
@@ -187,18 +184,18 @@
         );
         Ok(EventOutcome {
             name,
-            settled_s: self.settled_s(&report, &revisions),
+            convergence_s: self.convergence_s(&report, &revisions),
             propagation: self.propagation(&report),
             counters: self.regions.counters().since(&before),
             mixers: self.fleet.running(),
             mixers_started,
-            whole_lists_needed: mixers_started,
+            max_complete_lists: mixers_started,
         })
     }
 
-    /// From the last change until the last mixer had the last version of its region in force (seconds).
-    fn settled_s(&self, report: &FleetReport, revisions: &[u64]) -> f64 {
-        let settled_us = |mixer: &MixerReport| {
+    /// Returns the time from the last change until the last mixer had applied the latest revision of its region (seconds).
+    fn convergence_s(&self, report: &FleetReport, revisions: &[u64]) -> f64 {
+        let convergence_us = |mixer: &MixerReport| {
             let revision = revisions[self.fleet.region(mixer.number)];
             let record = mixer
                 .applied
@@ -206,14 +203,14 @@
                 .find(|record| record.revision >= revision);
             record.map_or(0, |record| record.at_us.saturating_sub(self.last_change_us))
         };
-        report.mixers.iter().map(settled_us).max().unwrap_or(0) as f64 / 1e6
+        report.mixers.iter().map(convergence_us).max().unwrap_or(0) as f64 / 1e6
     }
 
-    /// Over both regions: the worse of each figure.
+    /// Returns the propagation times of the event's revisions over both regions.
     fn propagation(&self, report: &FleetReport) -> Propagation {
         let of = |region: usize| {
-            let is_there = |mixer: &&MixerReport| self.fleet.region(mixer.number) == region;
-            let mixers: Vec<&MixerReport> = report.mixers.iter().filter(is_there).collect();
+            let is_in_region = |mixer: &&MixerReport| self.fleet.region(mixer.number) == region;
+            let mixers: Vec<&MixerReport> = report.mixers.iter().filter(is_in_region).collect();
             Propagation::of(&self.published[region], &mixers)
         };
         (0..REGIONS)
@@ -221,19 +218,19 @@
             .fold(Propagation::default(), Propagation::worse)
     }
 
-    /// An ordinary day's changes, compressed: one server each, spread over all. Beside the fleet so many daemons may ask
-    /// for their first list.
+    /// Publishes the changes of an ordinary day at a higher rate: one server each, spread over all servers. `daemons` is the
+    /// number of daemons outside the fleet that may call for their first list meanwhile.
     pub fn ordinary_day(
         &mut self,
-        scenario: CompressedDay,
+        day: CompressedDay,
         daemons: u64,
     ) -> Result<EventOutcome, FleetError> {
-        let outcome = self.play("ordinary day", 0, |bench| {
+        let outcome = self.run_event("ordinary day", 0, |bench| {
             let (begin, gap) = (
                 Instant::now(),
-                Duration::from_secs_f64(1.0 / scenario.per_s),
+                Duration::from_secs_f64(1.0 / day.changes_per_s),
             );
-            for number in 0..scenario.changes {
+            for number in 0..day.changes {
                 let at = begin + gap * number as u32;
                 std::thread::sleep(at.saturating_duration_since(Instant::now()));
                 let index = number / 2 * 37 % bench.servers.len();
@@ -242,99 +239,99 @@
             Ok(())
         })?;
         Ok(EventOutcome {
-            whole_lists_needed: daemons,
+            max_complete_lists: daemons,
             ..outcome
         })
     }
 
-    /// Lists leaf servers that mixers with queries use, in cells that no other server holds.
+    /// Publishes leaf servers for mixers that serve queries. They are in cells without other servers.
     pub fn list_leaf_servers(&mut self, leaves: Vec<ListedServer>) -> Result<(), FleetError> {
         let published = self.regions.publish(0, leaves);
-        self.note(published);
+        self.record_published(published);
         self.fleet
             .await_revisions(&self.regions.revisions(), MAX_CHANGE_S)
             .map(drop)
     }
 
-    /// Discovery's address in the first region.
+    /// Returns the address of discovery in the first region.
     pub fn discovery_address(&self) -> std::net::SocketAddr {
         self.regions.addresses()[0]
     }
 
-    /// A rack is lost, and comes back.
-    pub fn rack(&mut self) -> Result<[EventOutcome; 2], FleetError> {
+    /// Removes all servers of a rack, then restores them.
+    pub fn lose_and_restore_rack(&mut self) -> Result<[EventOutcome; 2], FleetError> {
         let zone = 1;
         let of_zone = (0..self.servers.len()).filter(|index| Self::zone_of(*index) == zone);
         let rack: Vec<usize> = of_zone.take(RACK_SERVERS).collect();
         Ok([
-            self.play("rack lost", 0, |bench| {
-                bench.change(&rack, Self::gone);
+            self.run_event("rack lost", 0, |bench| {
+                bench.change(&rack, Self::removed);
                 Ok(())
             })?,
-            self.play("rack back", 0, |bench| {
-                bench.change(&rack, Self::back);
+            self.run_event("rack back", 0, |bench| {
+                bench.change(&rack, Self::restarted);
                 Ok(())
             })?,
         ])
     }
 
-    /// A zone is lost, all its mixers and servers at once, and comes back.
-    pub fn zone(&mut self) -> Result<[EventOutcome; 2], FleetError> {
+    /// Removes all servers of a zone and kills its mixers, then restores them.
+    pub fn lose_and_restore_zone(&mut self) -> Result<[EventOutcome; 2], FleetError> {
         let zone = 2;
         let indices: Vec<usize> = (0..self.servers.len())
             .filter(|index| Self::zone_of(*index) == zone)
             .collect();
         let all = self.fleet.running();
-        let lost = self.play("zone lost", 0, |bench| {
+        let lost = self.run_event("zone lost", 0, |bench| {
             bench.fleet.kill(|index| index == zone);
-            bench.change(&indices, Self::gone);
+            bench.change(&indices, Self::removed);
             Ok(())
         })?;
         let started = (all - self.fleet.running()) as u64;
-        let back = self.play("zone back", started, |bench| {
+        let back = self.run_event("zone back", started, |bench| {
             bench.fleet.start_missing(|index| index == zone)?;
-            bench.change(&indices, Self::back);
+            bench.change(&indices, Self::restarted);
             Ok(())
         })?;
         Ok([lost, back])
     }
 
-    /// The regions are apart, each changes servers of its own, and they meet again.
-    pub fn regions_apart(&mut self) -> Result<EventOutcome, FleetError> {
-        self.play("regions together again", 0, |bench| {
+    /// Partitions the regions, changes servers in each of them, and heals the partition.
+    pub fn region_partition(&mut self) -> Result<EventOutcome, FleetError> {
+        self.run_event("regions together again", 0, |bench| {
             bench.regions.partition();
-            for number in 0..APART_CHANGES {
+            for number in 0..CHANGES_DURING_PARTITION {
                 for region in 0..REGIONS {
                     let index = (ZONES as usize * number + region) % bench.servers.len();
                     bench.change(&[index], advance_phase);
                 }
             }
             let published = bench.regions.heal();
-            bench.note(published);
+            bench.record_published(published);
             Ok(())
         })
     }
 
-    /// All mixers are killed and started again at once.
+    /// Kills all mixers and starts them again at once.
     pub fn restart_all_mixers(&mut self) -> Result<EventOutcome, FleetError> {
         let started = self.fleet.running() as u64;
-        self.play("all mixers restarted", started, |bench| {
+        self.run_event("all mixers restarted", started, |bench| {
             bench.fleet.kill(|_| true);
             bench.last_change_us = unix_us();
             bench.fleet.start_missing(|_| true)
         })
     }
 
-    /// All servers are released in batches: a batch drains while the one before it is back.
+    /// Restarts all servers in batches: a batch starts to drain when the previous one returns.
     pub fn rolling_release(&mut self) -> Result<EventOutcome, FleetError> {
-        self.play("rolling release", 0, |bench| {
+        self.run_event("rolling release", 0, |bench| {
             let indices: Vec<usize> = (0..bench.servers.len()).collect();
             let batches: Vec<&[usize]> = indices
                 .chunks(indices.len().div_ceil(RELEASE_BATCHES))
                 .collect();
             let begin = Instant::now();
             for step in 0..=batches.len() {
-                let at = begin + RELEASE_STEP * step as u32;
+                let at = begin + RELEASE_INTERVAL * step as u32;
                 std::thread::sleep(at.saturating_duration_since(Instant::now()));
                 if let Some(batch) = batches.get(step) {
                     let drained = |server: &ListedServer| ListedServer {
@@ -344,7 +341,7 @@
                     bench.change(batch, drained);
                 }
                 if let Some(batch) = step.checked_sub(1).and_then(|before| batches.get(before)) {
-                    bench.change(batch, Self::back);
+                    bench.change(batch, Self::restarted);
                 }
             }
             Ok(())
--- a/crates/wharfhub-testbed/src/fleet/fit.rs
+++ b/crates/wharfhub-testbed/src/fleet/fit.rs
@@ -1,21 +1,18 @@
-//! Straight lines through measured points, and what they predict.
-//!
-//! Pure arithmetic: it must never decide what is good enough.
+//! Straight lines fitted to measured points.
 
-/// A line `y = base + slope * x`, fitted by least squares of relative distances, so that small sizes count as much as
-/// large ones.
+/// Line `y = base + slope * x`, fitted by least squares of the relative errors, so that small sizes count as much as large ones.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LineFit {
-    /// At zero.
+    /// Value at `x = 0`.
     pub base: f64,
-    /// For each unit.
+    /// Increase for each unit of `x`.
     pub slope: f64,
-    /// The largest distance of a point from the line, as a share of the point.
+    /// Largest relative error of a fitted point.
     pub residual: f64,
 }
 
 impl LineFit {
-    /// Through these points; none where there are fewer than two sizes.
+    /// Fits a line to the points; returns `None` if they have fewer than two different `x`.
     pub fn of(points: &[(f64, f64)]) -> Option<LineFit> {
         let weight = |y: f64| 1.0 / (y * y).max(f64::MIN_POSITIVE);
         let sum = |value: &dyn Fn(f64, f64) -> f64| {
@@ -40,12 +37,12 @@
         Some(fit)
     }
 
-    /// What it says at that size.
+    /// Returns the predicted value at `x`.
     pub fn at(&self, x: f64) -> f64 {
         self.base + self.slope * x
     }
 
-    /// How far it is from a measured point, as a share of what was measured.
+    /// Returns the relative error of the prediction at `x` against a measured value.
     pub fn error(&self, x: f64, measured: f64) -> f64 {
         (self.at(x) - measured).abs() / measured.abs().max(f64::MIN_POSITIVE)
     }
--- a/crates/wharfhub-testbed/src/fleet/host.rs
+++ b/crates/wharfhub-testbed/src/fleet/host.rs
@@ -1,7 +1,7 @@
-//! A host process: some hollow mixers, and a parent that asks for reports.
+//! Host process of some hollow mixers, and its protocol with the parent process.
 //!
-//! This file owns the words between the two: one line of JSON with the set-up at first, then `report` a line, each
-//! answered by one line of JSON. The process ends when its standard input does, so no host outlives its parent.
+//! The parent writes one line of JSON with the setup, then a line `report` for each report, which the host answers with one line
+//! of JSON. The host exits when its standard input is closed, so that no host outlives its parent.
 
 use super::mixer::{HollowMixer, MixerReport, MixerSetup};
 use super::usage;
@@ -9,49 +9,49 @@
 use std::io::{self, BufRead, Write};
 use thiserror::Error;
 
-/// The call for a report.
+/// Command that requests a report.
 pub const REPORT: &str = "report";
 
-/// What a host is told first.
+/// Setup of a host process, sent as the first line.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HostSetup {
-    /// The numbers of its mixers.
+    /// Numbers of the mixers to run.
     pub numbers: Vec<u32>,
-    /// Discovery's address.
+    /// Address of discovery.
     pub discovery: String,
-    /// The settings of all mixers.
+    /// Settings of all mixers, as JSON.
     pub settings: String,
-    /// For all draws.
+    /// Seed from which the seeds of the mixers are derived.
     pub seed: u64,
 }
 
-/// What a host answers.
+/// Report of a host process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HostReport {
-    /// Memory of the process (bytes).
+    /// Resident memory of the process (bytes).
     pub resident_bytes: u64,
-    /// Its mixers.
+    /// Reports of its mixers.
     pub mixers: Vec<MixerReport>,
 }
 
-/// Why a host ended.
+/// Error that ends a host process.
 #[derive(Debug, Error)]
 pub enum HostError {
-    /// Its set-up can't be read.
-    #[error("a set-up that can't be read")]
+    /// The setup line is missing or invalid.
+    #[error("cannot parse the setup line")]
     Setup,
-    /// It does not know a call.
-    #[error("unknown call {0:?}")]
+    /// The parent sent an unknown command.
+    #[error("unknown command {0:?}")]
     UnknownCall(String),
-    /// A mixer does not start.
+    /// A mixer failed to start.
     #[error("mixer {number}: {error}")]
     Mixer {
-        /// Which.
+        /// Number of the mixer.
         number: u32,
-        /// Why.
+        /// Cause.
         error: super::mixer::HollowMixerError,
     },
-    /// The system.
+    /// Reading or writing failed.
     #[error(transparent)]
     System(#[from] io::Error),
 }
@@ -77,7 +77,7 @@
     setup.numbers.iter().map(start).collect()
 }
 
-/// Runs a host until its standard input ends.
+/// Runs a host process until its input is closed.
 pub fn run(input: impl BufRead, mut output: impl Write) -> Result<(), HostError> {
     let mut lines = input.lines();
     let first = lines.next().ok_or(HostError::Setup)??;
@@ -98,7 +98,7 @@
             other => return Err(HostError::UnknownCall(other.to_string())),
         }
     }
-    // All at once: each takes a moment to end.
+    // Signals all mixers before any of them is joined, so that they shut down in parallel.
     mixers.iter_mut().for_each(HollowMixer::request_stop);
     Ok(())
 }
--- a/crates/wharfhub-testbed/src/fleet/mixer.rs
+++ b/crates/wharfhub-testbed/src/fleet/mixer.rs
@@ -1,7 +1,7 @@
-//! A hollow mixer: the daemon's own loop on a thread of its own, with discovery and without queries.
+//! Hollow mixer: the daemon's event loop on a thread of its own, connected to discovery but without clients and leaf servers.
 //!
-//! This file owns that thread and records which version of the list was in force when. All that it runs is the
-//! daemon's; what is hollow is that no client connects. It must never decide what a mixer does.
+//! The thread runs the daemon's unmodified code. This module starts and stops it, and records when each revision of the list was
+//! applied.
 
 use super::discovery::unix_us;
 use super::usage::ThreadCpu;
@@ -16,63 +16,63 @@
 use wharfhub::config::{Config, SettingsError};
 use wharfhub::net::{EndpointListInUse, Mixer, NetError, Signals};
 
-/// Stack of a mixer's thread: its deepest calls need a tenth of it.
+/// Stack size of a mixer's thread; the deepest call chain needs a tenth of it.
 const STACK_BYTES: usize = 512 * 1024;
-/// Versions that are recorded between two reports of a mixer, at most.
+/// Revisions recorded between two reports of a mixer; later ones are only counted.
 const MAX_RECORDS_PER_REPORT: usize = 20_000;
 
-/// What a hollow mixer is made of.
+/// Setup of a hollow mixer.
 #[derive(Clone, Debug)]
 pub struct MixerSetup {
-    /// Its number in the fleet.
+    /// Number in the fleet.
     pub number: u32,
-    /// Its discovery.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// The settings, as the daemon's decoder reads them.
+    /// Settings, in the JSON form of the daemon's configuration.
     pub settings: String,
-    /// For its draws.
+    /// Seed of the mixer's random numbers.
     pub seed: u64,
 }
 
-/// Why a hollow mixer did not run.
+/// Error that keeps a hollow mixer from running.
 #[derive(Debug, Error)]
 pub enum HollowMixerError {
-    /// Its settings are not taken.
+    /// The configuration is invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// Its loop failed.
+    /// The event loop failed.
     #[error(transparent)]
     Loop(#[from] NetError),
-    /// The system.
+    /// A system call failed.
     #[error(transparent)]
     System(#[from] std::io::Error),
 }
 
-/// A version, and when it came into force (Unix microseconds).
+/// Revision of the list that a mixer has applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppliedRevision {
-    /// The version.
+    /// Revision number.
     pub revision: u64,
-    /// When.
+    /// Time at which the mixer applied it (Unix microseconds).
     pub at_us: u64,
 }
 
-/// What a hollow mixer has done since its last report.
+/// Report of a hollow mixer on the time since its last report.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MixerReport {
-    /// Its number in the fleet.
+    /// Number in the fleet.
     pub number: u32,
-    /// Processor time of its thread since its start (seconds).
+    /// CPU time of its thread since the start (seconds).
     pub cpu_s: f64,
-    /// The version in force; 0 before the first list.
+    /// Latest applied revision; 0 before the first list.
     pub revision: u64,
-    /// Servers that the mixer knows.
+    /// Number of servers that the mixer knows.
     pub servers: u64,
-    /// The versions that came into force since the last report, in order.
+    /// Revisions applied since the last report, in order.
     pub applied: Vec<AppliedRevision>,
-    /// Records that found no room.
+    /// Applied revisions that are missing from `applied` because a report holds a limited number.
     pub dropped: u64,
-    /// Why it ended, if it did.
+    /// Error with which its event loop ended, if any.
     pub failure: Option<String>,
 }
 
@@ -103,11 +103,11 @@
     }
 }
 
-/// A hollow mixer that runs. It ends with this value.
+/// Running hollow mixer; its thread is stopped and joined on drop.
 pub struct HollowMixer {
     number: u32,
     stop: UnixStream,
-    _reload: UnixStream, // kept open: a pipe that ends would be readable for ever
+    _reload: UnixStream, // kept open: the mixer's end of a closed pair would stay readable
     record: Arc<Mutex<Record>>,
     failure: Arc<Mutex<Option<String>>>,
     cpu: ThreadCpu,
@@ -125,7 +125,7 @@
 }
 
 impl HollowMixer {
-    /// Starts it on a thread of its own.
+    /// Starts the mixer on a thread of its own.
     pub fn start(setup: &MixerSetup) -> Result<HollowMixer, HollowMixerError> {
         let ((stop, stopped), (reload, reload_requests)) =
             (UnixStream::pair()?, UnixStream::pair()?);
@@ -169,12 +169,12 @@
         })
     }
 
-    /// Tells it to end, as SIGTERM does; dropping it waits for that.
+    /// Requests a shutdown, as SIGTERM does. Dropping the mixer waits for its end.
     pub fn request_stop(&mut self) {
         let _ = self.stop.write_all(b"x");
     }
 
-    /// What it has done since the last report.
+    /// Returns the report on the time since the last one.
     pub fn report(&mut self) -> MixerReport {
         if let Ok(cpu_s) = self.cpu.read_s() {
             self.last_cpu_s = cpu_s;
@@ -192,7 +192,8 @@
     }
 }
 
-/// Its configuration. It knows one server that no list names: a mixer that knows none may wait to be told.
+/// Returns the configuration. Its initial list names one server that discovery never lists, because a mixer without known
+/// servers may wait for a list before it serves.
 fn config(setup: &MixerSetup) -> String {
     let MixerSetup {
         number,
--- a/crates/wharfhub-testbed/src/fleet/mod.rs
+++ b/crates/wharfhub-testbed/src/fleet/mod.rs
@@ -1,9 +1,7 @@
-//! A fleet of hollow mixers on loopback: the daemon's real control code, many in one process, and a discovery
-//! stand-in that serves them all.
+//! Fleet of hollow mixers on loopback, many in one process, and a discovery stand-in that serves all of them.
 //!
-//! A hollow mixer is the daemon's own loop (list, watch, settings, timer queue, decision module) to which no client
-//! connects. There is no copy of that code here. Every process that a fleet starts ends with it, also when
-//! its owner dies: a host process ends when its standard input does.
+//! A hollow mixer runs the daemon's own event loop (list, watch, settings, timer queue, decision module) without clients. Host
+//! processes exit when their standard input is closed, so that they do not outlive the process that started the fleet.
 
 pub mod bench;
 pub mod call_queue;
--- a/crates/wharfhub-testbed/src/fleet/processes.rs
+++ b/crates/wharfhub-testbed/src/fleet/processes.rs
@@ -1,7 +1,5 @@
-//! A fleet of hollow mixers in host processes.
-//!
-//! This file owns those processes: it starts them, asks them for reports, and ends them, also when its owner fails.
-//! It must never end a process that it did not start.
+//! Fleet of hollow mixers in host processes: starts the processes, requests reports from them, and kills them when the fleet is
+//! dropped.
 
 use super::host::{HostReport, HostSetup, REPORT};
 use super::mixer::MixerReport;
@@ -12,12 +10,12 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, Instant};
 
-/// Longest wait for a host's report.
+/// Longest wait for the report of a host process.
 const MAX_REPORT_WAIT: Duration = Duration::from_secs(20);
-/// How often the fleet is asked whether something has come about.
+/// Interval between two reports while the fleet waits for a revision.
 const POLL_EVERY: Duration = Duration::from_millis(100);
 
-/// One host process.
+/// Host process, which is killed on drop.
 struct Host {
     index: usize,
     child: Child,
@@ -94,34 +92,34 @@
             .lines
             .recv_timeout(MAX_REPORT_WAIT)
             .map_err(|error| self.failed(error))?;
-        json::from_str(&line).map_err(|_| self.failed("a report that can't be read"))
+        json::from_str(&line).map_err(|_| self.failed("cannot parse the report"))
     }
 }
 
-/// What a fleet has done since its last report.
+/// Report of all mixers of a fleet on the time since the last report.
 #[derive(Clone, Debug, Default)]
 pub struct FleetReport {
-    /// Memory of its processes (bytes).
+    /// Resident memory of all host processes (bytes).
     pub resident_bytes: u64,
-    /// Its mixers, by their numbers.
+    /// Reports of the mixers, sorted by number.
     pub mixers: Vec<MixerReport>,
 }
 
 impl FleetReport {
-    /// Processor time of all mixers since their start (seconds).
+    /// Returns the CPU time of all mixers since their start (seconds).
     pub fn cpu_s(&self) -> f64 {
         self.mixers.iter().map(|mixer| mixer.cpu_s).sum()
     }
 }
 
-/// A fleet that runs. Its processes end with this value.
+/// Running fleet; its processes are killed on drop.
 pub struct Fleet {
     setup: FleetSetup,
     hosts: Vec<Option<Host>>,
 }
 
 impl Fleet {
-    /// Starts all its processes.
+    /// Starts all host processes.
     pub fn start(setup: FleetSetup) -> Result<Fleet, FleetError> {
         setup.check()?;
         let mut fleet = Fleet {
@@ -132,12 +130,12 @@
         Ok(fleet)
     }
 
-    /// What it is made of.
+    /// Returns the setup of the fleet.
     pub fn setup(&self) -> &FleetSetup {
         &self.setup
     }
 
-    /// Kills the processes of these places, all their mixers at once.
+    /// Kills the selected host processes and all their mixers at once.
     pub fn kill(&mut self, is_selected: impl Fn(usize) -> bool) {
         let indices = (0..self.hosts.len()).filter(|index| is_selected(*index));
         let mut killed: Vec<Host> = indices
@@ -146,7 +144,7 @@
         killed.iter_mut().for_each(|host| drop(host.child.kill()));
     }
 
-    /// Starts the processes of these places, where they do not run.
+    /// Starts the selected host processes that are not running.
     pub fn start_missing(&mut self, is_selected: impl Fn(usize) -> bool) -> Result<(), FleetError> {
         for index in 0..self.hosts.len() {
             if self.hosts[index].is_none() && is_selected(index) {
@@ -156,7 +154,7 @@
         Ok(())
     }
 
-    /// The mixers that run.
+    /// Returns the number of mixers in running processes.
     pub fn running(&self) -> usize {
         let of = |index: usize| {
             (0..self.setup.mixers)
@@ -169,12 +167,13 @@
             .sum()
     }
 
-    /// The region of a mixer.
+    /// Returns the region of a mixer.
     pub fn region(&self, mixer: u32) -> usize {
         (mixer % self.setup.processes) as usize % self.setup.discovery.len()
     }
 
-    /// Asks all processes what they have done since the last report. A mixer that ended by itself is an error.
+    /// Collects the reports of all processes on the time since the last report. Fails if a mixer has exited or the fleet uses too
+    /// much memory.
     pub fn report(&mut self) -> Result<FleetReport, FleetError> {
         let mut hosts: Vec<&mut Host> = self.hosts.iter_mut().flatten().collect();
         for host in &mut hosts {
@@ -201,8 +200,8 @@
         }
     }
 
-    /// Waits until each mixer that runs has the version of its region in force, or a later one; gives the reports up
-    /// to then as one.
+    /// Waits until every running mixer has applied the revision given for its region, or a later one. Returns the reports until
+    /// then merged into one.
     pub fn await_revisions(
         &mut self,
         revisions: &[u64],
@@ -212,16 +211,16 @@
         let mut all = FleetReport::default();
         loop {
             all = merged(all, self.report()?);
-            let lacks =
+            let is_behind =
                 |mixer: &&MixerReport| mixer.revision < revisions[self.region(mixer.number)];
             let missing =
-                all.mixers.iter().filter(lacks).count() + (self.running() - all.mixers.len());
+                all.mixers.iter().filter(is_behind).count() + (self.running() - all.mixers.len());
             if missing == 0 {
                 return Ok(all);
             }
             if Instant::now() >= until {
                 return Err(FleetError::Timeout {
-                    what: format!("revisions {revisions:?}"),
+                    awaited: format!("revisions {revisions:?}"),
                     within_s,
                     missing,
                 });
@@ -231,7 +230,7 @@
     }
 }
 
-/// Two reports one after the other as one.
+/// Merges two successive reports into one: the later figures, and the applied revisions of both.
 pub fn merged(before: FleetReport, after: FleetReport) -> FleetReport {
     let mut mixers = after.mixers;
     for mixer in &mut mixers {
--- a/crates/wharfhub-testbed/src/fleet/propagation.rs
+++ b/crates/wharfhub-testbed/src/fleet/propagation.rs
@@ -1,27 +1,25 @@
-//! How long published versions take to be in force at every mixer.
-//!
-//! Pure arithmetic on records: it must never ask a mixer.
+//! Statistics of the time from the publication of a revision until the mixers have applied it.
 
 use super::discovery::Published;
 use super::mixer::MixerReport;
 
-/// Times until versions were in force at mixers (seconds).
+/// Times from the publication of revisions until mixers applied them (seconds).
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Propagation {
-    /// Half of them within this.
+    /// Median.
     pub median_s: f64,
-    /// 99 in 100 within this.
+    /// 99th percentile.
     pub p99_s: f64,
-    /// All of them within this.
+    /// Longest time.
     pub last_s: f64,
-    /// Pairs of a version and a mixer that are counted.
+    /// Number of pairs of a revision and a mixer that applied it.
     pub pairs: usize,
-    /// Pairs of a version and a mixer where it never came into force.
+    /// Number of pairs of a revision and a mixer that never applied it.
     pub missing: usize,
 }
 
 impl Propagation {
-    /// From the records of these mixers. A later version counts for all before it.
+    /// Computes the times from the records of the mixers. A mixer that applied a later revision has applied all earlier ones.
     pub fn of(published: &[Published], mixers: &[&MixerReport]) -> Propagation {
         let (mut times, mut missing) = (Vec::new(), 0);
         for version in published {
@@ -52,7 +50,7 @@
         }
     }
 
-    /// The worse of each figure.
+    /// Combines two measurements: the longer times, and the sums of the counts.
     pub fn worse(self, other: Propagation) -> Propagation {
         Propagation {
             median_s: self.median_s.max(other.median_s),
--- a/crates/wharfhub-testbed/src/fleet/queries.rs
+++ b/crates/wharfhub-testbed/src/fleet/queries.rs
@@ -1,7 +1,4 @@
-//! Real daemons with queries and leaf servers beside a fleet of hollow mixers.
-//!
-//! This file joins what the testbed has: the stand-ins for leaf servers with their one model, the daemon's
-//! processes, and the load. It must never decide what any of them does.
+//! Real daemons that serve queries with stand-in leaf servers, in parallel with a fleet of hollow mixers.
 
 use super::catalog::{ListedServer, Phase};
 use crate::daemon::{self, Daemon};
@@ -14,39 +11,39 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// From the opening of the leaf servers until the first query (seconds).
-const UNTIL_FIRST_QUERY_S: f64 = 2.0;
-/// Time limits are so much longer on sockets (seconds).
-const SLACK_S: f64 = 0.05;
+/// Time from the start of the leaf servers to the start of the load (seconds).
+const START_DELAY_S: f64 = 2.0;
+/// Tolerance added to the time limits of the rules on sockets (seconds).
+const TIME_TOLERANCE_S: f64 = 0.05;
 
-/// What became of the queries.
+/// Result of the queries.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueryOutcome {
-    /// Tries that clients made.
+    /// Number of requests that clients sent.
     pub asked: u64,
-    /// Tries that were answered.
+    /// Number of requests that were answered.
     pub answered: u64,
-    /// Rules that were broken.
+    /// Violations of rules, as text.
     pub broken: Vec<String>,
 }
 
-/// Daemons with queries, and their leaf servers.
+/// Daemons that serve queries, and the state shared with their leaf servers and clients.
 pub struct QueryPath {
     shared: Arc<Shared>,
     daemons: Vec<Daemon>,
 }
 
 impl QueryPath {
-    /// Opens the leaf servers of a scenario and starts its mixers, which ask that discovery; gives the leaf servers as they are to
-    /// be listed there.
+    /// Starts the leaf servers of a scenario and its mixers, which watch the given discovery. Returns the entries of the leaf
+    /// servers, which the caller has to publish there.
     pub fn start(
         scenario: Scenario,
         discovery: SocketAddr,
     ) -> io::Result<(QueryPath, Vec<ListedServer>)> {
         let shared = Arc::new(Shared {
             queries: scenario.queries(),
-            start: Instant::now() + Duration::from_secs_f64(UNTIL_FIRST_QUERY_S),
-            rules: Mutex::new(Rules::new(&scenario, SLACK_S)),
+            start: Instant::now() + Duration::from_secs_f64(START_DELAY_S),
+            rules: Mutex::new(Rules::new(&scenario, TIME_TOLERANCE_S)),
             work: Mutex::new((vec![0.0; scenario.site.classes.len()], 0, 0)),
             scenario,
         });
@@ -75,14 +72,14 @@
         Ok((QueryPath { shared, daemons }, listed))
     }
 
-    /// Sends the scenario's queries and waits for the last answer.
+    /// Runs the scenario's load to its end and checks the rules.
     pub fn play(&self) -> QueryOutcome {
         let addresses = self.daemons.iter().map(|daemon| daemon.address).collect();
         let load = load::play(&self.shared, addresses);
-        let tries = lock(&load.tally).requests;
+        let requests = lock(&load.tally).requests;
         let mut rules = lock(&self.shared.rules);
         rules.over();
-        let (asked, answered) = (tries[tally::TOTAL], tries[tally::ANSWERED]);
+        let (asked, answered) = (requests[tally::TOTAL], requests[tally::ANSWERED]);
         QueryOutcome {
             asked,
             answered,
--- a/crates/wharfhub-testbed/src/fleet/regions.rs
+++ b/crates/wharfhub-testbed/src/fleet/regions.rs
@@ -1,14 +1,14 @@
-//! Two or more regions, each with a discovery of its own that lists all servers, and the link between them.
+//! Regions with one discovery stand-in each, all of which list all servers, and network partitions between the regions.
 //!
-//! This file owns which region has heard of which change. While regions are apart each goes on with versions of its
-//! own; together again, each gets what it missed as one version. It must never touch a mixer.
+//! During a partition each discovery publishes only the changes made in its own region. When the partition heals, each
+//! discovery publishes the missed changes as one revision.
 
 use super::{Behavior, Catalog, Counters, Discovery, ListedServer, Published};
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
 
-/// Regions with a discovery each.
+/// Regions and the changes that each has missed.
 pub struct Regions {
     discoveries: Vec<Discovery>,
     is_partitioned: bool,
@@ -16,13 +16,13 @@
 }
 
 impl Regions {
-    /// So many regions that all list these servers.
+    /// Starts a discovery for each of `count` regions, all with the same servers.
     pub fn start(
         count: usize,
         servers: &[ListedServer],
         behavior: Behavior,
     ) -> io::Result<Regions> {
-        // Versions of different regions have nothing to do with each other.
+        // The revision numbers of different regions are unrelated.
         let catalog =
             |region: usize| Catalog::new(1 + 1_000_000 * region as u64, servers.iter().cloned());
         let start = |region: usize| Discovery::start(catalog(region), 1, behavior);
@@ -34,7 +34,7 @@
         })
     }
 
-    /// Discovery's address by region.
+    /// Returns the addresses of discovery by region.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.discoveries
             .iter()
@@ -42,12 +42,12 @@
             .collect()
     }
 
-    /// A region's discovery.
+    /// Returns the discovery of a region.
     pub fn discovery(&self, region: usize) -> &Discovery {
         &self.discoveries[region]
     }
 
-    /// Makes changes known that were made in that region; gives the versions by region, where there is a new one.
+    /// Publishes changes made in a region. Returns the new revisions by region, `None` where a partition keeps the changes back.
     pub fn publish(&mut self, region: usize, changes: Vec<ListedServer>) -> Vec<Option<Published>> {
         let mut published = vec![None; self.discoveries.len()];
         for (index, discovery) in self.discoveries.iter().enumerate() {
@@ -63,12 +63,12 @@
         published
     }
 
-    /// Parts the regions: from now on a change is known in its own region only.
+    /// Starts a partition: from now on a change is published in its own region only.
     pub fn partition(&mut self) {
         self.is_partitioned = true;
     }
 
-    /// Joins the regions: each gets what it missed as one version.
+    /// Ends the partition: each region publishes the changes that it missed as one revision.
     pub fn heal(&mut self) -> Vec<Option<Published>> {
         self.is_partitioned = false;
         let missed = self.missed.iter_mut().map(std::mem::take);
@@ -78,7 +78,7 @@
         self.discoveries.iter().zip(missed).map(publish).collect()
     }
 
-    /// The latest version by region.
+    /// Returns the latest revision of each region.
     pub fn revisions(&self) -> Vec<u64> {
         self.discoveries
             .iter()
@@ -86,11 +86,11 @@
             .collect()
     }
 
-    /// What has passed in all regions.
+    /// Returns the sum of the counters of all regions.
     pub fn counters(&self) -> Counters {
         self.discoveries
             .iter()
             .map(Discovery::counters)
-            .fold(Counters::default(), Counters::and)
+            .fold(Counters::default(), Counters::merge)
     }
 }
--- a/crates/wharfhub-testbed/src/fleet/setup.rs
+++ b/crates/wharfhub-testbed/src/fleet/setup.rs
@@ -1,78 +1,75 @@
-//! What a fleet is made of, its limits, and why one could not be had.
-//!
-//! This file owns the bounds that guard the machine. It must never start anything.
+//! Setup of a fleet, its limits and its errors.
 
 use crate::site::{cardiff, Scenario};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Most mixers, host processes and listed servers of a fleet. Guard the machine: an eighth of its descriptors, and far
-/// fewer processes than a system bears.
+/// Largest number of mixers, which use an eighth of the file descriptors of the machine.
 pub const MAX_MIXERS: u32 = 2_000;
-/// Most host processes.
+/// Largest number of host processes, far below the limit of the operating system.
 pub const MAX_PROCESSES: u32 = 200;
-/// Most listed servers.
+/// Largest number of listed servers.
 pub const MAX_SERVERS: u32 = 20_000;
-/// Most memory of a fleet: under half of a machine of 24 GB (bytes).
+/// Largest memory of a fleet: less than half of a machine with 24 GB (bytes).
 pub const MAX_MEMORY_BYTES: u64 = 11 << 30;
 
-/// Why there is no fleet.
+/// Error of a fleet.
 #[derive(Debug, Error)]
 pub enum FleetError {
-    /// A limit does not make sense.
-    #[error("{key}: {value} is not within {min} and {max}")]
+    /// A value of the setup is out of range.
+    #[error("{key}: {value} is not between {min} and {max}")]
     OutOfBounds {
-        /// Which.
+        /// Key of the value.
         key: &'static str,
-        /// What it is.
+        /// Rejected value.
         value: f64,
-        /// The least that is taken.
+        /// Smallest valid value.
         min: f64,
-        /// The most that is taken.
+        /// Largest valid value.
         max: f64,
     },
-    /// A host process does not say what it should.
+    /// The communication with a host process failed.
     #[error("host process {index}: {reason}")]
     Host {
-        /// Which.
+        /// Index of the process.
         index: usize,
-        /// Why.
+        /// Cause.
         reason: String,
     },
-    /// Its processes hold more memory than they may.
-    #[error("max_memory_bytes: the fleet holds {held} bytes, over {max}")]
+    /// The processes use more memory than allowed.
+    #[error("max_memory_bytes: the fleet uses {held} bytes, more than {max}")]
     TooMuchMemory {
-        /// What they hold.
+        /// Resident memory of all processes (bytes).
         held: u64,
-        /// What they may hold.
+        /// Limit of the setup (bytes).
         max: u64,
     },
-    /// A mixer ended by itself.
-    #[error("mixer {number} ended: {reason}")]
+    /// The event loop of a mixer failed.
+    #[error("mixer {number} failed: {reason}")]
     MixerEnded {
-        /// Which.
+        /// Number of the mixer.
         number: u32,
-        /// Why.
+        /// Cause.
         reason: String,
     },
-    /// Something did not come about in time.
-    #[error("{what}: not within {within_s} s ({missing} mixers without it)")]
+    /// Some mixers did not reach a state in time.
+    #[error("timed out after {within_s} s waiting for {awaited} ({missing} mixers missing)")]
     Timeout {
-        /// What.
-        what: String,
-        /// The time there was (seconds).
+        /// Awaited state.
+        awaited: String,
+        /// Time limit (seconds).
         within_s: f64,
-        /// Mixers that lack it.
+        /// Number of mixers that did not reach the state.
         missing: usize,
     },
-    /// The system.
+    /// A system call failed.
     #[error(transparent)]
     System(#[from] std::io::Error),
 }
 
-/// Whether a limit is within its bounds.
-pub fn check(key: &'static str, value: f64, min: f64, max: f64) -> Result<(), FleetError> {
+/// Returns an error if a value is out of range.
+pub fn check_range(key: &'static str, value: f64, min: f64, max: f64) -> Result<(), FleetError> {
     if (min..=max).contains(&value) {
         Ok(())
     } else {
@@ -85,24 +82,24 @@
     }
 }
 
-/// The settings of all mixers, in the terms that matter for control.
+/// Settings of all mixers that affect their control work.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MixerSettings {
-    /// The mixers that there are, by the settings.
+    /// Number of mixers that the settings state.
     pub replicas: u32,
-    /// The cells that there are.
+    /// Number of cells that the settings state.
     pub cells: u32,
-    /// Shortest time between two rounds (seconds).
+    /// Shortest interval between two control rounds (seconds).
     pub round_s: f64,
-    /// The longest time without asking (seconds).
+    /// Longest time between two calls to discovery (seconds).
     pub poll_within_s: f64,
-    /// How many times longer latency targets are than in the deployment. What a mixer does while nothing is asked
-    /// grows with the servers and shrinks with the targets.
+    /// Factor by which latency targets are longer than in the deployment. The work of an idle mixer grows with the number of
+    /// servers and shrinks with longer targets.
     pub target_factor: f64,
 }
 
 impl MixerSettings {
-    /// As JSON that the daemon's decoder reads: the testbed's deployment, with lists that have to be asked for.
+    /// Returns the settings as JSON for the daemon: those of the testbed's deployment, with subscription to discovery.
     pub fn to_json(&self) -> String {
         let site = cardiff().faster("fleet", 1.0 / self.target_factor);
         let scenario = Scenario {
@@ -120,63 +117,63 @@
     }
 }
 
-/// What a fleet is made of.
+/// Setup of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetSetup {
-    /// Hollow mixers.
+    /// Number of hollow mixers.
     pub mixers: u32,
-    /// Processes that they are spread over.
+    /// Number of host processes over which the mixers are spread.
     pub processes: u32,
-    /// Discovery's address by region; process number `n` belongs to region `n` modulo their number.
+    /// Addresses of discovery by region. Host process `n` belongs to region `n` modulo the number of regions.
     pub discovery: Vec<SocketAddr>,
-    /// The settings.
+    /// Settings of all mixers.
     pub settings: MixerSettings,
-    /// Memory that all processes together may hold (bytes); with more the fleet ends.
+    /// Limit on the resident memory of all processes (bytes); a report above it is an error.
     pub max_memory_bytes: u64,
-    /// For all draws.
+    /// Seed from which the seeds of the mixers are derived.
     pub seed: u64,
-    /// The program whose `host` sub-command runs mixers.
+    /// Path of the program whose `host` subcommand runs mixers.
     pub program: PathBuf,
 }
 
 impl FleetSetup {
-    /// Whether it can be had.
+    /// Returns an error if a value is out of range.
     pub fn check(&self) -> Result<(), FleetError> {
-        check("mixers", f64::from(self.mixers), 1.0, f64::from(MAX_MIXERS))?;
+        check_range("mixers", f64::from(self.mixers), 1.0, f64::from(MAX_MIXERS))?;
         let max = f64::from(MAX_PROCESSES.min(self.mixers));
-        check("processes", f64::from(self.processes), 1.0, max)?;
-        check(
+        check_range("processes", f64::from(self.processes), 1.0, max)?;
+        check_range(
             "discovery",
             self.discovery.len() as f64,
             1.0,
             f64::from(self.processes),
         )?;
-        check(
+        check_range(
             "max_memory_bytes",
             self.max_memory_bytes as f64,
             1e6,
             MAX_MEMORY_BYTES as f64,
         )?;
-        check(
+        check_range(
             "settings.replicas",
             f64::from(self.settings.replicas),
             1.0,
             1e6,
         )?;
-        check(
+        check_range(
             "settings.cells",
             f64::from(self.settings.cells),
             1.0,
             f64::from(MAX_SERVERS),
         )?;
-        check("settings.round_s", self.settings.round_s, 1e-4, 10.0)?;
-        check(
+        check_range("settings.round_s", self.settings.round_s, 1e-4, 10.0)?;
+        check_range(
             "settings.target_factor",
             self.settings.target_factor,
             0.01,
             1_000.0,
         )?;
-        check(
+        check_range(
             "settings.ask_within_s",
             self.settings.poll_within_s,
             1e-3,
--- a/crates/wharfhub-testbed/src/fleet/usage.rs
+++ b/crates/wharfhub-testbed/src/fleet/usage.rs
@@ -1,18 +1,16 @@
-//! What processes and threads of this machine use: processor time and memory, as `/proc` tells it.
-//!
-//! It must never change a priority or a limit.
+//! CPU time of threads and memory of processes, read from `/proc`.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The processor time of a thread, readable from any thread while it lives.
+/// CPU time counter of a thread, which other threads can read while the thread runs.
 #[derive(Clone, Debug)]
 pub struct ThreadCpu {
     path: PathBuf,
 }
 
 impl ThreadCpu {
-    /// That of the calling thread.
+    /// Returns the counter of the calling thread.
     pub fn of_this_thread() -> io::Result<ThreadCpu> {
         let own = std::fs::read_link("/proc/thread-self")?;
         Ok(ThreadCpu {
@@ -20,7 +18,7 @@
         })
     }
 
-    /// So far (seconds).
+    /// Reads the CPU time used so far (seconds).
     pub fn read_s(&self) -> io::Result<f64> {
         let text = std::fs::read_to_string(&self.path)?;
         let nanoseconds = text
@@ -33,7 +31,7 @@
     }
 }
 
-/// Memory that a process holds now (bytes); `None` for this process.
+/// Returns the resident memory of a process, or of this process for `None` (bytes).
 pub fn resident_bytes(process: Option<u32>) -> io::Result<u64> {
     let name = process.map_or("self".to_string(), |id| id.to_string());
     let text = std::fs::read_to_string(format!("/proc/{name}/status"))?;
--- a/crates/wharfhub-testbed/src/journal.rs
+++ b/crates/wharfhub-testbed/src/journal.rs
@@ -3,7 +3,7 @@
 //! This file owns the reading of those entries. It must never write to the journal, nor leave out a run of the kind that
 //! was asked for.
 
-use crate::experiments::Failure;
+use crate::experiments::ExperimentError;
 use crate::report::{chart, Estimate, Line, Table};
 use miniserde::{json, Deserialize};
 use std::path::{Path, PathBuf};
@@ -19,7 +19,7 @@
     #[serde(rename = "figures")]
     metrics: Option<Metrics>,
     #[serde(rename = "days")]
-    scenarios: Option<Vec<DayEntry>>,
+    scenarios: Option<Vec<ScenarioEntry>>,
 }
 
 #[derive(Deserialize)]
@@ -29,7 +29,7 @@
 }
 
 #[derive(Deserialize)]
-struct DayEntry {
+struct ScenarioEntry {
     name: Option<String>,
     seed: Option<u64>,
     score: Option<f64>,
@@ -54,7 +54,13 @@
 
 /// Reads the journal's runs of the command `cmd` whose scenarios have `kind` in their names, and writes `NAME.csv` and
 /// `NAME.svg` of them.
-pub fn show(journal: &Path, cmd: &str, kind: &str, name: &str, out: &Path) -> Result<(), Failure> {
+pub fn show(
+    journal: &Path,
+    cmd: &str,
+    kind: &str,
+    name: &str,
+    out: &Path,
+) -> Result<(), ExperimentError> {
     let mut table = Table::new(&COLUMNS);
     let mut lines: Vec<Line> = Vec::new();
     let mut runs: u32 = 0;
@@ -66,10 +72,10 @@
         }
         runs += 1;
         for scenario in scenarios {
-            table.row(row_of(&entry, &scenario));
+            table.add_row(row_of(&entry, &scenario));
             let score = Estimate {
                 mean: scenario.score.unwrap_or(0.0),
-                half: 0.0,
+                half_width: 0.0,
             };
             let line = line_named(&mut lines, scenario.name.unwrap_or_default());
             line.points.push((f64::from(runs), score));
@@ -88,7 +94,7 @@
 }
 
 /// The journal's files, in order of time.
-fn entry_files(journal: &Path) -> Result<Vec<PathBuf>, Failure> {
+fn entry_files(journal: &Path) -> Result<Vec<PathBuf>, ExperimentError> {
     let mut files: Vec<PathBuf> = std::fs::read_dir(journal)?
         .map(|entry| entry.map(|entry| entry.path()))
         .collect::<Result<_, _>>()?;
@@ -97,13 +103,14 @@
     Ok(files)
 }
 
-fn read_entry(path: &Path) -> Result<Entry, Failure> {
+fn read_entry(path: &Path) -> Result<Entry, ExperimentError> {
     let text = std::fs::read_to_string(path)?;
-    json::from_str(&text)
-        .map_err(|_| Failure::Other(format!("{}: is no entry of the journal", path.display())))
+    json::from_str(&text).map_err(|_| {
+        ExperimentError::Other(format!("{}: is no entry of the journal", path.display()))
+    })
 }
 
-fn scenarios_of_kind(entry: &mut Entry, kind: &str) -> Vec<DayEntry> {
+fn scenarios_of_kind(entry: &mut Entry, kind: &str) -> Vec<ScenarioEntry> {
     let mut scenarios = entry.scenarios.take().unwrap_or_default();
     scenarios.retain(|scenario| {
         scenario
@@ -115,7 +122,7 @@
 }
 
 /// The cells of a scenario, in the order of [`COLUMNS`].
-fn row_of(entry: &Entry, scenario: &DayEntry) -> Vec<String> {
+fn row_of(entry: &Entry, scenario: &ScenarioEntry) -> Vec<String> {
     let decimals = |value: Option<f64>| value.map_or("-".into(), |value| format!("{value:.3}"));
     let metrics = entry.metrics.as_ref();
     let gate = match metrics.and_then(|metrics| metrics.gate) {
--- a/crates/wharfhub-testbed/src/main.rs
+++ b/crates/wharfhub-testbed/src/main.rs
@@ -30,7 +30,7 @@
 #[argh(subcommand, name = "list")]
 struct List {}
 
-/// run an experiment; it ends with `result: NAME ok` or `result: NAME short: WHAT`
+/// run an experiment; it ends with `result: NAME ok` or `result: NAME short: REASON`
 #[derive(FromArgs)]
 #[argh(subcommand, name = "run")]
 struct Run {
@@ -113,15 +113,16 @@
 fn main() -> ExitCode {
     let run = match argh::from_env::<Arguments>().command {
         Command::List(_) => {
-            ALL.iter()
-                .for_each(|one| println!("{:<12} {}", one.name, one.what));
+            ALL.iter().for_each(|experiment| {
+                println!("{:<12} {}", experiment.name, experiment.description)
+            });
             return ExitCode::SUCCESS;
         }
         Command::Journal(journal) => return show(&journal),
         Command::Host(_) => return run_host(),
         Command::Run(run) => run,
     };
-    let Some(experiment) = ALL.iter().find(|one| one.name == run.name) else {
+    let Some(experiment) = ALL.iter().find(|experiment| experiment.name == run.name) else {
         eprintln!(
             "wharfhub-testbed: there is no experiment {:?}; `list` names them",
             run.name
@@ -151,8 +152,8 @@
             println!("result: {} ok", experiment.name);
             ExitCode::SUCCESS
         }
-        Ok(Some(what)) => {
-            println!("result: {} short: {what}", experiment.name);
+        Ok(Some(reason)) => {
+            println!("result: {} short: {reason}", experiment.name);
             ExitCode::FAILURE
         }
         Err(error) => {
--- a/crates/wharfhub-testbed/src/report.rs
+++ b/crates/wharfhub-testbed/src/report.rs
@@ -28,7 +28,7 @@
     /// The mean.
     pub mean: f64,
     /// Half the width; without end where there is one value or none.
-    pub half: f64,
+    pub half_width: f64,
 }
 
 impl Estimate {
@@ -39,7 +39,7 @@
         if values.len() < 2 {
             return Estimate {
                 mean,
-                half: f64::INFINITY,
+                half_width: f64::INFINITY,
             };
         }
         let variance = values
@@ -51,16 +51,16 @@
             StudentsT::new(0.0, 1.0, count - 1.0).map_or(f64::INFINITY, |t| t.inverse_cdf(0.975));
         Estimate {
             mean,
-            half: t * (variance / count).sqrt(),
+            half_width: t * (variance / count).sqrt(),
         }
     }
 
-    /// As text, with so many places.
-    pub fn text(&self, places: usize) -> String {
-        if self.half.is_finite() {
-            format!("{:.places$} ± {:.places$}", self.mean, self.half)
+    /// As text, with so many decimals.
+    pub fn text(&self, decimals: usize) -> String {
+        if self.half_width.is_finite() {
+            format!("{:.decimals$} ± {:.decimals$}", self.mean, self.half_width)
         } else {
-            format!("{:.places$}", self.mean)
+            format!("{:.decimals$}", self.mean)
         }
     }
 }
@@ -81,7 +81,7 @@
     }
 
     /// Another row; as many cells as columns.
-    pub fn row(&mut self, cells: Vec<String>) {
+    pub fn add_row(&mut self, cells: Vec<String>) {
         self.rows.push(cells);
     }
 
@@ -149,20 +149,20 @@
     path: &Path,
     title: &str,
     labels: (&str, &str),
-    log: bool,
+    log_x: bool,
     lines: &[Line],
 ) -> Result<(), ReportError> {
     let failed = |reason: String| ReportError::Write {
         path: path.into(),
         reason,
     };
-    let Some(bounds) = Bounds::of(lines, log) else {
+    let Some(bounds) = Bounds::of(lines, log_x) else {
         return Err(failed("there is nothing to draw".into()));
     };
     let drawing = Drawing {
         title,
         labels,
-        log,
+        log_x,
         bounds,
         lines,
     };
@@ -171,8 +171,8 @@
 }
 
 /// Where a point lies along.
-fn position(x: f64, log: bool) -> f64 {
-    if log {
+fn x_position(x: f64, log_x: bool) -> f64 {
+    if log_x {
         x.log10()
     } else {
         x
@@ -180,9 +180,9 @@
 }
 
 /// Half of an interval, where it has an end.
-fn half(estimate: &Estimate) -> f64 {
-    if estimate.half.is_finite() {
-        estimate.half
+fn finite_half_width(estimate: &Estimate) -> f64 {
+    if estimate.half_width.is_finite() {
+        estimate.half_width
     } else {
         0.0
     }
@@ -190,13 +190,13 @@
 
 /// What a chart shows of each axis, with a margin.
 struct Bounds {
-    along: std::ops::Range<f64>,
-    up: std::ops::Range<f64>,
+    x: std::ops::Range<f64>,
+    y: std::ops::Range<f64>,
 }
 
 impl Bounds {
     /// None where there is no point.
-    fn of(lines: &[Line], log: bool) -> Option<Bounds> {
+    fn of(lines: &[Line], log_x: bool) -> Option<Bounds> {
         let points = || lines.iter().flat_map(|line| &line.points);
         points().next()?;
         let widen = |low: f64, high: f64, share: f64| {
@@ -208,16 +208,16 @@
             let margin = (high - low) * share;
             low - margin..high + margin
         };
-        let along = || points().map(|(x, _)| position(*x, log));
-        let lows = points().map(|(_, estimate)| estimate.mean - half(estimate));
-        let highs = points().map(|(_, estimate)| estimate.mean + half(estimate));
+        let xs = || points().map(|(x, _)| x_position(*x, log_x));
+        let lows = points().map(|(_, estimate)| estimate.mean - finite_half_width(estimate));
+        let highs = points().map(|(_, estimate)| estimate.mean + finite_half_width(estimate));
         Some(Bounds {
-            along: widen(
-                along().fold(f64::MAX, f64::min),
-                along().fold(f64::MIN, f64::max),
+            x: widen(
+                xs().fold(f64::MAX, f64::min),
+                xs().fold(f64::MIN, f64::max),
                 0.05,
             ),
-            up: widen(
+            y: widen(
                 lows.fold(f64::MAX, f64::min),
                 highs.fold(f64::MIN, f64::max),
                 0.08,
@@ -230,7 +230,7 @@
 struct Drawing<'a> {
     title: &'a str,
     labels: (&'a str, &'a str),
-    log: bool,
+    log_x: bool,
     bounds: Bounds,
     lines: &'a [Line],
 }
@@ -244,9 +244,9 @@
             .margin(12)
             .x_label_area_size(42)
             .y_label_area_size(64)
-            .build_cartesian_2d(self.bounds.along.clone(), self.bounds.up.clone())?;
+            .build_cartesian_2d(self.bounds.x.clone(), self.bounds.y.clone())?;
         let label = |x: &f64| {
-            if self.log {
+            if self.log_x {
                 format!("{:.0}", 10f64.powf(*x))
             } else {
                 format!("{x:.2}")
@@ -264,7 +264,7 @@
             let points: Vec<(f64, Estimate)> = line
                 .points
                 .iter()
-                .map(|(x, estimate)| (position(*x, self.log), *estimate))
+                .map(|(x, estimate)| (x_position(*x, self.log_x), *estimate))
                 .collect();
             let means = points.iter().map(|(x, estimate)| (*x, estimate.mean));
             chart
@@ -276,8 +276,8 @@
             chart.draw_series(means.map(|point| Circle::new(point, 3, color.filled())))?;
             let bars = points.iter().map(|(x, estimate)| {
                 let (low, high) = (
-                    estimate.mean - half(estimate),
-                    estimate.mean + half(estimate),
+                    estimate.mean - finite_half_width(estimate),
+                    estimate.mean + finite_half_width(estimate),
                 );
                 PathElement::new(vec![(*x, low), (*x, high)], color.stroke_width(1))
             });
--- a/crates/wharfhub-testbed/src/report/tests.rs
+++ b/crates/wharfhub-testbed/src/report/tests.rs
@@ -8,8 +8,8 @@
     assert!((estimate.mean - 2.5).abs() < 1e-12);
     // t(3, 0.975) = 3.182446, s = 1.290994.
     assert!(
-        (estimate.half - 3.182446 * 1.290994 / 2.0).abs() < 1e-4,
+        (estimate.half_width - 3.182446 * 1.290994 / 2.0).abs() < 1e-4,
         "{}",
-        estimate.half
+        estimate.half_width
     );
 }
