--- a/crates/wharfhub-testbed/src/daemon.rs
+++ b/crates/wharfhub-testbed/src/daemon.rs
@@ -1,6 +1,4 @@
-//! The daemon under test: real processes on loopback, started with a scenario's settings and ended with it.
-//!
-//! This file owns those processes and their configuration files. It must never end a process that it did not start.
+//! Daemon processes under test on loopback, started with a scenario's settings.
 
 use crate::site::Scenario;
 use std::io::{self, BufRead, BufReader};
@@ -10,15 +8,15 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::Duration;
 
-/// Longest wait for a line of the log.
+/// Longest wait for a log line.
 const MAX_LOG_WAIT: Duration = Duration::from_secs(10);
 
-/// A mixer that runs.
+/// Running mixer process; killed on drop, which also removes its configuration file.
 pub struct Daemon {
     child: Child,
     config_file: PathBuf,
     log: Receiver<String>,
-    /// Where clients connect.
+    /// Address at which it accepts clients.
     pub address: SocketAddr,
 }
 
@@ -30,7 +28,8 @@
     }
 }
 
-/// The program, beside this one, or where this is a test in the folder above.
+/// Returns the path of the daemon, which is in the directory of the current program, or in its parent directory if the current
+/// program is a test.
 pub fn program() -> io::Result<PathBuf> {
     let own = std::env::current_exe()?;
     let mut candidates = own
@@ -41,14 +40,14 @@
     let missing = || {
         io::Error::new(
             io::ErrorKind::NotFound,
-            "the daemon is not built: cargo build --workspace",
+            "cannot find the wharfhub program; run cargo build --workspace",
         )
     };
     candidates.find(|path| path.is_file()).ok_or_else(missing)
 }
 
-/// A mixer's configuration: a scenario's settings, and leaf servers that listen there; those of some numbers speak the search
-/// style, and those of some know phases.
+/// Returns the configuration of a mixer: the settings of a scenario, and a list with leaf servers at the given addresses. Those with
+/// the numbers in `search` speak the search API, and a share drawn by the scenario supports two-phase queries.
 pub fn config(
     scenario: &Scenario,
     number: u32,
@@ -87,7 +86,7 @@
     )
 }
 
-/// Starts a mixer and waits until it serves.
+/// Starts a mixer and waits until it logs that it serves.
 pub fn start(program: &Path, config: &str, name: &str) -> io::Result<Daemon> {
     let config_file = std::env::temp_dir().join(format!(
         "wharfhub-testbed-{}-{name}.json",
@@ -124,12 +123,12 @@
     Ok(daemon)
 }
 
-/// What a process has used so far, as the kernel counts it.
+/// Resources that a process has used.
 #[derive(Clone, Copy, Debug)]
 pub struct Usage {
-    /// Processor time of all its threads (seconds).
+    /// CPU time of its running threads (seconds).
     pub cpu_s: f64,
-    /// Memory that it occupies (bytes).
+    /// Resident memory (bytes).
     pub resident_bytes: u64,
 }
 
@@ -142,8 +141,8 @@
 }
 
 impl Daemon {
-    /// Processor time and memory of the process. The scheduler's own counters are exact to the nanosecond, where those
-    /// of `/proc/PID/stat` go by ticks of 10 ms.
+    /// Reads the CPU time and memory of the process. `schedstat` has a resolution of nanoseconds; `/proc/PID/stat` counts ticks of
+    /// 10 ms.
     pub fn usage(&self) -> io::Result<Usage> {
         let process = PathBuf::from(format!("/proc/{}", self.child.id()));
         let mut cpu_ns = 0;
@@ -164,7 +163,10 @@
         loop {
             let line = self.log.recv_timeout(MAX_LOG_WAIT);
             let line = line.map_err(|_| {
-                io::Error::new(io::ErrorKind::TimedOut, format!("never logged: {text}"))
+                io::Error::new(
+                    io::ErrorKind::TimedOut,
+                    format!("timed out waiting for the log line {text:?}"),
+                )
             })?;
             if line.contains(text) {
                 return Ok(line);
--- a/crates/wharfhub-testbed/src/experiments/data_path.rs
+++ b/crates/wharfhub-testbed/src/experiments/data_path.rs
@@ -1,9 +1,9 @@
-//! The data path: what a query costs the daemon in CPU, by the number of its parts, and its tail at the planned rate.
+//! Data path experiment: the daemon's CPU time for a query by its number of parts, and its tail latency at the planned rate.
 //!
-//! One real daemon on loopback with 180 stand-in leaf servers. First one client asks queries of 4 to 180 parts in a
-//! closed loop; a law is fitted to the cost with one size kept out. Then, in the full run, clients send 163 queries of
-//! 180 parts a second in an open loop, with and without one slow server and hedged requests. Times are this machine's;
-//! the verdict rests on the ratio of costs.
+//! One real daemon runs on loopback with 180 stand-in leaf servers. First, one client sends queries of 4 to 180 parts in a closed
+//! loop, and a cost law is fitted with one size held out. Then, in the full run, clients send 163 queries of 180 parts per second
+//! in an open loop, with and without one slow server and hedged requests. Times depend on the machine; the criteria are ratios of
+//! costs.
 
 mod cost_law;
 
@@ -22,7 +22,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Numbers of parts that are measured, and the names of their classes.
+/// Measured numbers of parts and the names of their classes.
 const SIZES: [(usize, &str); 5] = [
     (4, "parts-4"),
     (12, "parts-12"),
@@ -30,44 +30,44 @@
     (90, "parts-90"),
     (180, "parts-180"),
 ];
-/// The size that the fit does not see and has to predict: its place in [`SIZES`].
+/// Index in [`SIZES`] of the size that is held out of the fit and predicted.
 const HOLDOUT: usize = 2;
 
-/// Leaf servers. Each shard has two holders, next to each other.
+/// Number of leaf servers. Each shard has two holders with consecutive numbers.
 const LEAF_SERVERS: u32 = 180;
-/// Jobs that a leaf server runs at once: more than ever come, so that it answers after its own time alone.
+/// Jobs that a leaf server runs at once: more than it ever receives, so that no job is queued.
 const LEAF_CORES: usize = 64;
-/// The fleet that the daemon is told of, and what it is asked together (queries a second).
+/// Number of mixers that the settings state, and the query rate of the whole fleet (queries per second).
 const MIXERS: u32 = 860;
 const FLEET_QUERIES_PER_S: f64 = 140_000.0;
-/// An answer is in time within so long; clients wait longer (seconds).
+/// Latency target of a query, and the longer timeout of its client (seconds).
 const LATENCY_TARGET_S: f64 = 0.24;
 const CLIENT_TIMEOUT_S: f64 = 1.0;
-/// Mean time of a part at a leaf server in the closed loop and at the planned rate (seconds), and its spread to both
-/// sides as a share. In the closed loop parts are answered at once, so that the daemon is busy without a break: going to
-/// sleep and waking up cost a small query more than its parts do, and would hide what a part costs.
+/// Mean service time of a part at a leaf server in the closed loop and at the planned rate (seconds), and the relative spread to
+/// both sides. In the closed loop, parts are answered at once so that the daemon never sleeps: sleep and wakeup cost a small query
+/// more than its parts do and would hide the cost of a part.
 const CLOSED_LOOP_PART_S: f64 = 0.0;
 const PLANNED_PART_S: f64 = 0.02;
 const PART_TIME_SPREAD: f64 = 0.5;
 
-/// Queries of each size in a round, and rounds: in the full and in the quick run. One round more comes first and does
-/// not count: it opens the connections.
+/// Queries of each size in a round, and the number of rounds in the full and in the quick run. An additional first round opens
+/// the connections and is not measured.
 const QUERIES_PER_ROUND: usize = 50;
 const ROUNDS: (usize, usize) = (16, 8);
-/// Length of a run at the planned rate, and the time before it begins (seconds).
+/// Length of a run at the planned rate, and the time before its start (seconds).
 const PLANNED_RUN_S: f64 = 10.0;
 const START_DELAY_S: f64 = 1.0;
-/// Leaf servers that hold a partition, in virtual time; the last is 5,220 servers for 180 partitions. Length of such a scenario
-/// (seconds): the module's windows of 8 s have to fill.
+/// Holders of each partition in the runs in virtual time; the last is 5,220 servers for 180 partitions. Their length (seconds) lets
+/// the decision module's windows of 8 s fill.
 const HOLDERS: [u32; 3] = [2, 8, PLANNED_HOLDERS];
 pub(super) const PLANNED_HOLDERS: u32 = 29;
 const VIRTUAL_RUN_S: f64 = 9.0;
-/// A slow server takes so many times as long: far over the latency target.
+/// Factor by which a slow server is slower; its answers miss the latency target by far.
 const SLOW_FACTOR: f64 = 25.0;
-/// Times in the rules are so much longer on sockets (seconds).
+/// Tolerance added to the time limits of the rules on sockets (seconds).
 const TIME_TOLERANCE_S: f64 = 0.05;
 
-/// What a run is made of beside its queries.
+/// Variant of a run.
 #[derive(Clone, Copy, Debug)]
 struct Case {
     name: &'static str,
@@ -75,7 +75,7 @@
     slow_servers: u32,
 }
 
-/// Hedged requests are allowed, as on the operators' sites: that they are considered is a part of the cost.
+/// Hedged requests are allowed, as in the operators' deployments, because deciding on them is part of the cost.
 const CLOSED_LOOP: Case = Case {
     name: "closed loop",
     hedging: true,
@@ -100,17 +100,17 @@
     },
 ];
 
-/// The daemon with its leaf servers.
+/// Daemon, and the state shared with its leaf servers and clients.
 struct Rig {
     shared: Arc<Shared>,
     daemon: Daemon,
 }
 
-/// The cost of queries of one size. Rounds differ by what else the machine does: the least is the cost.
+/// Cost of queries of one size. Rounds differ by the other load of the machine, so that the lowest value is taken as the cost.
 struct SizeCost {
     parts: usize,
-    min_cpu_us: f64,  // of the daemon, a query, in the round that took least
-    cpu_us: Estimate, // the same over all rounds
+    min_cpu_us: f64,  // CPU time of the daemon for a query in the cheapest round
+    cpu_us: Estimate, // mean over all rounds
     p50_ms: f64,
     p99_ms: f64,
     queries: usize,
@@ -129,7 +129,7 @@
     }
 }
 
-/// The scenario of a run: one class of query for each number of parts.
+/// Returns the scenario of a run, with one query class for each number of parts.
 fn scenario(seed: u64, case: Case) -> Scenario {
     let class = |(parts, name): (usize, &'static str)| Class {
         name,
@@ -176,7 +176,7 @@
     scenario
 }
 
-/// A query of this class at this time; its parts take a mean of `part_s` each.
+/// Returns a query of a class at a time; its parts take `part_s` on average.
 fn query(scenario: &Scenario, rng: &mut impl Rng, class: usize, at: f64, part_s: f64) -> Query {
     let count = SIZES[class].0;
     let shards = rand::seq::index::sample(rng, scenario.shards() as usize, count);
@@ -200,7 +200,7 @@
     }
 }
 
-/// Opens leaf servers and starts a daemon that knows them.
+/// Starts the leaf servers and a daemon whose list names them.
 fn start(scenario: Scenario, queries: Vec<Query>, name: &str) -> Result<Rig, ExperimentError> {
     let program = daemon::program()?;
     let shared = Arc::new(Shared {
@@ -218,8 +218,8 @@
     Ok(Rig { shared, daemon })
 }
 
-/// What the judge cost_law, in words. A hedged request that a leaf server reads after the final answer is no finding: on
-/// sockets it may have been written before that answer, and only the order of reading is seen here.
+/// Returns the violations of the rules as text. A hedged request that a leaf server reads after the final answer is not a
+/// violation: the mixer may have sent it before that answer, and only the order of reading is observed on sockets.
 fn broken_rules(shared: &Shared) -> Vec<String> {
     let mut rules = lock(&shared.rules);
     rules.over();
@@ -232,15 +232,15 @@
         .collect()
 }
 
-/// Whether a finding is about time: at the planned rate, on a machine that others use too, it says that the daemon or
-/// the machine was at its end, which the table shows. It is printed there and not judged.
+/// Returns whether a violation is about time limits. At the planned rate on a shared machine such a violation means that the
+/// daemon or the machine was overloaded, which the table shows, so it is printed and does not fail the experiment.
 fn is_about_time(finding: &str) -> bool {
     ["broken: time: ", "broken: lost: "]
         .iter()
         .any(|kind| finding.starts_with(kind))
 }
 
-/// One client in a closed loop: all sizes in turn, round after round.
+/// Measures the costs with one client in a closed loop, which sends queries of all sizes in each round.
 fn measure_sizes(
     options: &Options,
     shortfalls: &mut Vec<String>,
@@ -305,7 +305,7 @@
     Ok(costs.iter().enumerate().map(cost).collect())
 }
 
-/// Shows the costs, and what their law says.
+/// Prints and saves the costs, and checks the cost law.
 fn report_sizes(
     options: &Options,
     costs: &[SizeCost],
@@ -359,8 +359,9 @@
 
     let points: Vec<Point> = costs.iter().map(SizeCost::point).collect();
     let cost_law = CostLaw::of(&points, HOLDOUT);
-    let cost_law =
-        cost_law.ok_or_else(|| ExperimentError::Other("the sizes determine no law".into()))?;
+    let cost_law = cost_law.ok_or_else(|| {
+        ExperimentError::Other("cannot fit a cost law to the measured sizes".into())
+    })?;
     print_law(&cost_law);
     shortfalls.extend(cost_law.shortfalls());
     Ok(())
@@ -393,7 +394,7 @@
     );
 }
 
-/// Clients at the planned rate of one mixer, in an open loop. Gives the row of the table.
+/// Measures clients at the planned rate of one mixer in an open loop and returns the row of the table.
 fn measure_planned_rate(
     seed: u64,
     case: Case,
@@ -446,7 +447,7 @@
     ])
 }
 
-/// A scenario in virtual time at the planned rate of one mixer: 180 partitions, each at so many leaf servers.
+/// Returns a scenario in virtual time at the planned rate of one mixer, with 180 partitions that have `holders` leaf servers each.
 pub(super) fn scenario_with_holders(seed: u64, holders: u32) -> Scenario {
     let base = scenario(seed, CLOSED_LOOP);
     let parts = SIZES[SIZES.len() - 1].0;
@@ -472,7 +473,7 @@
     scenario
 }
 
-/// What choosing among more holders of each partition costs the core and its module, in virtual time without sockets.
+/// Measures the CPU time of the core and the decision module by number of holders of a partition, in virtual time without sockets.
 fn measure_holders(options: &Options, shortfalls: &mut Vec<String>) -> Result<(), ExperimentError> {
     let mut table = Table::new(&[
         "holders of a partition",
--- a/crates/wharfhub-testbed/src/experiments/data_path/cost_law.rs
+++ b/crates/wharfhub-testbed/src/experiments/data_path/cost_law.rs
@@ -1,35 +1,32 @@
-//! The law behind the cost of queries of several sizes, and whether it is good enough.
-//!
-//! Pure arithmetic: it must never measure, and never print.
+//! Cost law of queries by their number of parts, and the criteria that it has to meet.
 
 use crate::fit::{Point, Polynomial};
 
-/// A part of the largest query may cost so many times one of the size at which parts are cheapest. That is no weaker
-/// than a comparison with the smallest query, of which each part bears a quarter of what the query costs by itself.
+/// Largest ratio of the cost of a part in the largest query to that at the size with the cheapest parts. The check is at least
+/// as strict as a comparison with the smallest query, whose four parts each bear a quarter of the fixed cost of a query.
 pub const MAX_COST_RATIO: f64 = 1.5;
-/// The prediction may be off by this share of the measured cost.
+/// Largest relative error of the prediction at the held-out size.
 const MAX_PREDICTION_ERROR: f64 = 0.25;
-/// A straight line stands as the law where no point lies further from it, as a share; otherwise a parabola is fitted.
+/// Largest relative error of a fitted point at which a line is the law; otherwise a parabola is fitted.
 const MAX_LINE_RESIDUAL: f64 = 0.15;
 
-/// What the costs of queries of several sizes say.
+/// Fitted cost law and the figures that are checked.
 #[derive(Clone, Debug)]
 pub struct CostLaw {
-    /// The cost of a query by its parts.
+    /// Cost of a query by its number of parts.
     pub law: Polynomial,
-    /// The point that the fit did not see.
+    /// Point held out of the fit.
     pub holdout: Point,
-    /// How far the law is from it, as a share of what was measured.
+    /// Relative error of the law at the held-out point.
     pub prediction_error: f64,
-    /// The cost of a part in the largest query over that in the smallest.
+    /// Ratio of the cost of a part in the largest query to that in the smallest.
     pub largest_over_smallest: f64,
-    /// The same over that at the size at which parts are cheapest.
+    /// Ratio of the cost of a part in the largest query to that at the size with the cheapest parts.
     pub largest_over_cheapest: f64,
 }
 
 impl CostLaw {
-    /// Fits the law to the costs of queries, the smallest first, without the one in the place held out; none where
-    /// too few are left.
+    /// Fits the law to costs sorted by size, without the point at index `holdout`. Returns `None` if too few points are left.
     pub fn of(points: &[Point], holdout: usize) -> Option<CostLaw> {
         let mut fitted = points.to_vec();
         let holdout = fitted.remove(holdout);
@@ -51,18 +48,20 @@
         })
     }
 
-    /// What falls shortfalls.
+    /// Returns the criteria that the law misses, as text.
     pub fn shortfalls(&self) -> Vec<String> {
         let mut shortfalls = Vec::new();
         if self.largest_over_cheapest > MAX_COST_RATIO {
             let ratio = self.largest_over_cheapest;
             shortfalls.push(format!(
-                "a part of the largest query costs {ratio:.2} times the cheapest one"
+                "a part of the largest query costs {ratio:.2} times as much as the cheapest part"
             ));
         }
         if self.prediction_error > MAX_PREDICTION_ERROR {
             let percent = self.prediction_error * 100.0;
-            shortfalls.push(format!("the law is {percent:.0}% off at the size kept out"));
+            shortfalls.push(format!(
+                "the cost law is off by {percent:.0}% at the held-out size"
+            ));
         }
         shortfalls
     }
--- a/crates/wharfhub-testbed/src/experiments/decisions.rs
+++ b/crates/wharfhub-testbed/src/experiments/decisions.rs
@@ -1,9 +1,9 @@
-//! The CPU that a mixer's core and module spend on a query: by the rate of queries, by the number of leaf servers, and
-//! by the number of its parts.
+//! Decisions experiment: the CPU time of a mixer's core and decision module for a query, by query rate, by number of leaf servers
+//! and by number of parts.
 //!
-//! One mixer, leaf servers that answer after 50 ms whatever they hold: only the mixer's own cost changes. Times are this
-//! machine's; the verdict rests on their ratios. Beside these cells stand scenarios on which much goes wrong: their digests,
-//! with those of the cells, tell whether another program decides the same.
+//! One mixer runs with leaf servers that answer after 50 ms under any load, so that only the mixer's own cost varies. Times depend
+//! on the machine; the criteria are ratios of costs. Further scenarios contain many faults. The digests of all scenarios show whether
+//! another version of the program makes the same decisions.
 
 use super::two_phase::PHASES;
 use super::{ExperimentError, Options, Verdict};
@@ -14,22 +14,22 @@
 
 const RATES: [f64; 3] = [50.0, 500.0, 5000.0];
 const LEAF_SERVER_COUNTS: [u32; 4] = [4, 20, 200, 2000];
-/// The cost may differ so many times.
+/// Largest ratio of the highest to the lowest cost of a query over all rates and numbers of leaf servers.
 const MAX_COST_SPREAD: f64 = 1.3;
-/// Queries that a run plays at least, and its least length (seconds): the windows of 8 s have to fill.
+/// Smallest number of queries of a run, and its shortest length in the full run (seconds), which lets the windows of 8 s fill.
 const MIN_QUERIES: f64 = 4000.0;
 const MIN_SCENARIO_S: f64 = 9.0;
 
-/// Parts of a query, the leaf servers that answer them, and the rate of parts (a second).
+/// Numbers of parts of a query, the number of leaf servers, and the rate of parts (per second).
 const PARTS: [usize; 3] = [4, 45, 180];
 const LEAF_SERVERS: u32 = 200;
 const PARTS_PER_S: f64 = 4000.0;
-/// The cost of a part may differ so many times between the least and the greatest query.
+/// Largest ratio of the cost of a part in the largest query to that in the smallest.
 const MAX_PART_COST_RATIO: f64 = 1.5;
-/// Length of a scenario on which much goes wrong (seconds).
+/// Length of a scenario with many faults (seconds).
 const FAULTY_SCENARIO_S: f64 = 14.0;
 
-/// A scenario on which every query has so many parts, and servers answer them after 50 ms.
+/// Returns a scenario in which every query has `parts` parts, and servers answer them after 50 ms.
 fn ideal_scenario(rate: f64, leaf_servers: u32, parts: usize, seed: u64, quick: bool) -> Scenario {
     let class = Class {
         name: "slot-check",
@@ -55,7 +55,7 @@
     scenario
 }
 
-/// A scenario of all classes, with so many parts at least, on which much goes wrong.
+/// Returns a scenario of all classes with many faults, in which every query has `parts` parts.
 fn faulty_scenario(site: Site, parts: usize, phases: bool, seed: u64) -> Scenario {
     let classes = site.classes.iter().map(|class| Class {
         parts: (parts, parts, 0.0),
@@ -88,10 +88,10 @@
     }
 }
 
-/// A cell of the experiment, played as often as there are runs.
+/// Cell of the experiment: a scenario that is run several times.
 struct Cell {
     scenario: Scenario,
-    min_cost_us: f64, // of a query
+    min_cost_us: f64, // lowest CPU time for a query over all runs
     digest: Option<u64>,
     broken: usize,
 }
@@ -106,13 +106,15 @@
         }
     }
 
-    fn play(&mut self) -> Result<Run, ExperimentError> {
+    fn run(&mut self) -> Result<Run, ExperimentError> {
         let run = world::play(&self.scenario)?;
         self.min_cost_us = self
             .min_cost_us
             .min(run.cpu_s * 1e6 / run.taken.max(1) as f64);
         if *self.digest.get_or_insert(run.digest) != run.digest {
-            return Err(ExperimentError::Other("two plays of one day differ".into()));
+            return Err(ExperimentError::Other(
+                "two runs of one scenario have different digests".into(),
+            ));
         }
         self.broken += run.rules.count as usize;
         Ok(run)
@@ -123,7 +125,7 @@
     }
 }
 
-/// How many times the highest cost is the least.
+/// Returns the ratio of the highest to the lowest cost.
 fn cost_spread(costs: impl Iterator<Item = f64>) -> f64 {
     let (min, max) = costs.fold((f64::MAX, 0.0_f64), |(min, max), cost| {
         (min.min(cost), max.max(cost))
@@ -131,7 +133,7 @@
     max / min
 }
 
-/// The table and the chart by rate and by number of leaf servers; gives how much the cost differs.
+/// Prints and saves the costs by query rate and by number of leaf servers, and returns the ratio of the highest to the lowest.
 fn report_rates(cells: &[Cell], out: &Path) -> Result<f64, ExperimentError> {
     let mut table = Table::new(&[
         "boxes",
@@ -185,7 +187,8 @@
     Ok(spread)
 }
 
-/// The table by the number of parts; gives how many times as much a part of the greatest query costs.
+/// Prints and saves the costs by number of parts, and returns the ratio of the cost of a part in the largest query to that in the
+/// smallest.
 fn report_parts(cells: &[Cell], out: &Path) -> Result<f64, ExperimentError> {
     let mut table = Table::new(&[
         "parts",
@@ -205,12 +208,12 @@
     }
     let part_cost_ratio = cost(PARTS.len() - 1) / cost(0);
     print!("{}", table.text());
-    println!("a part of the greatest query over one of the least: {part_cost_ratio:.2}");
+    println!("CPU of a part, largest query over smallest: {part_cost_ratio:.2}");
     table.save(&out.join("decisions-parts.csv"))?;
     Ok(part_cost_ratio)
 }
 
-/// Scenarios on which much goes wrong: only what was done counts there.
+/// Runs the scenarios with many faults, whose digests are recorded but not their costs. Returns the number of violations.
 fn faulty_scenarios(options: &Options) -> Result<usize, ExperimentError> {
     let mut table = Table::new(&[
         "site",
@@ -224,7 +227,7 @@
         for (site, phases) in [(cardiff(), false), (cardiff(), true), (szeged(), false)] {
             let name = site.name;
             let mut cell = Cell::new(faulty_scenario(site, parts, phases, options.seed));
-            let taken = cell.play()?.taken;
+            let taken = cell.run()?.taken;
             broken += cell.broken;
             let phases = if phases { "on" } else { "off" };
             table.add_row(vec![
@@ -260,10 +263,10 @@
         .iter()
         .map(|parts| scenario(PARTS_PER_S / *parts as f64, LEAF_SERVERS, *parts))
         .collect();
-    // The same scenarios again and again, in turns: what differs is the machine, and the least is the cost.
+    // The same scenarios run several times, interleaved: only the load of the machine varies, so that the lowest value is the cost.
     for _ in 0..runs {
         for cell in rates.iter_mut().chain(&mut parts) {
-            cell.play()?;
+            cell.run()?;
         }
     }
     let spread = report_rates(&rates, &options.out)?;
@@ -275,10 +278,13 @@
     }
     if part_cost_ratio > MAX_PART_COST_RATIO {
         return Ok(Some(format!(
-            "a part of {} costs {part_cost_ratio:.2} times one of 4, not {MAX_PART_COST_RATIO} at most",
+            "a part of a query of {} parts costs {part_cost_ratio:.2} times one of 4 parts, limit {MAX_PART_COST_RATIO}",
             PARTS[2]
         )));
     }
-    Ok((spread > MAX_COST_SPREAD)
-        .then(|| format!("the cost differs {spread:.2} times, not {MAX_COST_SPREAD} at most")))
+    Ok((spread > MAX_COST_SPREAD).then(|| {
+        format!(
+            "the highest cost of a query is {spread:.2} times the lowest, limit {MAX_COST_SPREAD}"
+        )
+    }))
 }
--- a/crates/wharfhub-testbed/src/experiments/deployments.rs
+++ b/crates/wharfhub-testbed/src/experiments/deployments.rs
@@ -1,34 +1,35 @@
-//! Both kinds of deployment side by side, each at two paces: what is served in quiet scenarios and with each fault of their accounts.
+//! Deployments experiment: the service of both deployments at two speeds, without faults and with each kind of fault that the
+//! operators report.
 //!
-//! Every cell plays the same scenarios whatever the daemon does, so that two versions of it can be set against each other scenario by
-//! scenario: the scenarios stand in `deployments-days.csv`. The verdict rests on the rules alone.
+//! The scenarios do not depend on the daemon, so that two versions of it can be compared scenario by scenario in
+//! `deployments-days.csv`. The only criterion is that no rule is broken.
 
 use super::{parallel, ExperimentError, Options, Verdict};
 use crate::report::{chart, Estimate, Line, Table};
 use crate::site::{cardiff, szeged, Fault, Layout, Scenario, Site};
 use crate::{tally, world};
 
-/// Scenarios of a cell, and their length (seconds).
+/// Number of scenarios of a cell and their length (seconds), in the full and in the quick run.
 const SCENARIOS_PER_CELL: (u64, u64) = (20, 4);
 const SCENARIO_S: (f64, f64) = (45.0, 30.0);
-/// Broken rules that are printed, at most.
+/// Number of violations that are printed.
 const MAX_PRINTED: usize = 20;
-/// How much faster the same profile is on the real-socket scenarios.
+/// Factor by which the fast variants of the deployments are faster.
 const FAST_PROFILE_FACTOR: f64 = 4.0;
 
-/// One kind of scenario: its name, its load, and what goes wrong, in shares of the scenario's length.
+/// Kind of scenario.
 pub struct ScenarioKind {
-    /// Its name.
+    /// Name in the tables.
     pub name: &'static str,
-    /// What is asked, in shares of what the leaf servers can do.
+    /// Load as a share of the capacity of the leaf servers.
     pub load: f64,
-    /// What goes wrong, from when to when.
+    /// Faults with their start and end, as shares of the scenario's length.
     pub faults: Vec<(f64, f64, Fault)>,
-    /// Whether a larger fleet plays it.
+    /// Set if the scenario has more leaf servers than usual.
     pub has_large_fleet: bool,
 }
 
-/// The kinds of scenario that the operators' accounts tell of.
+/// Returns the kinds of scenario that the operators report.
 pub fn kinds() -> Vec<ScenarioKind> {
     let kind = |name, load, faults| ScenarioKind {
         name,
@@ -86,7 +87,7 @@
     ]
 }
 
-/// A scenario of a kind at a site.
+/// Returns a scenario of a kind for a deployment.
 pub fn scenario(site: &Site, kind: &ScenarioKind, seed: u64, seconds: f64) -> Scenario {
     let faults = kind
         .faults
@@ -98,7 +99,7 @@
     if let Layout::Sets(_, endpoints) = &mut site.layout {
         *endpoints = 2 + (seed % 2) as u32; // two or three leaf servers hold a shard
     }
-    // Waiting rooms of all sizes that the accounts allow.
+    // The seeds cover all queue capacities that the operators report.
     site.leaf_servers.queue_capacity = 14 + (seed as usize * 7) % 29;
     Scenario {
         seed,
@@ -124,7 +125,7 @@
     broken: Vec<String>,
 }
 
-fn play(scenario: &Scenario) -> Result<RunMetrics, ExperimentError> {
+fn run_scenario(scenario: &Scenario) -> Result<RunMetrics, ExperimentError> {
     let run = world::play(scenario)?;
     let asked = run.tally.requests[tally::TOTAL].max(1) as f64;
     let (late, unanswered) = run.tally.late_and_unanswered_shares();
@@ -140,14 +141,14 @@
     })
 }
 
-/// One scenario of a cell.
+/// Scenario of a cell.
 struct Job {
     site: &'static str,
     kind: &'static str,
     scenario: Scenario,
 }
 
-/// Plays all cells, and says how many rules were broken.
+/// Runs the experiment.
 pub fn run(options: &Options) -> Verdict {
     let (scenarios, seconds) = if options.quick {
         (SCENARIOS_PER_CELL.1, SCENARIO_S.1)
@@ -156,20 +157,20 @@
     };
     let kinds = kinds();
     let jobs = jobs(&kinds, options.seed..options.seed + scenarios, seconds);
-    let played = parallel(&jobs, |job| play(&job.scenario))
+    let results = parallel(&jobs, |job| run_scenario(&job.scenario))
         .into_iter()
         .collect::<Result<Vec<_>, _>>()?;
     let mut report = Report::new();
     let cells = jobs
         .chunks(scenarios as usize)
-        .zip(played.chunks(scenarios as usize));
+        .zip(results.chunks(scenarios as usize));
     for (number, (jobs, played)) in cells.enumerate() {
         report.add_cell(number % kinds.len(), jobs, played);
     }
     report.finish(options)
 }
 
-/// The scenarios of all cells, cell by cell, at both sites and both paces.
+/// Returns the scenarios of all cells, cell by cell, for both deployments at both speeds.
 fn jobs(kinds: &[ScenarioKind], seeds: std::ops::Range<u64>, seconds: f64) -> Vec<Job> {
     let fast = [
         cardiff().faster("cardiff x4", FAST_PROFILE_FACTOR),
@@ -189,7 +190,7 @@
     jobs
 }
 
-/// What was played, as tables, lines of a chart, and the rules that were broken.
+/// Tables, chart lines and rule violations of all cells.
 struct Report {
     cells: Table,
     scenarios: Table,
@@ -226,7 +227,7 @@
         }
     }
 
-    /// Adds a cell, which is the one of that kind (by its place) at its site.
+    /// Adds a cell; `kind_number` is the index of its kind.
     fn add_cell(&mut self, kind_number: usize, jobs: &[Job], played: &[RunMetrics]) {
         let Job { site, kind, .. } = &jobs[0];
         let of = |value: &dyn Fn(&RunMetrics) -> f64| {
@@ -276,7 +277,7 @@
             .extend(broken.map(|what| format!("{site}, {kind}, seed {seed}: {what}")));
     }
 
-    /// Prints and saves everything.
+    /// Prints and saves the results.
     fn finish(self, options: &Options) -> Verdict {
         print!("{}", self.cells.text());
         self.cells.save(&options.out.join("deployments.csv"))?;
--- a/crates/wharfhub-testbed/src/experiments/mod.rs
+++ b/crates/wharfhub-testbed/src/experiments/mod.rs
@@ -1,4 +1,4 @@
-//! Experiments: each plays scenarios, prints its table, leaves CSV and charts, and says whether it falls shortfalls.
+//! Experiments. Each runs scenarios, prints a table, writes CSV files and charts, and reports which of its criteria it misses.
 
 mod data_path;
 mod decisions;
@@ -14,55 +14,55 @@
 use std::sync::Mutex;
 use thiserror::Error;
 
-/// How an experiment is run.
+/// Options of an experiment's run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Shorter, within 40 s.
+    /// Runs a shorter form, within 40 s.
     pub quick: bool,
-    /// The first seed.
+    /// First seed.
     pub seed: u64,
-    /// Where files go.
+    /// Directory of the result files.
     pub out: PathBuf,
-    /// On sockets, against the daemon.
+    /// Runs on sockets against the daemon instead of in virtual time.
     pub real: bool,
-    /// Only this part, where it has parts.
+    /// Runs only this part of an experiment that has parts.
     pub part: Option<String>,
 }
 
-/// Why an experiment has no result.
+/// Error that keeps an experiment from a result.
 #[derive(Debug, Error)]
 pub enum ExperimentError {
-    /// Its settings are not taken.
+    /// The settings of a scenario are invalid.
     #[error(transparent)]
     Settings(#[from] wharfhub::config::SettingsError),
-    /// Its result can't be shown.
+    /// A result file could not be written.
     #[error(transparent)]
     Report(#[from] ReportError),
-    /// Its fleet can't be had.
+    /// The fleet failed.
     #[error(transparent)]
     Fleet(#[from] crate::fleet::FleetError),
-    /// The system.
+    /// A system call failed.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// Anything else.
+    /// Any other error, as text.
     #[error("{0}")]
     Other(String),
 }
 
-/// What falls shortfalls, in a few words; none where all is well.
+/// Result of an experiment: the criteria that it misses, as text, or `None` if it meets all of them.
 pub type Verdict = Result<Option<String>, ExperimentError>;
 
-/// An experiment.
+/// Experiment that the command line can run.
 pub struct Experiment {
-    /// Its name.
+    /// Name on the command line.
     pub name: &'static str,
-    /// What it shows.
+    /// Description for `list`.
     pub description: &'static str,
-    /// Runs it.
+    /// Function that runs the experiment.
     pub run: fn(&Options) -> Verdict,
 }
 
-/// All of them.
+/// All experiments, sorted by name.
 pub const ALL: [Experiment; 7] = [
     Experiment {
         name: "data-path",
@@ -71,41 +71,41 @@
     },
     Experiment {
         name: "decisions",
-        description: "the CPU of a decision, by rate and by number of boxes",
+        description: "the CPU of a decision, by query rate and by number of leaf servers",
         run: decisions::run,
     },
     Experiment {
         name: "deployments",
-        description: "both kinds of deployment on quiet days and with each of their troubles",
+        description: "service of both deployments without faults and with each kind of fault",
         run: deployments::run,
     },
     Experiment {
         name: "scale",
         description:
-            "memory, CPU, messages and time for a change by mixers, servers and changes a second",
+            "memory, CPU, messages and propagation time by mixers, servers and changes per second",
         run: scale::run,
     },
     Experiment {
         name: "soak",
         description:
-            "real daemons under random faults that overlap in time, judged by the operators' rules",
+            "real daemons under random overlapping faults, checked against the operators' rules",
         run: soak::run,
     },
     Experiment {
         name: "tail",
         description:
-            "180 answers with slow leaf servers: queries in time, and what second copies cost",
+            "queries of 180 parts with slow leaf servers: share in time, and cost of hedged requests",
         run: tail::run,
     },
     Experiment {
         name: "two-phase",
         description:
-            "work saved and service kept with queries in two phases, on and off side by side",
+            "work saved and service with queries in two phases, compared with one phase",
         run: two_phase::run,
     },
 ];
 
-/// Runs the jobs on all cores; results stand in the order of the jobs.
+/// Runs the jobs in parallel on all cores and returns the results in the order of the jobs.
 pub fn parallel<T: Sync, R: Send>(jobs: &[T], work: impl Fn(&T) -> R + Sync) -> Vec<R> {
     let (next, results) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
     let threads = std::thread::available_parallelism()
--- a/crates/wharfhub-testbed/src/experiments/scale.rs
+++ b/crates/wharfhub-testbed/src/experiments/scale.rs
@@ -1,8 +1,8 @@
-//! The scale experiment: slopes over mixers, servers and changes a second, with one size kept out of each fit and
-//! predicted, and the events of a year on a fleet in two regions.
+//! Scale experiment: lines fitted to the cost by number of mixers, number of servers and changes per second, each checked against
+//! a size that the fit leaves out; and operational events of a year on a fleet in two regions.
 //!
-//! The verdict of the full run rests on predictions and on what came into force; that of the quick run on counts
-//! alone (calls, messages, bytes, whole lists), never on a time.
+//! The full run checks the predictions and the times until changes are applied. The quick run checks only counts (calls,
+//! messages, bytes, complete lists) and no times, because it also runs on busy machines.
 
 mod events;
 mod quantity;
@@ -19,30 +19,30 @@
 };
 use std::path::{Path, PathBuf};
 
-/// A prediction may miss what was measured by this share.
+/// Largest relative error of a prediction.
 const MAX_PREDICTION_ERROR: f64 = 0.25;
-/// Host processes of a fleet.
+/// Number of host processes of a fleet.
 const PROCESSES: u32 = 8;
-/// The name of the axis over changes a second.
+/// Name of the axis over changes per second.
 const RATE_AXIS: &str = "changes/s";
-/// The size to plan with.
+/// Numbers of mixers and servers that operators plan with.
 const FULL_SIZE: (u32, u32) = (860, 5_300);
-/// A change is to be in force everywhere within this time (seconds).
+/// Longest time until all mixers have applied a change (seconds).
 const MAX_PROPAGATION_S: f64 = 10.0;
 
-/// The sizes of a run.
+/// Sizes and lengths of a run.
 struct Plan {
-    mixers: [u32; 5],     // the last one is kept out
-    servers: [u32; 5],    // the last one is kept out
-    rates: [f64; 5],      // changes a second; the last one is kept out
-    standard: (u32, u32), // mixers for the slope over servers, servers for the slope over mixers
+    mixers: [u32; 5],     // the last one is left out of the fits
+    servers: [u32; 5],    // the last one is left out of the fits
+    rates: [f64; 5],      // changes per second; the last one is left out of the fits
+    standard: (u32, u32), // mixers while the servers vary, servers while the mixers vary
     full: Option<(u32, u32)>,
     events: (u32, u32),
     day: CompressedDay,
     changes: u32,
     idle_s: f64,
     rate_s: f64,
-    are_rates_sequential: bool, // where a busy machine must not let changes be told together
+    are_rates_sequential: bool, // set where a busy machine must not combine several changes in one answer
     poll_within_s: f64,
 }
 
@@ -87,9 +87,9 @@
         }
     }
 
-    /// A load at the size to plan with, on one machine: first calls are spread as in service, for the machine takes so
-    /// many whole lists no sooner; and targets are longer, for the idle work of so many mixers would fill five of its
-    /// eight cores.
+    /// Returns the load at the planned size on one machine. First calls are spread over 30 s as in operation, because the
+    /// machine cannot send so many complete lists faster. Latency targets are longer, because the idle work of so many mixers
+    /// would occupy five of its eight cores.
     fn full_size_load(&self, mixers: u32, servers: u32) -> Load {
         Load {
             poll_within_s: 30.0,
@@ -106,7 +106,7 @@
             changes: self.changes,
             is_sequential: true,
             idle_s: self.idle_s,
-            // Ten times those of service: hundreds of mixers share eight cores here.
+            // Ten times the interval in operation, because hundreds of mixers share eight cores here.
             round_s: 0.05,
             poll_within_s: self.poll_within_s,
             target_factor: 1.0,
@@ -114,7 +114,7 @@
     }
 }
 
-/// One axis: its points in order, the last of them kept out of the fits.
+/// Axis with its points in order; the last point is left out of the fits.
 struct Axis {
     name: &'static str,
     x: FigureOf,
@@ -170,7 +170,7 @@
         .map(|load| measure(options, load))
         .collect::<Result<Vec<Point>, _>>()?;
     let by_servers = by_servers.iter().map(|load| {
-        // The standard size stands on both axes, and is measured once.
+        // The standard size is on both axes and is measured once.
         let measured = by_mixers.iter().find(|point| point.load == *load);
         measured.map_or_else(|| measure(options, load), |point| Ok(*point))
     });
@@ -225,7 +225,7 @@
         .iter()
         .flat_map(|axis| axis.points.iter().map(|point| (axis.name, point)));
     for (name, point) in all.chain(full) {
-        // A fleet that goes on from one rate to the next has started once.
+        // All points by rate come from one fleet, which starts only once: its start is left out of their rows.
         let started = |text: String| if name == RATE_AXIS { "-".into() } else { text };
         let each = |value: f64| value / mixers(point);
         let (idle, idle_s) = point.idle;
@@ -257,7 +257,8 @@
     table
 }
 
-/// The fits of all axes; says which predictions miss by too much.
+/// Returns the table of the fits of all axes, and the predictions whose error is too large. With `counts_only`, times are not
+/// checked.
 fn fits_table(axes: &[Axis], counts_only: bool) -> (Table, Vec<String>) {
     let columns = [
         "axis",
@@ -282,7 +283,7 @@
                 .map(|point| ((axis.x)(point), (quantity.of)(point)))
                 .collect();
             let Some(fit) = LineFit::of(&points) else {
-                shortfalls.push(format!("no line for {} by {}", quantity.name, axis.name));
+                shortfalls.push(format!("cannot fit {} by {}", quantity.name, axis.name));
                 continue;
             };
             let (x, measured) = ((axis.x)(kept_out), (quantity.of)(kept_out));
@@ -302,7 +303,7 @@
             if error > MAX_PREDICTION_ERROR && (quantity.is_count || !counts_only) {
                 let (name, error) = (quantity.name, error * 100.0);
                 shortfalls.push(format!(
-                    "{name} at {x} {} is predicted {error:.0}% off",
+                    "prediction of {name} at {x} {} is off by {error:.0}%",
                     axis.name
                 ));
             }
@@ -311,7 +312,8 @@
     (table, shortfalls)
 }
 
-/// What the size to plan with would be by the slopes over servers, against what was measured there.
+/// Compares the values that the lines over servers predict for the planned size with the measurement there. Returns the table and
+/// the predictions whose error is too large.
 fn full_size_table(by_servers: &Axis, full: &Point) -> (Table, Vec<String>) {
     let mut table = Table::new(&["figure at full size", "predicted", "measured", "error %"]);
     let mut shortfalls = Vec::new();
@@ -339,7 +341,7 @@
         );
         if error > MAX_PREDICTION_ERROR {
             shortfalls.push(format!(
-                "{} at full size is predicted {:.0}% off",
+                "prediction of {} at full size is off by {:.0}%",
                 quantity.name,
                 error * 100.0
             ));
@@ -423,7 +425,7 @@
         all.filter(|point| point.propagation.missing > 0)
             .map(|point| {
                 format!(
-                    "{} changes never in force at {:?}",
+                    "{} pairs of change and mixer never applied at {:?}",
                     point.propagation.missing, point.load
                 )
             }),
@@ -435,7 +437,7 @@
         shortfalls.extend(missed);
         if full.propagation.last_s > MAX_PROPAGATION_S {
             shortfalls.push(format!(
-                "a change takes {:.1} s at full size",
+                "a change is applied everywhere after {:.1} s at full size",
                 full.propagation.last_s
             ));
         }
@@ -459,7 +461,7 @@
         Some("events") => shortfalls.extend(events(options, &plan)?),
         Some(other) => {
             return Err(ExperimentError::Other(format!(
-                "part: {other:?} is none of slopes, events"
+                "unknown part {other:?}, expected slopes or events"
             )))
         }
     }
--- a/crates/wharfhub-testbed/src/experiments/scale/events.rs
+++ b/crates/wharfhub-testbed/src/experiments/scale/events.rs
@@ -1,7 +1,6 @@
-//! The events of a year on a fleet in two regions, with queries beside the ordinary day.
+//! Operational events of a year on a fleet in two regions, with queries during the ordinary day.
 //!
-//! This file owns the order of the events and their table. Its verdict rests on counts, in the full run also on when a change
-//! is in force.
+//! All runs check the number of complete lists; the full run also checks the times until changes are applied.
 
 use super::{Plan, MAX_PROPAGATION_S};
 use crate::experiments::{ExperimentError, Options};
@@ -10,11 +9,11 @@
 use crate::report::Table;
 use crate::site::Scenario;
 
-/// Real daemons with queries beside the hollow mixers, and their leaf servers.
+/// Numbers of real daemons that serve queries during the ordinary day, and of their leaf servers.
 const QUERY_MIXERS: u32 = 2;
 const QUERY_LEAVES: u32 = 10;
 
-/// The ordinary day, with real daemons and leaf servers beside the hollow mixers.
+/// Runs the ordinary day on the hollow mixers, and queries on real daemons in parallel.
 fn ordinary_day_with_queries(
     bench: &mut EventBench,
     plan: &Plan,
@@ -32,16 +31,16 @@
     let (queries, leaves) = QueryPath::start(scenario, bench.discovery_address())?;
     bench.list_leaf_servers(leaves)?;
     std::thread::scope(|scope| {
-        let played = scope.spawn(move || queries.play());
+        let load = scope.spawn(move || queries.run());
         let day = bench.ordinary_day(plan.day, u64::from(QUERY_MIXERS))?;
-        let queries = played
+        let queries = load
             .join()
-            .map_err(|_| ExperimentError::Other("the load failed".into()))?;
+            .map_err(|_| ExperimentError::Other("the load generator panicked".into()))?;
         Ok((day, queries))
     })
 }
 
-/// Plays the events, and says which of them fell shortfalls.
+/// Runs the events and returns the criteria that they miss.
 pub(super) fn events(options: &Options, plan: &Plan) -> Result<Vec<String>, ExperimentError> {
     let (mixers, servers) = plan.events;
     let load = match plan.full {
@@ -113,20 +112,20 @@
     table
 }
 
-/// Where an event needed more whole lists than necessary, or came into force too late.
+/// Returns whether an event needed too many complete lists or was applied too late, as text.
 fn shortfalls(outcome: &EventOutcome, is_quick: bool) -> Vec<String> {
     let mut shortfalls = Vec::new();
     let name = &outcome.name;
     let (lists, needed) = (outcome.counters.complete_lists, outcome.max_complete_lists);
     if lists > needed {
         shortfalls.push(format!(
-            "{name}: {lists} whole lists where {needed} were needed"
+            "{name}: {lists} complete lists sent, {needed} needed"
         ));
     }
-    // A mixer that starts anew waits for its turn to ask, by the settings.
+    // A started mixer spreads its first call over the interval of the settings, so that its time is not checked.
     let last_s = outcome.propagation.last_s;
     if outcome.mixers_started == 0 && !is_quick && last_s > MAX_PROPAGATION_S {
-        shortfalls.push(format!("{name}: in force after {last_s:.1} s"));
+        shortfalls.push(format!("{name}: applied everywhere after {last_s:.1} s"));
     }
     shortfalls
 }
@@ -138,8 +137,8 @@
         broken,
     } = queries;
     println!(
-        "queries beside the ordinary day: {answered} of {asked} tries answered, {} rules broken",
+        "queries during the ordinary day: {answered} of {asked} requests answered, {} rules broken",
         broken.len()
     );
-    (*answered == 0).then(|| "no query was answered beside the fleet".into())
+    (*answered == 0).then(|| "no query was answered during the ordinary day".into())
 }
--- a/crates/wharfhub-testbed/src/experiments/scale/quantity.rs
+++ b/crates/wharfhub-testbed/src/experiments/scale/quantity.rs
@@ -1,21 +1,19 @@
-//! The figures of a point whose slopes over mixers, servers and changes a second are looked for.
-//!
-//! This file owns how each figure is calculated. It must never measure anything.
+//! Quantities of a measured point that the scale experiment fits by mixers, servers and changes per second.
 
 use crate::fleet::bench::Point;
 
-/// Takes a figure from a point.
+/// Function that calculates a figure of a point.
 pub(super) type FigureOf = fn(&Point) -> f64;
 
-/// A figure of a point whose slope is looked for.
+/// Quantity to which a line is fitted.
 pub(super) struct Quantity {
-    /// Whose figure it is.
+    /// Component that has the cost: mixers, discovery or the fleet.
     pub(super) role: &'static str,
-    /// Its name, with the unit.
+    /// Name with the unit.
     pub(super) name: &'static str,
-    /// Whether it is a count, which a busy machine does not change.
+    /// Set for counts, which do not depend on the load of the machine.
     pub(super) is_count: bool,
-    /// Takes it from a point.
+    /// Function that calculates the quantity.
     pub(super) of: FigureOf,
 }
 
@@ -45,12 +43,13 @@
     f64::from(point.load.mixers)
 }
 
-/// How long changes were made (seconds).
+/// Returns the planned length of the period with changes (seconds).
 pub(super) fn change_period_s(point: &Point) -> f64 {
     changes(point) / point.load.changes_per_s
 }
 
-/// A change reaches a mixer as one answer, and the mixer asks again: two messages. Renewals of watches come beside them.
+/// Returns the messages that changes cause: for each answer with changes, the answer and the next call of the mixer. Renewals of
+/// timed out watches are not counted.
 pub(super) fn change_messages(point: &Point) -> f64 {
     2.0 * point.change.change_answers as f64
 }
--- a/crates/wharfhub-testbed/src/experiments/soak.rs
+++ b/crates/wharfhub-testbed/src/experiments/soak.rs
@@ -1,4 +1,4 @@
-//! The randomized fault soak: real daemons under faults that overlap in time, judged from outside, over many seeds.
+//! Randomized fault soak over many seeds: real daemons under overlapping faults, checked by what crosses their sockets.
 
 use super::{ExperimentError, Options, Verdict};
 use crate::report::Table;
@@ -8,19 +8,19 @@
 use std::io;
 use std::path::Path;
 
-/// Soaks of a full run, one after the other.
+/// Number of seeds of a full run.
 const SEEDS: u64 = 20;
-/// Soaks of a quick one.
+/// Number of seeds of a quick run.
 const QUICK_SEEDS: u64 = 3;
-/// The part of the experiment that plays its first seed alone, at full size.
+/// Name of the part that runs only the first seed, at full size.
 const ONE_SEED: &str = "one";
-/// In the quiet time at the end at least this share is served.
+/// Smallest share of requests served in the period without faults at the end.
 const MIN_SERVED_AT_THE_END: f64 = 0.9;
-/// Broken rules that are printed of each soak.
+/// Number of violations printed for each seed.
 const MAX_PRINTED: usize = 8;
-/// Lines of the mixers' logs that are printed of a soak with broken rules.
+/// Number of log lines of the mixers printed for each seed with violations.
 const MAX_PRINTED_LOG_LINES: usize = 40;
-/// What such a line contains: what a mixer found of its own acts, and when it was stopped.
+/// Texts of the log lines that are printed: the mixers' own invariant checks, and process pauses.
 const PRINTED_LOG_TEXTS: [&str; 3] = [
     "invariant violated",
     "invariant undecided",
@@ -66,7 +66,7 @@
     }
 }
 
-/// Prints what the mixers found of their own acts: the folder with their logs does not outlive a run in CI.
+/// Prints the log lines about invariants and process pauses, because a CI run does not keep the directory with the logs.
 fn print_log_lines(folder: &Path) -> io::Result<()> {
     let mut lines = Vec::new();
     for entry in std::fs::read_dir(folder)? {
@@ -81,7 +81,7 @@
         println!("{line}");
     }
     if lines.len() > MAX_PRINTED_LOG_LINES {
-        println!("  and {} lines more", lines.len() - MAX_PRINTED_LOG_LINES);
+        println!("  and {} more lines", lines.len() - MAX_PRINTED_LOG_LINES);
     }
     Ok(())
 }
--- a/crates/wharfhub-testbed/src/experiments/tail.rs
+++ b/crates/wharfhub-testbed/src/experiments/tail.rs
@@ -1,7 +1,8 @@
-//! The tail of 180 answers: what slow leaf servers do to the share of queries in time, and what hedged requests cost.
+//! Tail experiment: the share of queries of 180 parts in time with slow leaf servers, and the cost of hedged requests.
 //!
-//! One mixer at its planned rate in virtual time: 180 partitions with 29 holders each, 163 queries of 180 parts a second.
-//! Nothing here depends on the machine. The mixer is told that it is alone, so it may send more copies than one of 860.
+//! One mixer runs at its planned rate in virtual time: 180 partitions with 29 holders each, 163 queries of 180 parts per second.
+//! The results do not depend on the machine. The settings state a single mixer, which may therefore send more hedged requests than
+//! one of 860.
 
 use super::data_path::{scenario_with_holders, PLANNED_HOLDERS};
 use super::{parallel, ExperimentError, Options, Verdict};
@@ -10,15 +11,16 @@
 use crate::tally;
 use crate::world;
 
-/// Slow leaf servers of 5,220: none, one, one in a thousand, one in a hundred. The quick run plays one in a thousand alone.
+/// Numbers of slow leaf servers among 5,220: none, one, one in a thousand, one in a hundred. The quick run has only one in a
+/// thousand.
 const SLOW_SERVERS: [u32; 4] = [0, 1, 5, 52];
-/// A slow server takes so many times as long: far over the latency target.
+/// Factor by which a slow server is slower; its answers miss the latency target by far.
 const SLOW_FACTOR: f64 = 25.0;
 /// Length of a scenario in the full and in the quick run (seconds).
 const SECONDS: (f64, f64) = (10.0, 3.0);
-/// So many of the queries have to be in time with hedged requests and one slow server in a thousand.
+/// Smallest share of queries in time with hedged requests and one slow server in a thousand.
 const MIN_IN_TIME: f64 = 0.99;
-const JUDGED_SLOW_SERVERS: u32 = 5;
+const CHECKED_SLOW_SERVERS: u32 = 5;
 
 #[derive(Clone, Copy)]
 struct Case {
@@ -46,7 +48,7 @@
 pub fn run(options: &Options) -> Verdict {
     let cases: Vec<Case> = SLOW_SERVERS
         .iter()
-        .filter(|slow_servers| !options.quick || **slow_servers == JUDGED_SLOW_SERVERS)
+        .filter(|slow_servers| !options.quick || **slow_servers == CHECKED_SLOW_SERVERS)
         .flat_map(|slow_servers| {
             [true, false].map(|hedging| Case {
                 slow_servers: *slow_servers,
@@ -92,9 +94,9 @@
                 .iter()
                 .map(|what| format!("broken: {what}")),
         );
-        if case.hedging && case.slow_servers == JUDGED_SLOW_SERVERS && in_time < MIN_IN_TIME {
+        if case.hedging && case.slow_servers == CHECKED_SLOW_SERVERS && in_time < MIN_IN_TIME {
             shortfalls.push(format!(
-                "{in_time:.4} in time with one slow server in a thousand"
+                "only {in_time:.4} of the queries in time with one slow server in a thousand"
             ));
         }
     }
--- a/crates/wharfhub-testbed/src/experiments/two_phase.rs
+++ b/crates/wharfhub-testbed/src/experiments/two_phase.rs
@@ -1,7 +1,7 @@
-//! Queries in two phases, on and off side by side: the work of leaf servers and the service of clients.
+//! Two-phase experiment: the work of leaf servers and the service of clients with two-phase queries on and off.
 //!
-//! In virtual time every cell plays the same scenarios, query for query, with phases on and off; differences are taken scenario
-//! by scenario. The verdict rests on the latency objectives.
+//! In virtual time every cell runs the same scenarios with phases on and off, with the same queries, and compares them pair by
+//! pair. The criteria are the limits of saved work and of lost service below.
 
 use super::{parallel, ExperimentError, Options, Verdict};
 use crate::report::{chart, Estimate, Line, Table};
@@ -16,22 +16,22 @@
 const LOADS: [f64; 2] = [0.7, 1.3];
 const SITUATIONS: [&str; 3] = ["calm", "all slow", "quarter dead"];
 const AREA_SEARCH: usize = 0;
-/// Seeds of a cell.
+/// Number of seeds of a cell in the full and in the quick run, and the factor for cells where all parts match.
 const SEEDS: (u64, u64) = (20, 4);
 const FULL_MATCH_SEED_FACTOR: u64 = 5;
-/// Length of a scenario (seconds).
+/// Length of a scenario in the full and in the quick run (seconds).
 const SCENARIO_S: (f64, f64) = (60.0, 30.0);
-/// All slow together: so many times, over this share of the scenario.
+/// Factor by which all leaf servers are slower, and the start and end of the faults as shares of the scenario.
 const SLOWDOWN: (f64, f64, f64) = (1.7, 0.35, 0.75);
-/// Aims: work saved at a quarter matching; service lost at most; service gained when all are slow at load 1.3; more work at
-/// most where all matches.
+/// Criteria: work saved for each answer where a quarter of the parts match; loss of service in any cell; gain of service where all
+/// leaf servers are slow at load 1.3; additional work where all parts match.
 const MIN_WORK_SAVED: f64 = 0.45;
 const MAX_SERVICE_LOSS: f64 = 0.005;
 const MIN_SERVICE_GAIN: f64 = 0.05;
 const MAX_EXTRA_WORK: f64 = 0.03;
 
-/// The shortfalls scenario on sockets: its length, the time before it begins (seconds), its load, its seeds, how near it comes to
-/// virtual time, and how much longer its time limits are (seconds).
+/// Scenario on sockets: its length and the time before its start (seconds), its load, its seeds in the full and in the quick run,
+/// the largest difference of service from virtual time, and the tolerance added to the time limits of the rules (seconds).
 const REAL_S: f64 = 14.0;
 const START_DELAY_S: f64 = 1.0;
 const REAL_LOAD: f64 = 0.7;
@@ -39,10 +39,10 @@
 const MAX_SERVICE_DIFFERENCE: f64 = 0.05;
 const TIME_TOLERANCE_S: f64 = 0.05;
 
-/// Broken rules that are printed, at most.
+/// Number of violations that are printed.
 const MAX_PRINTED: usize = 20;
 
-/// The operators' setting that is measured.
+/// Setting that enables two-phase queries.
 pub const PHASES: &str = "{\"classes\":[\"area-search\"]}";
 
 #[derive(Clone, Copy, Debug)]
@@ -53,7 +53,7 @@
     pre_check_first: bool,
 }
 
-/// What one scenario gave, off and on.
+/// Results of one scenario, with phases off and on.
 struct Pair {
     service: [f64; 2],
     area_work: [f64; 2],
@@ -83,7 +83,7 @@
     }
 }
 
-fn pair(cell: &Cell, seed: u64, quick: bool) -> Result<Pair, ExperimentError> {
+fn run_pair(cell: &Cell, seed: u64, quick: bool) -> Result<Pair, ExperimentError> {
     let off = scenario(cell, seed, quick);
     let on = Scenario {
         phases: Some(PHASES.into()),
@@ -104,7 +104,7 @@
     })
 }
 
-/// What a shortfalls scenario on sockets gave.
+/// Results of a scenario on sockets.
 struct SocketRun {
     service: f64,
     area_work_per_answer: f64,
@@ -115,8 +115,8 @@
     load_delay_ms: f64,
 }
 
-/// Plays a scenario on sockets: stand-ins, the daemon's processes, clients.
-fn play_real(scenario: &Scenario) -> Result<SocketRun, ExperimentError> {
+/// Runs a scenario on sockets, with stand-in leaf servers, daemon processes and clients.
+fn run_on_sockets(scenario: &Scenario) -> Result<SocketRun, ExperimentError> {
     let program = daemon::program()?;
     let shared = Arc::new(Shared {
         queries: scenario.queries(),
@@ -168,11 +168,11 @@
     })
 }
 
-/// The same scenarios on sockets and in virtual time. Scenarios run side by side: none of them fills a core.
+/// Runs the same scenarios on sockets and in virtual time. Scenarios run in parallel, because each uses less than a core.
 fn run_real(options: &Options) -> Verdict {
     let scenarios = real_scenarios(options);
     let played = parallel(&scenarios, |scenario| {
-        Ok::<_, ExperimentError>((play_real(scenario)?, world::play(scenario)?))
+        Ok::<_, ExperimentError>((run_on_sockets(scenario)?, world::play(scenario)?))
     });
     let mut comparison = Comparison::new();
     for (scenario, played) in scenarios.iter().zip(played) {
@@ -182,7 +182,7 @@
     comparison.finish(options)
 }
 
-/// Short scenarios with all servers slow for a while, each without and with phases.
+/// Returns short scenarios in which all servers are slow for a while, each with phases off and on.
 fn real_scenarios(options: &Options) -> Vec<Scenario> {
     let seeds = if options.quick {
         REAL_SEEDS.1
@@ -213,18 +213,18 @@
     scenarios
 }
 
-/// The work for each answer of a scenario, on sockets and in virtual time.
+/// Work for each answer of a scenario, on sockets and in virtual time.
 struct WorkPerAnswer {
     real: f64,
     simulated: f64,
 }
 
-/// Sockets against virtual time. What is by phases stands at 0 for off and 1 for on.
+/// Comparison of sockets with virtual time. Arrays by phases have index 0 for off and 1 for on.
 struct Comparison {
     table: Table,
     differences: [Vec<f64>; 2],
     work_per_answer: [Vec<WorkPerAnswer>; 2],
-    /// How late the load was at most (milliseconds).
+    /// Longest delay of the load generator (p99 of a scenario, milliseconds).
     load_delay_ms: f64,
     shortfalls: Vec<String>,
 }
@@ -286,26 +286,29 @@
             );
             if difference.mean.abs() > MAX_SERVICE_DIFFERENCE {
                 let mean = difference.mean;
-                self.shortfalls
-                    .push(format!("service differs by {mean:.3} (phases {name})"));
+                self.shortfalls.push(format!(
+                    "service on sockets differs from virtual time by {mean:.3} (phases {name})"
+                ));
             }
         }
         let [off, on] = &self.work_per_answer;
         for (index, (off, on)) in off.iter().zip(on).enumerate() {
             if (off.real > on.real) != (off.simulated > on.simulated) {
-                let day = index + 1;
+                let number = index + 1;
                 self.shortfalls
-                    .push(format!("work saved has another sign on day {day}"));
+                    .push(format!("saved work has another sign on sockets than in virtual time in scenario {number}"));
             }
         }
         let load_delay_ms = self.load_delay_ms;
-        println!("the load itself was late by {load_delay_ms:.1} ms at most (p99 of a day)");
+        println!(
+            "the load generator was late by at most {load_delay_ms:.1} ms (p99 of a scenario)"
+        );
         self.table.save(&options.out.join("two-phase-real.csv"))?;
         Ok((!self.shortfalls.is_empty()).then(|| self.shortfalls.join("; ")))
     }
 }
 
-/// Plays the cells in virtual time, or a few scenarios on sockets too, and says what falls shortfalls.
+/// Runs the cells in virtual time, or with `real` some scenarios on sockets and in virtual time.
 pub fn run(options: &Options) -> Verdict {
     if options.real {
         return run_real(options);
@@ -317,7 +320,7 @@
         .flat_map(|cell| (0..cell.seeds(quick)).map(|number| (*cell, options.seed + number)))
         .collect();
     let pairs: Result<Vec<Pair>, ExperimentError> =
-        parallel(&jobs, |(cell, seed)| pair(cell, *seed, quick))
+        parallel(&jobs, |(cell, seed)| run_pair(cell, *seed, quick))
             .into_iter()
             .collect();
     let pairs = pairs?;
@@ -332,7 +335,7 @@
 }
 
 impl Cell {
-    /// Scenarios that it plays. Where phases hardly play a part, their small price takes more to tell from chance.
+    /// Returns the number of seeds. Where all parts match, the small cost of phases needs more seeds to be significant.
     fn seeds(&self, quick: bool) -> u64 {
         let seeds = if quick { SEEDS.1 } else { SEEDS.0 };
         if self.selectivity >= 1.0 && !quick {
@@ -353,7 +356,7 @@
                 load,
                 pre_check_first: true,
             }));
-            // Leaf servers where pre-checks wait their turn.
+            // Leaf servers that queue pre-checks behind other jobs.
             cells.push(Cell {
                 selectivity: 0.25,
                 situation,
@@ -365,15 +368,15 @@
     cells
 }
 
-/// The scenarios of a cell, on less off.
+/// Results of a cell; gains and savings compare phases on with phases off.
 struct CellResult {
     service_off: Estimate,
     service_on: Estimate,
     gain: Estimate,
     work_saved: Estimate,
-    /// Work saved for each answer.
+    /// Share of the work for each answer that is saved.
     work_saved_per_answer: Estimate,
-    /// Pre-checks without a match, of all.
+    /// Share of pre-checks without a match.
     pruned_share: f64,
 }
 
@@ -396,33 +399,34 @@
         }
     }
 
-    /// What misses the objectives of a cell, which `at` names.
+    /// Returns the criteria that a cell misses, as text; `at` names the cell.
     fn shortfalls(&self, cell: &Cell, at: &str) -> Vec<String> {
         let mut shortfalls = Vec::new();
         let (gain, saved, per_answer) = (&self.gain, &self.work_saved, &self.work_saved_per_answer);
-        // Below by chance alone is no loss: the interval has to lie below.
+        // Only a loss whose whole confidence interval is below the limit counts.
         if gain.mean + gain.half_width < -MAX_SERVICE_LOSS {
-            shortfalls.push(format!("service {} at {at}", gain.text(4)));
+            shortfalls.push(format!("service changed by {} at {at}", gain.text(4)));
         }
-        // Leaf servers that are full do as much as they can either way, and answer more with phases: work counts by answer.
+        // Saturated leaf servers do the same work with and without phases but answer more queries with them, so that the work for
+        // each answer is compared.
         let is_quarter = cell.selectivity == 0.25 && cell.pre_check_first;
         if is_quarter && per_answer.mean < MIN_WORK_SAVED {
             shortfalls.push(format!(
-                "work saved each answer {:.3} at {at}",
+                "work saved for each answer is {:.3} at {at}",
                 per_answer.mean
             ));
         }
         if is_quarter && cell.situation == 1 && cell.load > 1.0 && gain.mean < MIN_SERVICE_GAIN {
-            shortfalls.push(format!("service gained {:.4} at {at}", gain.mean));
+            shortfalls.push(format!("service gained is {:.4} at {at}", gain.mean));
         }
         if cell.selectivity == 1.0 && saved.mean < -MAX_EXTRA_WORK {
-            shortfalls.push(format!("work saved {:.3} at {at}", saved.mean));
+            shortfalls.push(format!("work saved is {:.3} at {at}", saved.mean));
         }
         shortfalls
     }
 }
 
-/// What all cells gave: a table, lines of two charts, and what falls shortfalls.
+/// Table, chart lines and missed criteria of all cells.
 struct Report {
     table: Table,
     service: Vec<Line>,
@@ -465,7 +469,7 @@
         let order = if cell.pre_check_first {
             ""
         } else {
-            ", words in turn"
+            ", pre-checks queued"
         };
         let at = format!("{name}, matching {}{order}", cell.selectivity);
         let gain = &result.gain;
@@ -512,11 +516,11 @@
         }
     }
 
-    /// Prints and saves everything.
+    /// Prints and saves the results.
     fn finish(mut self, options: &Options) -> Verdict {
         print!("{}", self.table.text());
         for what in &self.unproven {
-            println!("not proved to lose no more than {MAX_SERVICE_LOSS}: {what}");
+            println!("loss of service above {MAX_SERVICE_LOSS} not ruled out: {what}");
         }
         self.table.save(&options.out.join("two-phase.csv"))?;
         let x = "share of parts that match";
--- a/crates/wharfhub-testbed/src/fit.rs
+++ b/crates/wharfhub-testbed/src/fit.rs
@@ -1,35 +1,32 @@
-//! Least squares: a measured cost as a polynomial of the size it was measured at.
-//!
-//! This file owns the fit, its residual and its predictions. It must never choose the points that it is given, and never
-//! judge the result.
+//! Least-squares fit of a measured cost to a polynomial of the size.
 
-/// A pivot this small means that the points do not determine the polynomial.
-const MIN_PIVOT: f64 = 1e-12;
+/// Pivots up to this value mean that the points do not determine the polynomial.
+const MAX_SINGULAR_PIVOT: f64 = 1e-12;
 
-/// A measured cost at a size.
+/// Measured point.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Point {
-    /// The size.
+    /// Size of the measured object, for example the number of parts of a query.
     pub size: f64,
-    /// The cost; above 0.
+    /// Measured cost; must be above 0.
     pub cost: f64,
 }
 
-/// A polynomial through measured points, the constant term first.
+/// Polynomial fitted to measured points.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Polynomial {
-    /// Its coefficients, by rising power of the size.
+    /// Coefficients by ascending power of the size, the constant term first.
     pub coefficients: Vec<f64>,
-    /// The largest distance of a fitted point from it, as a share of that point's cost.
+    /// Largest relative error of a fitted point.
     pub residual: f64,
 }
 
 impl Polynomial {
-    /// Fits a polynomial of this degree so that the sum of squared relative errors is least; none where the points do
-    /// not determine it.
+    /// Fits a polynomial of the given degree by least squares of the relative errors. Returns `None` if the points do not
+    /// determine it.
     pub fn fit(degree: usize, points: &[Point]) -> Option<Polynomial> {
         let unknowns = degree + 1;
-        // The normal equations, the right-hand side as the last column. Every point weighs by its relative error.
+        // Normal equations with the right-hand side in the last column. Dividing by the cost makes the errors relative.
         let mut rows = vec![vec![0.0; unknowns + 1]; unknowns];
         for point in points {
             let powers: Vec<f64> = (0..unknowns)
@@ -54,7 +51,7 @@
         Some(fitted)
     }
 
-    /// The cost at a size.
+    /// Returns the cost at a size.
     pub fn at(&self, size: f64) -> f64 {
         self.coefficients
             .iter()
@@ -62,13 +59,14 @@
             .fold(0.0, |sum, coefficient| sum * size + coefficient)
     }
 
-    /// How far a measured point lies from the polynomial, as a share of the measured cost.
+    /// Returns the error of the polynomial at a measured point, relative to the measured cost.
     pub fn relative_error(&self, point: Point) -> f64 {
         (self.at(point.size) / point.cost - 1.0).abs()
     }
 }
 
-/// Solves linear equations, the right-hand side in the last column, by elimination with row pivots.
+/// Solves linear equations, whose right-hand side is the last column, by Gauss-Jordan elimination with partial pivoting. Returns
+/// `None` for a singular system.
 fn solve(mut rows: Vec<Vec<f64>>) -> Option<Vec<f64>> {
     let unknowns = rows.len();
     for index in 0..unknowns {
@@ -76,7 +74,7 @@
             .max_by(|a, b| rows[*a][index].abs().total_cmp(&rows[*b][index].abs()))?;
         rows.swap(index, pivot);
         let pivot_row = rows[index].clone();
-        if pivot_row[index].abs() <= MIN_PIVOT {
+        if pivot_row[index].abs() <= MAX_SINGULAR_PIVOT {
             return None;
         }
         for (_, row) in rows
--- a/crates/wharfhub-testbed/src/fit/tests.rs
+++ b/crates/wharfhub-testbed/src/fit/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_polynomial_is_found_again_from_its_points() {
+fn a_polynomial_is_recovered_from_its_points() {
     let law = |size: f64| 40.0 + 18.0 * size + 0.36 * size * size;
     let fitted = Polynomial::fit(2, &points(law)).expect("four points determine a parabola");
     assert!((fitted.at(45.0) / law(45.0) - 1.0).abs() < 1e-6);
@@ -18,13 +18,13 @@
 }
 
 #[test]
-fn a_line_through_a_parabola_shows_its_residual() {
+fn a_line_fitted_to_a_parabola_has_a_large_residual() {
     let fitted = Polynomial::fit(1, &points(|size| 10.0 + size * size)).expect("a line");
     assert!(fitted.residual > 0.25);
 }
 
 #[test]
-fn too_few_points_give_no_fit() {
+fn too_few_points_return_no_fit() {
     let one = [Point {
         size: 4.0,
         cost: 2.0,
--- a/crates/wharfhub-testbed/src/fleet/queries.rs
+++ b/crates/wharfhub-testbed/src/fleet/queries.rs
@@ -73,7 +73,7 @@
     }
 
     /// Runs the scenario's load to its end and checks the rules.
-    pub fn play(&self) -> QueryOutcome {
+    pub fn run(&self) -> QueryOutcome {
         let addresses = self.daemons.iter().map(|daemon| daemon.address).collect();
         let load = load::play(&self.shared, addresses);
         let requests = lock(&load.tally).requests;
--- a/crates/wharfhub-testbed/src/journal.rs
+++ b/crates/wharfhub-testbed/src/journal.rs
@@ -1,7 +1,6 @@
-//! The journal of the operators' bench as a table and a chart: what each scored scenario gave, run by run.
+//! Table and chart of the operators' benchmark journal: the scores of each scenario, run by run.
 //!
-//! This file owns the reading of those entries. It must never write to the journal, nor leave out a run of the kind that
-//! was asked for.
+//! The journal is only read, and every run that matches is shown, failed ones included.
 
 use crate::experiments::ExperimentError;
 use crate::report::{chart, Estimate, Line, Table};
@@ -38,7 +37,7 @@
     min_served: Option<f64>,
 }
 
-/// Columns of the table, a row for each scored scenario.
+/// Columns of the table, which has a row for each scored scenario.
 const COLUMNS: [&str; 10] = [
     "at",
     "commit",
@@ -52,8 +51,8 @@
     "why",
 ];
 
-/// Reads the journal's runs of the command `cmd` whose scenarios have `kind` in their names, and writes `NAME.csv` and
-/// `NAME.svg` of them.
+/// Reads the runs of the command `cmd` with scenarios whose names contain `kind`, prints them as a table, and writes `NAME.csv` and
+/// `NAME.svg`.
 pub fn show(
     journal: &Path,
     cmd: &str,
@@ -93,7 +92,7 @@
     )?)
 }
 
-/// The journal's files, in order of time.
+/// Returns the journal's files, sorted by name and thereby by time.
 fn entry_files(journal: &Path) -> Result<Vec<PathBuf>, ExperimentError> {
     let mut files: Vec<PathBuf> = std::fs::read_dir(journal)?
         .map(|entry| entry.map(|entry| entry.path()))
@@ -106,7 +105,7 @@
 fn read_entry(path: &Path) -> Result<Entry, ExperimentError> {
     let text = std::fs::read_to_string(path)?;
     json::from_str(&text).map_err(|_| {
-        ExperimentError::Other(format!("{}: is no entry of the journal", path.display()))
+        ExperimentError::Other(format!("cannot parse journal entry {}", path.display()))
     })
 }
 
@@ -121,7 +120,7 @@
     scenarios
 }
 
-/// The cells of a scenario, in the order of [`COLUMNS`].
+/// Returns the cells of a scenario in the order of [`COLUMNS`].
 fn row_of(entry: &Entry, scenario: &ScenarioEntry) -> Vec<String> {
     let decimals = |value: Option<f64>| value.map_or("-".into(), |value| format!("{value:.3}"));
     let metrics = entry.metrics.as_ref();
@@ -146,7 +145,7 @@
     ]
 }
 
-/// The line of that name, which begins empty.
+/// Returns the line with a name, which is added if it does not exist.
 fn line_named(lines: &mut Vec<Line>, name: String) -> &mut Line {
     let index = lines
         .iter()
--- a/crates/wharfhub-testbed/src/lib.rs
+++ b/crates/wharfhub-testbed/src/lib.rs
@@ -1,6 +1,6 @@
-//! The laboratory of wharfhub: an emulator in virtual time, stand-ins on loopback sockets, load and experiments.
+//! Testbed of wharfhub: an emulator in virtual time, stand-ins on loopback sockets, load generators and experiments.
 //!
-//! Nothing of the daemon depends on it.
+//! The daemon does not depend on this crate.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/wharfhub-testbed/src/main.rs
+++ b/crates/wharfhub-testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the testbed. It owns the sub-commands; it must hold no experiment.
+//! Command line of the testbed.
 
 #![forbid(unsafe_code)]
 
@@ -25,57 +25,57 @@
     Host(Host),
 }
 
-/// name all experiments
+/// list all experiments
 #[derive(FromArgs)]
 #[argh(subcommand, name = "list")]
 struct List {}
 
-/// run an experiment; it ends with `result: NAME ok` or `result: NAME short: REASON`
+/// run an experiment; the last line is `result: NAME ok` or `result: NAME short: REASON`
 #[derive(FromArgs)]
 #[argh(subcommand, name = "run")]
 struct Run {
-    /// which
+    /// name of the experiment
     #[argh(positional)]
     name: String,
-    /// a shorter form, within 40 s
+    /// run a shorter form, within 40 s
     #[argh(switch)]
     quick: bool,
-    /// on sockets, against the daemon, where the experiment can
+    /// run on sockets against the daemon, if the experiment supports this
     #[argh(switch)]
     real: bool,
-    /// only this part of it, where the experiment has parts
+    /// run only this part, if the experiment has parts
     #[argh(option)]
     part: Option<String>,
-    /// the first seed (1)
+    /// first seed (default: 1)
     #[argh(option, default = "1")]
     seed: u64,
-    /// where tables and charts go (found)
+    /// directory for tables and charts (default: found)
     #[argh(option, default = "PathBuf::from(\"found\")")]
     out: PathBuf,
 }
 
-/// run hollow mixers for a parent that says what on standard input; ends with that input
+/// run hollow mixers for a parent process that sends the setup on standard input; exits when that input is closed
 #[derive(FromArgs)]
 #[argh(subcommand, name = "host")]
 struct Host {}
 
-/// the bench's journal as a table and a chart
+/// show the benchmark journal as a table and a chart
 #[derive(FromArgs)]
 #[argh(subcommand, name = "journal")]
 struct Journal {
-    /// where it is (journal)
+    /// directory of the journal (default: journal)
     #[argh(option, default = "PathBuf::from(\"journal\")")]
     from: PathBuf,
-    /// the bench's command (real-score)
+    /// benchmark command of the runs (default: real-score)
     #[argh(option, default = "String::from(\"real-score\")")]
     command: String,
-    /// what the scenarios' names have in common
+    /// text that the names of the scenarios contain
     #[argh(option)]
     scenarios: String,
-    /// the name of the files that are written
+    /// name of the written files, without extension
     #[argh(option)]
     name: String,
-    /// where they go (found)
+    /// directory of the written files (default: found)
     #[argh(option, default = "PathBuf::from(\"found\")")]
     out: PathBuf,
 }
@@ -124,7 +124,7 @@
     };
     let Some(experiment) = ALL.iter().find(|experiment| experiment.name == run.name) else {
         eprintln!(
-            "wharfhub-testbed: there is no experiment {:?}; `list` names them",
+            "wharfhub-testbed: unknown experiment {:?}; `list` shows all names",
             run.name
         );
         return ExitCode::FAILURE;
--- a/crates/wharfhub-testbed/src/report.rs
+++ b/crates/wharfhub-testbed/src/report.rs
@@ -1,7 +1,4 @@
-//! Tables, charts and intervals of experiments.
-//!
-//! This file owns how results are shown: a table in text, the same as CSV, and charts as SVG. It must never change a
-//! figure, and never decide what is good enough.
+//! Output of experiments: tables as text and CSV, charts as SVG, and means with confidence intervals.
 
 use plotters::prelude::*;
 use statrs::distribution::{ContinuousCDF, StudentsT};
@@ -9,30 +6,30 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why a result could not be shown.
+/// Error of writing a result.
 #[derive(Debug, Error)]
 pub enum ReportError {
     /// A file could not be written.
     #[error("cannot write {path}: {reason}")]
     Write {
-        /// Which.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Cause.
         reason: String,
     },
 }
 
-/// A mean and half the width of its 95% interval.
+/// Mean with its 95% confidence interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
-    /// The mean.
+    /// Arithmetic mean of the values.
     pub mean: f64,
-    /// Half the width; without end where there is one value or none.
+    /// Half the width of the interval; infinite for fewer than two values.
     pub half_width: f64,
 }
 
 impl Estimate {
-    /// By Student's t, from independent values.
+    /// Computes the mean and, by Student's t-distribution, the interval of independent values.
     pub fn of(values: &[f64]) -> Estimate {
         let count = values.len() as f64;
         let mean = values.iter().sum::<f64>() / count.max(1.0);
@@ -55,7 +52,7 @@
         }
     }
 
-    /// As text, with so many decimals.
+    /// Formats the mean and the interval with the given number of decimals.
     pub fn text(&self, decimals: usize) -> String {
         if self.half_width.is_finite() {
             format!("{:.decimals$} ± {:.decimals$}", self.mean, self.half_width)
@@ -65,14 +62,14 @@
     }
 }
 
-/// A table.
+/// Table of text cells.
 pub struct Table {
     columns: Vec<String>,
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// An empty one.
+    /// Creates a table without rows.
     pub fn new(columns: &[&str]) -> Table {
         Table {
             columns: columns.iter().map(|column| column.to_string()).collect(),
@@ -80,12 +77,12 @@
         }
     }
 
-    /// Another row; as many cells as columns.
+    /// Adds a row, which must have as many cells as there are columns.
     pub fn add_row(&mut self, cells: Vec<String>) {
         self.rows.push(cells);
     }
 
-    /// As text that is Markdown too.
+    /// Formats the table as Markdown with aligned columns.
     pub fn text(&self) -> String {
         let width = |index: usize| {
             let cells = self
@@ -121,7 +118,7 @@
         text
     }
 
-    /// Writes it as CSV.
+    /// Writes the table to a CSV file.
     pub fn save(&self, path: &Path) -> Result<(), ReportError> {
         let failed = |error: csv::Error| ReportError::Write {
             path: path.into(),
@@ -136,15 +133,15 @@
     }
 }
 
-/// A line of a chart: its name, and points with the half width of their intervals.
+/// Line of a chart.
 pub struct Line {
-    /// Its name.
+    /// Name in the legend.
     pub name: String,
-    /// Its points.
+    /// Points as `x` and the estimate of `y`.
     pub points: Vec<(f64, Estimate)>,
 }
 
-/// Draws lines with their intervals. Axes may be logarithmic along.
+/// Draws lines with confidence intervals to an SVG file; with `log_x`, the x axis is logarithmic.
 pub fn chart(
     path: &Path,
     title: &str,
@@ -157,7 +154,7 @@
         reason,
     };
     let Some(bounds) = Bounds::of(lines, log_x) else {
-        return Err(failed("there is nothing to draw".into()));
+        return Err(failed("the chart has no points".into()));
     };
     let drawing = Drawing {
         title,
@@ -170,7 +167,7 @@
     drawn.map_err(failed)
 }
 
-/// Where a point lies along.
+/// Returns the position of `x` on the x axis.
 fn x_position(x: f64, log_x: bool) -> f64 {
     if log_x {
         x.log10()
@@ -179,7 +176,7 @@
     }
 }
 
-/// Half of an interval, where it has an end.
+/// Returns the half width of an interval, or 0 if it is infinite.
 fn finite_half_width(estimate: &Estimate) -> f64 {
     if estimate.half_width.is_finite() {
         estimate.half_width
@@ -188,14 +185,14 @@
     }
 }
 
-/// What a chart shows of each axis, with a margin.
+/// Ranges of the axes, with a margin.
 struct Bounds {
     x: std::ops::Range<f64>,
     y: std::ops::Range<f64>,
 }
 
 impl Bounds {
-    /// None where there is no point.
+    /// Returns the ranges that contain all points and intervals, or `None` without points.
     fn of(lines: &[Line], log_x: bool) -> Option<Bounds> {
         let points = || lines.iter().flat_map(|line| &line.points);
         points().next()?;
@@ -226,7 +223,7 @@
     }
 }
 
-/// A chart before it is drawn.
+/// Contents of a chart.
 struct Drawing<'a> {
     title: &'a str,
     labels: (&'a str, &'a str),
--- a/crates/wharfhub-testbed/src/report/tests.rs
+++ b/crates/wharfhub-testbed/src/report/tests.rs
@@ -1,9 +1,7 @@
-//! Tests of report.rs that need its privates.
-
 use super::*;
 
 #[test]
-fn an_interval_is_that_of_students_t() {
+fn the_confidence_interval_follows_students_t_distribution() {
     let estimate = Estimate::of(&[1.0, 2.0, 3.0, 4.0]);
     assert!((estimate.mean - 2.5).abs() < 1e-12);
     // t(3, 0.975) = 3.182446, s = 1.290994.
--- a/crates/wharfhub-testbed/src/tally.rs
+++ b/crates/wharfhub-testbed/src/tally.rs
@@ -1,88 +1,89 @@
-//! How a scenario went: service by the brief's counting, and work.
+//! Results of a scenario: the service that clients got, and the work of leaf servers.
 //!
-//! This file owns the sums. Service mixes the whole scenario, its worst 10 s, the worst class and the worst brand; what is
-//! late or wasted comes off. Worth counts by query or in proportion to its work, a client's tries as one.
+//! Service is a weighted mean of the earned shares of the whole scenario, its worst window of 10 s, the worst class and the worst
+//! tenant, less penalties for late failures and wasted work. Queries are weighted equally or by their work, and the requests that a
+//! client sends for one query count once.
 
 use crate::site::{Goal, Query, Scenario};
 
 const WINDOW_S: f64 = 10.0;
-/// What an answer in part earns of its share.
+/// Factor on the earned weight of a partial answer.
 const PARTIAL_ANSWER_FACTOR: f64 = 0.9;
-/// A window of which less than this share of the scenario's mean was asked says nothing.
+/// Windows with less than this share of the mean requested weight are left out of the worst window.
 const MIN_WINDOW_SHARE: f64 = 0.3;
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Sum {
-    asked: f64,
+struct WeightSum {
+    requested: f64,
     earned: f64,
 }
 
-impl Sum {
-    fn add(&mut self, asked: f64, earned: f64) {
-        self.asked += asked;
+impl WeightSum {
+    fn add(&mut self, requested: f64, earned: f64) {
+        self.requested += requested;
         self.earned += earned;
     }
 
-    fn share(&self) -> f64 {
-        if self.asked > 0.0 {
-            self.earned / self.asked
+    fn earned_share(&self) -> f64 {
+        if self.requested > 0.0 {
+            self.earned / self.requested
         } else {
             1.0
         }
     }
 }
 
-/// The sums of one scenario.
+/// Sums over one scenario.
 #[derive(Clone, Debug)]
 pub struct Tally {
     goal: Goal,
-    complete: Sum,
-    windows: Vec<Sum>,
-    classes: Vec<Sum>,
-    tenants: Vec<Sum>,
+    overall: WeightSum,
+    windows: Vec<WeightSum>,
+    classes: Vec<WeightSum>,
+    tenants: Vec<WeightSum>,
     failed_late: f64,
     late: f64,
     unanswered: f64,
     asked_work_s: f64,
-    /// Queries answered, by class.
+    /// Number of queries answered, by class.
     pub answered: Vec<u64>,
     /// Work of leaf servers, by class (core seconds).
     pub work_s: Vec<f64>,
-    /// Of it, what went into answers that clients got (core seconds).
+    /// Part of that work that went into answers that clients received (core seconds).
     pub useful_work_s: f64,
-    /// Words of leaf servers that say that a part has no match, and that were part of an answer.
+    /// Number of parts of answers for which a pre-check found no match.
     pub pruned: u64,
-    /// Tries, and among them answered, in part, refused, failed and left.
+    /// Number of requests of clients by outcome, indexed by the constants below.
     pub requests: [u64; 6],
-    /// Attempts sent.
+    /// Number of attempts sent to leaf servers.
     pub attempts_sent: u64,
-    /// Attempts that pre-checked.
+    /// Number of attempts with a pre-check.
     pub prechecks: u64,
 }
 
-/// Places in [`Tally::requests`].
+/// Index in [`Tally::requests`] of all requests that clients sent.
 pub const TOTAL: usize = 0;
-/// Answered.
+/// Index of answered requests, partial answers included.
 pub const ANSWERED: usize = 1;
-/// Answered in part.
+/// Index of requests with a partial answer.
 pub const PARTIAL: usize = 2;
-/// Refused.
+/// Index of rejected requests.
 pub const REFUSED: usize = 3;
-/// Failed.
+/// Index of failed requests.
 pub const FAILED: usize = 4;
-/// Left by the client.
+/// Index of requests that the client abandoned.
 pub const CLIENT_LEFT: usize = 5;
 
 impl Tally {
-    /// A scenario of which nothing is known.
+    /// Creates the empty sums of a scenario.
     pub fn new(scenario: &Scenario) -> Tally {
         let windows = (scenario.seconds / WINDOW_S).ceil().max(1.0) as usize;
         Tally {
             goal: scenario.site.goal,
-            complete: Sum::default(),
-            windows: vec![Sum::default(); windows],
-            classes: vec![Sum::default(); scenario.site.classes.len()],
-            tenants: vec![Sum::default(); scenario.site.tenants.len()],
+            overall: WeightSum::default(),
+            windows: vec![WeightSum::default(); windows],
+            classes: vec![WeightSum::default(); scenario.site.classes.len()],
+            tenants: vec![WeightSum::default(); scenario.site.tenants.len()],
             failed_late: 0.0,
             late: 0.0,
             unanswered: 0.0,
@@ -97,8 +98,8 @@
         }
     }
 
-    /// A query is over, over all its requests: answered so long after it was first asked, from a share of its weight,
-    /// or not at all, and then it ended after so long.
+    /// Records the end of a query over all its requests. `answered` is the time from the first request to the answer (seconds) and
+    /// the answered share of the parts' weight; `ended_s` is the time from the first request to the end (seconds).
     pub fn record_query(
         &mut self,
         scenario: &Scenario,
@@ -107,7 +108,7 @@
         ended_s: f64,
     ) {
         let class = &scenario.site.classes[query.class];
-        let asked = class.priority_weight
+        let weight = class.priority_weight
             * if self.goal.by_work {
                 query.work_s()
             } else {
@@ -119,7 +120,7 @@
             } else {
                 PARTIAL_ANSWER_FACTOR * share
             };
-            asked
+            weight
                 * part
                 * if took_s <= class.latency_objective_s {
                     1.0
@@ -127,56 +128,56 @@
                     class.late_weight
                 }
         });
-        self.complete.add(asked, earned);
+        self.overall.add(weight, earned);
         let last = self.windows.len() - 1;
-        self.windows[((query.at / WINDOW_S) as usize).min(last)].add(asked, earned);
-        self.classes[query.class].add(asked, earned);
-        self.tenants[query.tenant].add(asked, earned);
+        self.windows[((query.at / WINDOW_S) as usize).min(last)].add(weight, earned);
+        self.classes[query.class].add(weight, earned);
+        self.tenants[query.tenant].add(weight, earned);
         self.asked_work_s += query.work_s();
         self.answered[query.class] += u64::from(answered.is_some());
         if answered.is_none() && ended_s > class.latency_objective_s {
-            self.failed_late += asked;
+            self.failed_late += weight;
         }
-        self.unanswered += if answered.is_none() { asked } else { 0.0 };
+        self.unanswered += if answered.is_none() { weight } else { 0.0 };
         self.late += if answered.is_some_and(|(took_s, _)| took_s > class.latency_objective_s) {
-            asked
+            weight
         } else {
             0.0
         };
     }
 
-    /// Of the worth asked for, the shares answered late and not at all.
+    /// Returns the shares of the requested weight that were answered late and not at all.
     pub fn late_and_unanswered_shares(&self) -> (f64, f64) {
-        let asked = self.complete.asked.max(1e-9);
-        (self.late / asked, self.unanswered / asked)
+        let requested = self.overall.requested.max(1e-9);
+        (self.late / requested, self.unanswered / requested)
     }
 
-    /// Worth earned over the worth asked for, of the whole scenario.
+    /// Returns the earned share of the requested weight over the whole scenario.
     pub fn in_time_share(&self) -> f64 {
-        self.complete.share()
+        self.overall.earned_share()
     }
 
-    /// Service, between 0 and 1.
+    /// Returns the service, which is 1 if every query is answered completely and in time and no work is wasted.
     pub fn service(&self) -> f64 {
-        let mean = self.complete.asked / self.windows.len() as f64;
-        let worst = |sums: &[Sum], min: f64| {
+        let mean = self.overall.requested / self.windows.len() as f64;
+        let worst = |sums: &[WeightSum], min: f64| {
             let all = sums
                 .iter()
-                .filter(|sum| sum.asked >= min && sum.asked > 0.0)
-                .map(Sum::share);
+                .filter(|sum| sum.requested >= min && sum.requested > 0.0)
+                .map(WeightSum::earned_share);
             all.fold(1.0, f64::min)
         };
-        let late = self.failed_late / self.complete.asked.max(1e-9);
-        let [complete, window, class, tenant] = self.goal.weights;
-        complete * self.complete.share()
+        let failed_late = self.failed_late / self.overall.requested.max(1e-9);
+        let [overall, window, class, tenant] = self.goal.weights;
+        overall * self.overall.earned_share()
             + window * worst(&self.windows, MIN_WINDOW_SHARE * mean)
             + class * worst(&self.classes, 0.0)
             + tenant * worst(&self.tenants, 0.0)
-            - self.goal.late_fail * late
+            - self.goal.late_fail * failed_late
             - self.goal.waste * self.waste()
     }
 
-    /// Work that no answer used, as a share of what was asked for.
+    /// Returns the work that no answer used, as a share of the work of all queries.
     pub fn waste(&self) -> f64 {
         let worked: f64 = self.work_s.iter().sum();
         (worked - self.useful_work_s).max(0.0) / self.asked_work_s.max(1e-9)
