--- a/crates/wharfhub-testbed/src/experiments/data_path.rs
+++ b/crates/wharfhub-testbed/src/experiments/data_path.rs
@@ -11,7 +11,7 @@
 use crate::daemon::{self, Daemon};
 use crate::fit::Point;
 use crate::load::{self, Load};
-use crate::report::{chart, Estimate, Line, Table};
+use crate::report::{draw_chart, Estimate, Line, Table};
 use crate::rules::Rules;
 use crate::site::{cardiff, Class, Fault, Layout, Part, Query, Scenario, Site};
 use crate::standin::{self, lock, Shared};
@@ -223,21 +223,22 @@
 fn broken_rules(shared: &Shared) -> Vec<String> {
     let mut rules = lock(&shared.rules);
     rules.over();
-    let undecided = |what: &&String| shared.scenario.site.attempts.1 && what.starts_with("ended: ");
+    let undecided =
+        |violation: &&String| shared.scenario.site.attempts.1 && violation.starts_with("ended: ");
     rules
         .broken
         .iter()
-        .filter(|what| !undecided(what))
-        .map(|what| format!("broken: {what}"))
+        .filter(|violation| !undecided(violation))
+        .map(|violation| format!("broken: {violation}"))
         .collect()
 }
 
 /// Returns whether a violation is about time limits. At the planned rate on a shared machine such a violation means that the
 /// daemon or the machine was overloaded, which the table shows, so it is printed and does not fail the experiment.
-fn is_about_time(finding: &str) -> bool {
+fn is_about_time(violation: &str) -> bool {
     ["broken: time: ", "broken: lost: "]
         .iter()
-        .any(|kind| finding.starts_with(kind))
+        .any(|kind| violation.starts_with(kind))
 }
 
 /// Measures the costs with one client in a closed loop, which sends queries of all sizes in each round.
@@ -349,7 +350,7 @@
         points: costs.iter().map(each).collect(),
     };
     let title = "CPU of the daemon a part";
-    chart(
+    draw_chart(
         &options.out.join("data-path.svg"),
         title,
         ("parts of a query", "µs"),
@@ -416,10 +417,10 @@
     let after = rig.daemon.usage()?;
     let (timing, others): (Vec<_>, Vec<_>) = broken_rules(&rig.shared)
         .into_iter()
-        .partition(|what| is_about_time(what));
+        .partition(|violation| is_about_time(violation));
     timing
         .iter()
-        .for_each(|what| println!("{}: {what}", case.name));
+        .for_each(|violation| println!("{}: {violation}", case.name));
     shortfalls.extend(others);
     let latency = &lock(&load.latency)[largest];
     let requests = lock(&load.tally).requests;
@@ -488,7 +489,7 @@
             run.rules
                 .broken
                 .iter()
-                .map(|what| format!("broken: {what}")),
+                .map(|violation| format!("broken: {violation}")),
         );
         table.add_row(vec![
             holders.to_string(),
--- a/crates/wharfhub-testbed/src/experiments/decisions.rs
+++ b/crates/wharfhub-testbed/src/experiments/decisions.rs
@@ -7,7 +7,7 @@
 
 use super::two_phase::PHASES;
 use super::{ExperimentError, Options, Verdict};
-use crate::report::{chart, Estimate, Line, Table};
+use crate::report::{draw_chart, Estimate, Line, Table};
 use crate::site::{cardiff, szeged, Class, Fault, Scenario, Site};
 use crate::world::{self, Run};
 use std::path::Path;
@@ -177,7 +177,7 @@
     println!("highest over lowest: {spread:.2}");
     table.save(&out.join("decisions.csv"))?;
     let title = "CPU of core and module a query (four parts)";
-    chart(
+    draw_chart(
         &out.join("decisions.svg"),
         title,
         ("queries a second", "µs"),
--- a/crates/wharfhub-testbed/src/experiments/deployments.rs
+++ b/crates/wharfhub-testbed/src/experiments/deployments.rs
@@ -5,14 +5,14 @@
 //! `deployments-days.csv`. The only criterion is that no rule is broken.
 
 use super::{parallel, ExperimentError, Options, Verdict};
-use crate::report::{chart, Estimate, Line, Table};
+use crate::report::{draw_chart, Estimate, Line, Table};
 use crate::site::{cardiff, szeged, Fault, Layout, Scenario, Site};
 use crate::{tally, world};
 
 /// Number of scenarios of a cell and their length (seconds), in the full and in the quick run.
 const SCENARIOS_PER_CELL: (u64, u64) = (20, 4);
 const SCENARIO_S: (f64, f64) = (45.0, 30.0);
-/// Number of violations that are printed.
+/// Largest number of violations that are printed.
 const MAX_PRINTED: usize = 20;
 /// Factor by which the fast variants of the deployments are faster.
 const FAST_PROFILE_FACTOR: f64 = 4.0;
@@ -92,7 +92,7 @@
     let faults = kind
         .faults
         .iter()
-        .map(|(from, to, what)| (from * seconds, to * seconds, what.clone()))
+        .map(|(from, to, fault)| (from * seconds, to * seconds, fault.clone()))
         .collect();
     let leaf_servers = if kind.has_large_fleet { 18 } else { 14 };
     let mut site = site.clone();
@@ -274,7 +274,7 @@
         ]);
         let broken = played.broken.iter();
         self.broken
-            .extend(broken.map(|what| format!("{site}, {kind}, seed {seed}: {what}")));
+            .extend(broken.map(|violation| format!("{site}, {kind}, seed {seed}: {violation}")));
     }
 
     /// Prints and saves the results.
@@ -283,15 +283,15 @@
         self.cells.save(&options.out.join("deployments.csv"))?;
         self.scenarios
             .save(&options.out.join("deployments-days.csv"))?;
-        chart(
+        draw_chart(
             &options.out.join("deployments.svg"),
             "Service by kind of day, both deployments",
             ("kind of day", "service"),
             false,
             &self.lines,
         )?;
-        for what in self.broken.iter().take(MAX_PRINTED) {
-            println!("broken: {what}");
+        for violation in self.broken.iter().take(MAX_PRINTED) {
+            println!("broken: {violation}");
         }
         Ok((!self.broken.is_empty()).then(|| format!("{} rules broken", self.broken.len())))
     }
--- a/crates/wharfhub-testbed/src/experiments/scale.rs
+++ b/crates/wharfhub-testbed/src/experiments/scale.rs
@@ -11,8 +11,8 @@
 use crate::fleet::bench::{Bench, Load, Point};
 use crate::fleet::events::CompressedDay;
 use crate::fleet::fit::LineFit;
-use crate::report::{chart, Estimate, Line, Table};
-use events::events;
+use crate::report::{draw_chart, Estimate, Line, Table};
+use events::run_events;
 use quantity::{
     change_bytes, change_messages, changes, complete_list_bytes, mixers, FigureOf, Quantity,
     BY_MIXERS, BY_RATE, BY_SERVERS,
@@ -140,7 +140,7 @@
     Ok(point)
 }
 
-fn by_rate(options: &Options, plan: &Plan) -> Result<Vec<Point>, ExperimentError> {
+fn measure_rates(options: &Options, plan: &Plan) -> Result<Vec<Point>, ExperimentError> {
     let load = plan.load(plan.standard.0, plan.standard.1);
     let mut bench = Bench::start(&load, std::env::current_exe()?, PROCESSES, options.seed)?;
     let at = |changes_per_s: f64| {
@@ -157,7 +157,7 @@
     plan.rates.into_iter().map(at).collect()
 }
 
-fn axes(options: &Options, plan: &Plan) -> Result<Vec<Axis>, ExperimentError> {
+fn measure_axes(options: &Options, plan: &Plan) -> Result<Vec<Axis>, ExperimentError> {
     let (standard_mixers, standard_servers) = plan.standard;
     let by_mixers = plan
         .mixers
@@ -192,7 +192,7 @@
             name: RATE_AXIS,
             x: |point| point.load.changes_per_s,
             quantities: &BY_RATE,
-            points: by_rate(options, plan)?,
+            points: measure_rates(options, plan)?,
         },
     ])
 }
@@ -350,7 +350,7 @@
     (table, shortfalls)
 }
 
-fn charts(out: &Path, axes: &[Axis]) -> Result<(), ExperimentError> {
+fn draw_charts(out: &Path, axes: &[Axis]) -> Result<(), ExperimentError> {
     for axis in axes {
         let line = |(name, of): (&str, FigureOf)| {
             let value = |point: &Point| Estimate {
@@ -383,7 +383,7 @@
         let file = axis.name.replace('/', "-per-");
         let path = |what: &str| -> PathBuf { out.join(format!("scale-{file}-{what}.svg")) };
         let title = format!("A change in force everywhere, by {}", axis.name);
-        chart(
+        draw_chart(
             &path("in-force"),
             &title,
             (axis.name, "seconds"),
@@ -391,7 +391,7 @@
             &times.map(line),
         )?;
         let title = format!("What a mixer needs, by {}", axis.name);
-        chart(
+        draw_chart(
             &path("cost"),
             &title,
             (axis.name, "ms, MB"),
@@ -402,8 +402,8 @@
     Ok(())
 }
 
-fn slopes(options: &Options, plan: &Plan) -> Result<Vec<String>, ExperimentError> {
-    let axes = axes(options, plan)?;
+fn run_slopes(options: &Options, plan: &Plan) -> Result<Vec<String>, ExperimentError> {
+    let axes = measure_axes(options, plan)?;
     let full = match plan.full {
         Some((mixers, servers)) => {
             let load = Load {
@@ -419,7 +419,7 @@
     println!("{}\n{}", points.text(), fits.text());
     points.save(&options.out.join("scale.csv"))?;
     fits.save(&options.out.join("scale-fits.csv"))?;
-    charts(&options.out, &axes)?;
+    draw_charts(&options.out, &axes)?;
     let all = axes.iter().flat_map(|axis| &axis.points).chain(&full);
     shortfalls.extend(
         all.filter(|point| point.propagation.missing > 0)
@@ -454,11 +454,11 @@
     let mut shortfalls = Vec::new();
     match options.part.as_deref() {
         None => {
-            shortfalls.extend(slopes(options, &plan)?);
-            shortfalls.extend(events(options, &plan)?);
+            shortfalls.extend(run_slopes(options, &plan)?);
+            shortfalls.extend(run_events(options, &plan)?);
         }
-        Some("slopes") => shortfalls.extend(slopes(options, &plan)?),
-        Some("events") => shortfalls.extend(events(options, &plan)?),
+        Some("slopes") => shortfalls.extend(run_slopes(options, &plan)?),
+        Some("events") => shortfalls.extend(run_events(options, &plan)?),
         Some(other) => {
             return Err(ExperimentError::Other(format!(
                 "unknown part {other:?}, expected slopes or events"
--- a/crates/wharfhub-testbed/src/experiments/scale/events.rs
+++ b/crates/wharfhub-testbed/src/experiments/scale/events.rs
@@ -29,7 +29,7 @@
         ..Scenario::default()
     };
     let (queries, leaves) = QueryPath::start(scenario, bench.discovery_address())?;
-    bench.list_leaf_servers(leaves)?;
+    bench.publish_leaf_servers(leaves)?;
     std::thread::scope(|scope| {
         let load = scope.spawn(move || queries.run());
         let day = bench.ordinary_day(plan.day, u64::from(QUERY_MIXERS))?;
@@ -41,7 +41,7 @@
 }
 
 /// Runs the events and returns the criteria that they miss.
-pub(super) fn events(options: &Options, plan: &Plan) -> Result<Vec<String>, ExperimentError> {
+pub(super) fn run_events(options: &Options, plan: &Plan) -> Result<Vec<String>, ExperimentError> {
     let (mixers, servers) = plan.events;
     let load = match plan.full {
         Some(_) => plan.full_size_load(mixers, servers),
@@ -57,7 +57,7 @@
     outcomes.push(bench.restart_all_mixers()?);
     drop(bench);
 
-    let table = table_of(&outcomes, servers);
+    let table = events_table(&outcomes, servers);
     println!("{}", table.text());
     let mut shortfalls: Vec<String> = outcomes
         .iter()
@@ -72,7 +72,7 @@
     Ok(shortfalls)
 }
 
-fn table_of(outcomes: &[EventOutcome], servers: u32) -> Table {
+fn events_table(outcomes: &[EventOutcome], servers: u32) -> Table {
     let mut table = Table::new(&[
         "event",
         "mixers",
--- a/crates/wharfhub-testbed/src/experiments/soak.rs
+++ b/crates/wharfhub-testbed/src/experiments/soak.rs
@@ -16,9 +16,9 @@
 const ONE_SEED: &str = "one";
 /// Smallest share of requests served in the period without faults at the end.
 const MIN_SERVED_AT_THE_END: f64 = 0.9;
-/// Number of violations printed for each seed.
+/// Largest number of violations printed for each seed.
 const MAX_PRINTED: usize = 8;
-/// Number of log lines of the mixers printed for each seed with violations.
+/// Largest number of log lines of the mixers printed for each seed with violations.
 const MAX_PRINTED_LOG_LINES: usize = 40;
 /// Texts of the log lines that are printed: the mixers' own invariant checks, and process pauses.
 const PRINTED_LOG_TEXTS: [&str; 3] = [
--- a/crates/wharfhub-testbed/src/experiments/two_phase.rs
+++ b/crates/wharfhub-testbed/src/experiments/two_phase.rs
@@ -4,7 +4,7 @@
 //! pair. The criteria are the limits of saved work and of lost service below.
 
 use super::{parallel, ExperimentError, Options, Verdict};
-use crate::report::{chart, Estimate, Line, Table};
+use crate::report::{draw_chart, Estimate, Line, Table};
 use crate::rules::Rules;
 use crate::site::{Fault, Scenario};
 use crate::standin::{self, Shared};
@@ -39,7 +39,7 @@
 const MAX_SERVICE_DIFFERENCE: f64 = 0.05;
 const TIME_TOLERANCE_S: f64 = 0.05;
 
-/// Number of violations that are printed.
+/// Largest number of violations that are printed.
 const MAX_PRINTED: usize = 20;
 
 /// Setting that enables two-phase queries.
@@ -273,7 +273,7 @@
         self.work_per_answer[usize::from(on)].push(work_per_answer);
         let broken = real.broken.iter();
         self.shortfalls
-            .extend(broken.map(|what| format!("broken: {what}")));
+            .extend(broken.map(|violation| format!("broken: {violation}")));
     }
 
     fn finish(mut self, options: &Options) -> Verdict {
@@ -519,27 +519,27 @@
     /// Prints and saves the results.
     fn finish(mut self, options: &Options) -> Verdict {
         print!("{}", self.table.text());
-        for what in &self.unproven {
-            println!("loss of service above {MAX_SERVICE_LOSS} not ruled out: {what}");
+        for cell in &self.unproven {
+            println!("loss of service above {MAX_SERVICE_LOSS} not ruled out: {cell}");
         }
         self.table.save(&options.out.join("two-phase.csv"))?;
         let x = "share of parts that match";
-        chart(
+        draw_chart(
             &options.out.join("two-phase-service.svg"),
             "Service, on less off",
             (x, "difference"),
             false,
             &self.service,
         )?;
-        chart(
+        draw_chart(
             &options.out.join("two-phase-work.svg"),
             "Work for area-search saved",
             (x, "share"),
             false,
             &self.work,
         )?;
-        for what in self.broken.iter().take(MAX_PRINTED) {
-            println!("broken: {what}");
+        for violation in self.broken.iter().take(MAX_PRINTED) {
+            println!("broken: {violation}");
         }
         if !self.broken.is_empty() {
             self.shortfalls
--- a/crates/wharfhub-testbed/src/fleet/bench.rs
+++ b/crates/wharfhub-testbed/src/fleet/bench.rs
@@ -144,7 +144,10 @@
     }
 
     /// Publishes changes of one server each and waits until all mixers have applied the last one.
-    fn make_changes(&mut self, load: &Load) -> Result<(Vec<Published>, FleetReport), FleetError> {
+    fn publish_changes(
+        &mut self,
+        load: &Load,
+    ) -> Result<(Vec<Published>, FleetReport), FleetError> {
         let catalog = self.discovery.catalog();
         let mut servers: Vec<ListedServer> = catalog.servers().cloned().collect();
         let gap = Duration::from_secs_f64(1.0 / load.changes_per_s.max(1e-3));
@@ -192,7 +195,7 @@
 
         let (before, discovery_cpu_s) = (self.discovery.counters(), self.discovery.cpu_s());
         let begin = Instant::now();
-        let (published, changed) = self.make_changes(load)?;
+        let (published, changed) = self.publish_changes(load)?;
         let change_s = begin.elapsed().as_secs_f64();
         let change = self.discovery.counters().since(&before);
         let count = f64::from(load.changes.max(1));
--- a/crates/wharfhub-testbed/src/fleet/call_queue.rs
+++ b/crates/wharfhub-testbed/src/fleet/call_queue.rs
@@ -79,7 +79,7 @@
     }
 
     /// Removes the watch of a closed connection. Its queued calls still take their service time, because the server does not
-    /// notice the disconnect before it processes them.
+    /// notice the disconnect before it has processed them.
     pub fn remove_watch(&mut self, key: K) {
         self.watches.remove(&key);
     }
--- a/crates/wharfhub-testbed/src/fleet/catalog.rs
+++ b/crates/wharfhub-testbed/src/fleet/catalog.rs
@@ -31,15 +31,15 @@
 /// A server as discovery lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedServer {
-    /// Unique name.
+    /// Name that is unique in the list.
     pub id: String,
     /// Address at which it listens.
     pub address: String,
-    /// Zone name.
+    /// Name of the zone (`locality` in the JSON).
     pub zone: String,
-    /// Cell number.
+    /// Number of the cell to which it belongs.
     pub cell: u32,
-    /// Current phase.
+    /// Phase that the list states.
     pub phase: Phase,
     /// Start time (Unix milliseconds), or 0 if unknown.
     pub started_ms: u64,
--- a/crates/wharfhub-testbed/src/fleet/counters.rs
+++ b/crates/wharfhub-testbed/src/fleet/counters.rs
@@ -3,9 +3,9 @@
 /// Traffic since the start of a discovery, or between two points in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Connections accepted.
+    /// Connections accepted from mixers.
     pub connections: u64,
-    /// Calls read.
+    /// Calls read from mixers.
     pub calls: u64,
     /// Calls that do not wait for a change (heartbeats); included in `calls`.
     pub heartbeats: u64,
@@ -19,9 +19,9 @@
     pub empty_answers: u64,
     /// Answers with status 503.
     pub overloaded: u64,
-    /// Bytes read.
+    /// Bytes read from mixers.
     pub bytes_in: u64,
-    /// Bytes written.
+    /// Bytes written to mixers.
     pub bytes_out: u64,
     /// Connections closed because the mixer did not read its answers.
     pub slow_closed: u64,
--- a/crates/wharfhub-testbed/src/fleet/discovery.rs
+++ b/crates/wharfhub-testbed/src/fleet/discovery.rs
@@ -70,7 +70,7 @@
 /// Published revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Published {
-    /// Revision number.
+    /// Number of the revision.
     pub revision: u64,
     /// Time from which on answers contain the revision (Unix microseconds).
     pub at_us: u64,
--- a/crates/wharfhub-testbed/src/fleet/events.rs
+++ b/crates/wharfhub-testbed/src/fleet/events.rs
@@ -60,9 +60,9 @@
 /// Ordinary day at a higher rate of changes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CompressedDay {
-    /// Number of changes.
+    /// Total number of changes.
     pub changes: usize,
-    /// Changes per second.
+    /// Rate of the changes (per second).
     pub changes_per_s: f64,
 }
 
@@ -245,7 +245,7 @@
     }
 
     /// Publishes leaf servers for mixers that serve queries. They are in cells without other servers.
-    pub fn list_leaf_servers(&mut self, leaves: Vec<ListedServer>) -> Result<(), FleetError> {
+    pub fn publish_leaf_servers(&mut self, leaves: Vec<ListedServer>) -> Result<(), FleetError> {
         let published = self.regions.publish(0, leaves);
         self.record_published(published);
         self.fleet
--- a/crates/wharfhub-testbed/src/fleet/mixer.rs
+++ b/crates/wharfhub-testbed/src/fleet/mixer.rs
@@ -24,7 +24,7 @@
 /// Setup of a hollow mixer.
 #[derive(Clone, Debug)]
 pub struct MixerSetup {
-    /// Number in the fleet.
+    /// Number of the mixer in the fleet.
     pub number: u32,
     /// Address of discovery.
     pub discovery: SocketAddr,
@@ -51,7 +51,7 @@
 /// Revision of the list that a mixer has applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppliedRevision {
-    /// Revision number.
+    /// Number of the revision.
     pub revision: u64,
     /// Time at which the mixer applied it (Unix microseconds).
     pub at_us: u64,
@@ -60,7 +60,7 @@
 /// Report of a hollow mixer on the time since its last report.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MixerReport {
-    /// Number in the fleet.
+    /// Number of the mixer in the fleet.
     pub number: u32,
     /// CPU time of its thread since the start (seconds).
     pub cpu_s: f64,
--- a/crates/wharfhub-testbed/src/fleet/propagation.rs
+++ b/crates/wharfhub-testbed/src/fleet/propagation.rs
@@ -6,11 +6,11 @@
 /// Times from the publication of revisions until mixers applied them (seconds).
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Propagation {
-    /// Median.
+    /// Median over all pairs of a revision and a mixer.
     pub median_s: f64,
-    /// 99th percentile.
+    /// 99th percentile over all pairs.
     pub p99_s: f64,
-    /// Longest time.
+    /// Longest time of any pair.
     pub last_s: f64,
     /// Number of pairs of a revision and a mixer that applied it.
     pub pairs: usize,
--- a/crates/wharfhub-testbed/src/journal.rs
+++ b/crates/wharfhub-testbed/src/journal.rs
@@ -3,7 +3,7 @@
 //! The journal is only read, and every run that matches is shown, failed ones included.
 
 use crate::experiments::ExperimentError;
-use crate::report::{chart, Estimate, Line, Table};
+use crate::report::{draw_chart, Estimate, Line, Table};
 use miniserde::{json, Deserialize};
 use std::path::{Path, PathBuf};
 
@@ -83,7 +83,7 @@
     print!("{}", table.text());
     table.save(&out.join(format!("{name}.csv")))?;
     let title = format!("Scored days ({kind}), run by run");
-    Ok(chart(
+    Ok(draw_chart(
         &out.join(format!("{name}.svg")),
         &title,
         ("run", "score"),
--- a/crates/wharfhub-testbed/src/report.rs
+++ b/crates/wharfhub-testbed/src/report.rs
@@ -142,7 +142,7 @@
 }
 
 /// Draws lines with confidence intervals to an SVG file; with `log_x`, the x axis is logarithmic.
-pub fn chart(
+pub fn draw_chart(
     path: &Path,
     title: &str,
     labels: (&str, &str),
