--- a/crates/wharfhub-testbed/src/experiments/soak.rs
+++ b/crates/wharfhub-testbed/src/experiments/soak.rs
@@ -15,9 +15,9 @@
 /// The part of the experiment that plays its first seed alone, at full size.
 const ONE_SEED: &str = "one";
 /// In the quiet time at the end at least this share is served.
-const MIN_SERVED_AT_THE_END: f64 = 0.9;
+const MIN_FINAL_SERVED_SHARE: f64 = 0.9;
 /// Broken rules that are printed of each soak.
-const MAX_PRINTED: usize = 8;
+const MAX_PRINTED_VIOLATIONS: usize = 8;
 /// Lines of the mixers' logs that are printed of a soak with broken rules.
 const MAX_PRINTED_LOG_LINES: usize = 40;
 /// What such a line contains: what a mixer found of its own acts, and when it was stopped.
@@ -32,33 +32,38 @@
     vec![
         plan.seed.to_string(),
         plan.terms.mixers.to_string(),
-        plan.notified_size.to_string(),
-        if plan.terms.pushed { "pushed" } else { "asked" }.into(),
+        plan.configured_fleet_size.to_string(),
+        if plan.terms.lists_pushed {
+            "pushed"
+        } else {
+            "asked"
+        }
+        .into(),
         plan.faults.len().to_string(),
         counts.all.to_string(),
         counts.served.to_string(),
         counts.refused.to_string(),
         counts.failed.to_string(),
-        counts.left.to_string(),
-        (counts.not_taken + counts.unanswered).to_string(),
+        counts.closed_by_client.to_string(),
+        (counts.not_accepted + counts.unanswered).to_string(),
         outcome.calls.to_string(),
-        format!("{:.3}", outcome.served_at_the_end),
-        outcome.stops.to_string(),
+        format!("{:.3}", outcome.final_served_share),
+        outcome.guard_stops.to_string(),
         format!("{:.2}", outcome.stalled_s),
         outcome.violations.len().to_string(),
     ]
 }
 
 fn print_violations(plan: &Plan, outcome: &Outcome) {
-    let mut by_rule: BTreeMap<_, usize> = BTreeMap::new();
+    let mut count_by_rule: BTreeMap<_, usize> = BTreeMap::new();
     for violation in &outcome.violations {
-        *by_rule.entry(violation.rule).or_default() += 1;
+        *count_by_rule.entry(violation.rule).or_default() += 1;
     }
-    println!("seed {}: broken {by_rule:?}", plan.seed);
-    for violation in outcome.violations.iter().take(MAX_PRINTED) {
+    println!("seed {}: broken {count_by_rule:?}", plan.seed);
+    for violation in outcome.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         println!(
             "  {:7.3} {:?}: {}",
-            violation.at, violation.rule, violation.what
+            violation.at, violation.rule, violation.description
         );
     }
     for planned in &plan.faults {
@@ -112,28 +117,28 @@
         "broken",
     ];
     let mut table = Table::new(&columns);
-    let mut short = Vec::new();
+    let mut shortfalls = Vec::new();
     for seed in options.seed..options.seed + seeds {
         let plan = Plan::draw(seed, options.quick);
         let folder = options.out.join(format!("soak-{seed}"));
-        let (_, outcome) = run::play(&plan, &folder).map_err(Failure::from)?;
+        let (_, outcome) = run::run_plan(&plan, &folder).map_err(Failure::from)?;
         table.row(row(&plan, &outcome));
         if !outcome.violations.is_empty() {
             print_violations(&plan, &outcome);
             print_log_lines(&folder)?;
-            short.push(format!(
+            shortfalls.push(format!(
                 "seed {seed}: {} rules broken",
                 outcome.violations.len()
             ));
         }
-        if outcome.served_at_the_end < MIN_SERVED_AT_THE_END {
-            short.push(format!(
+        if outcome.final_served_share < MIN_FINAL_SERVED_SHARE {
+            shortfalls.push(format!(
                 "seed {seed}: {:.3} served at the end",
-                outcome.served_at_the_end
+                outcome.final_served_share
             ));
         }
     }
     print!("{}", table.text());
     table.save(&options.out.join("soak.csv"))?;
-    Ok((!short.is_empty()).then(|| short.join("; ")))
+    Ok((!shortfalls.is_empty()).then(|| shortfalls.join("; ")))
 }
--- a/crates/wharfhub-testbed/src/soak/judge.rs
+++ b/crates/wharfhub-testbed/src/soak/checker.rs
@@ -8,23 +8,23 @@
 
 use super::history::{History, PartCall, ProcessEvent, ProcessRecord, Request, RequestEnd, Stall};
 use super::plan::Terms;
-use super::timeline::{NotificationTimes, Processes};
+use super::timeline::{NotificationTimes, ProcessSpans};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Slack of the rules on sockets (seconds).
-const SLACK_S: f64 = 0.05;
+const TOLERANCE_S: f64 = 0.05;
 /// What may pass between the write of a mixer and the note of a stand-in, on a busy machine (seconds).
-const NOTE_S: f64 = 0.05;
+const MAX_RECORD_DELAY_S: f64 = 0.05;
 /// An attempt for a client that left has begun by then (seconds).
-const AFTER_LEAVING_S: f64 = 0.1;
+const MAX_SEND_AFTER_DISCONNECT_S: f64 = 0.1;
 /// The wait that a server is told may exceed what the client still waits by this (seconds).
-const SENT_TIMEOUT_SLACK_S: f64 = 0.15;
+const SENT_TIMEOUT_TOLERANCE_S: f64 = 0.15;
 /// A mixer has to be ready so long after its start, and nine in ten of those that were restarted so long (seconds).
-const READY_WITHIN_S: f64 = 30.0;
-const READY_TIMEOUT_S: f64 = 10.0;
-const MAX_LATE_SHARE: f64 = 0.1;
+const MAX_TIME_TO_READY_S: f64 = 30.0;
+const TARGET_TIME_TO_READY_S: f64 = 10.0;
+const MAX_LATE_RESTART_SHARE: f64 = 0.1;
 /// A process that stood still for longer excuses what was late meanwhile (seconds). The terms allow for less.
-const MAX_DELAY_S: f64 = 0.15;
+const MAX_UNEXCUSED_STOP_S: f64 = 0.15;
 
 /// A rule of the terms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -53,30 +53,32 @@
     /// When (seconds).
     pub at: f64,
     /// What happened.
-    pub what: String,
+    pub description: String,
 }
 
 /// Goes through a history.
-pub struct Judge<'a> {
+pub struct Checker<'a> {
     history: &'a History,
     terms: &'a Terms,
-    notified: Vec<Vec<NotificationTimes>>, // by mixer, for each of its processes
-    processes: Vec<Processes>,
+    notification_times: Vec<Vec<NotificationTimes>>, // by mixer, for each of its processes
+    processes: Vec<ProcessSpans>,
     violations: Vec<Violation>,
 }
 
-impl<'a> Judge<'a> {
+impl<'a> Checker<'a> {
     /// Names all broken rules, in order of time.
-    pub fn judge(history: &'a History, terms: &'a Terms) -> Vec<Violation> {
+    pub fn check(history: &'a History, terms: &'a Terms) -> Vec<Violation> {
         let mixers = 0..terms.mixers;
-        let mut judge = Judge {
+        let mut checker = Checker {
             history,
             terms,
-            notified: mixers
+            notification_times: mixers
                 .clone()
-                .map(|mixer| NotificationTimes::of_all(history, terms, mixer))
+                .map(|mixer| NotificationTimes::of_processes(history, terms, mixer))
+                .collect(),
+            processes: mixers
+                .map(|mixer| ProcessSpans::of(history, mixer))
                 .collect(),
-            processes: mixers.map(|mixer| Processes::of(history, mixer)).collect(),
             violations: Vec::new(),
         };
         let requests: BTreeMap<&str, &Request> = history
@@ -85,46 +87,50 @@
             .map(|request| (request.id.as_str(), request))
             .collect();
         for call in &history.calls {
-            judge.judge_drain(call);
+            checker.check_drain(call);
             if let Some(request) = requests.get(call.request.as_str()) {
-                judge.judge_client(call, request);
-                judge.judge_sent_timeout(call, request);
+                checker.check_client_disconnect(call, request);
+                checker.check_sent_timeout(call, request);
             }
         }
-        judge.judge_repeats(&requests);
-        judge.judge_kept_connections(&requests);
-        let seen: BTreeSet<&str> = history
+        checker.check_dedup_window(&requests);
+        checker.check_reused_connections(&requests);
+        let sent_requests: BTreeSet<&str> = history
             .calls
             .iter()
             .map(|call| call.request.as_str())
             .collect();
         for request in &history.requests {
-            judge.judge_answer(request, seen.contains(request.id.as_str()));
+            checker.check_final_answer(request, sent_requests.contains(request.id.as_str()));
         }
-        judge.judge_processes();
-        judge.violations.sort_by(|a, b| a.at.total_cmp(&b.at));
-        judge.violations
+        checker.check_processes();
+        checker.violations.sort_by(|a, b| a.at.total_cmp(&b.at));
+        checker.violations
     }
 
-    fn broken(&mut self, rule: Rule, at: f64, what: String) {
-        self.violations.push(Violation { rule, at, what });
+    fn report(&mut self, rule: Rule, at: f64, description: String) {
+        self.violations.push(Violation {
+            rule,
+            at,
+            description,
+        });
     }
 
     /// How long the stand-ins stood still in that time (seconds).
-    fn stalled_s(&self, from: f64, to: f64) -> f64 {
+    fn stand_in_stall_s(&self, from: f64, to: f64) -> f64 {
         let inside = |stall: &Stall| (stall.to.min(to) - stall.from.max(from)).max(0.0);
         self.history.stalls.iter().map(inside).sum()
     }
 
-    fn judge_drain(&mut self, call: &PartCall) {
-        let process = self.notified[call.mixer]
+    fn check_drain(&mut self, call: &PartCall) {
+        let process = self.notification_times[call.mixer]
             .iter()
-            .rfind(|notified| notified.started_at <= call.at);
+            .rfind(|process| process.started_at <= call.at);
         let since =
-            process.and_then(|notified| notified.unready_since(self.history, call.server, call.at));
+            process.and_then(|process| process.unready_since(self.history, call.server, call.at));
         let Some(since) = since else { return };
-        let late_s = call.at - since - self.stalled_s(since, call.at);
-        if late_s <= self.terms.drain_grace_s + SLACK_S + NOTE_S {
+        let late_s = call.at - since - self.stand_in_stall_s(since, call.at);
+        if late_s <= self.terms.drain_grace_s + TOLERANCE_S + MAX_RECORD_DELAY_S {
             return;
         }
         let PartCall {
@@ -133,23 +139,23 @@
             request,
             ..
         } = call;
-        self.broken(
+        self.report(
             Rule::Drain,
             call.at,
             format!("m{mixer} sent {request} to s{server}, told {late_s:.2} s before"),
         );
     }
 
-    fn judge_client(&mut self, call: &PartCall, request: &Request) {
-        let RequestEnd::Left { at: left_at } = request.end else {
+    fn check_client_disconnect(&mut self, call: &PartCall, request: &Request) {
+        let RequestEnd::ClientClosed { at: closed_at } = request.end else {
             return;
         };
-        let late_s = call.at - left_at - self.stalled_s(left_at, call.at);
-        if late_s <= AFTER_LEAVING_S + NOTE_S {
+        let late_s = call.at - closed_at - self.stand_in_stall_s(closed_at, call.at);
+        if late_s <= MAX_SEND_AFTER_DISCONNECT_S + MAX_RECORD_DELAY_S {
             return;
         }
         let PartCall { mixer, server, .. } = call;
-        self.broken(
+        self.report(
             Rule::ClientGone,
             call.at,
             format!(
@@ -159,10 +165,10 @@
         );
     }
 
-    fn judge_sent_timeout(&mut self, call: &PartCall, request: &Request) {
+    fn check_sent_timeout(&mut self, call: &PartCall, request: &Request) {
         let left_s = request.at + request.timeout_s - call.at;
-        let beyond_s = call.sent_timeout_s - left_s - self.stalled_s(request.at, call.at);
-        if beyond_s <= SENT_TIMEOUT_SLACK_S + NOTE_S {
+        let beyond_s = call.sent_timeout_s - left_s - self.stand_in_stall_s(request.at, call.at);
+        if beyond_s <= SENT_TIMEOUT_TOLERANCE_S + MAX_RECORD_DELAY_S {
             return;
         }
         let PartCall {
@@ -171,15 +177,15 @@
             ..
         } = call;
         let id = &request.id;
-        self.broken(
+        self.report(
             Rule::SentTimeout,
             call.at,
             format!("m{mixer} told {sent_timeout_s:.3} s for {id}, {left_s:.3} s are left"),
         );
     }
 
-    fn judge_repeats(&mut self, requests: &BTreeMap<&str, &Request>) {
-        let mut first: BTreeMap<(&str, u32), f64> = BTreeMap::new();
+    fn check_dedup_window(&mut self, requests: &BTreeMap<&str, &Request>) {
+        let mut first_sent_at: BTreeMap<(&str, u32), f64> = BTreeMap::new();
         let mut late = Vec::new();
         for call in &self.history.calls {
             let is_keyed = requests
@@ -188,8 +194,10 @@
             if !is_keyed || call.never_ran {
                 continue;
             }
-            let first_at = *first.entry((&call.request, call.shard)).or_insert(call.at);
-            if call.at - first_at > self.terms.window_s + SLACK_S + NOTE_S {
+            let first_at = *first_sent_at
+                .entry((&call.request, call.shard))
+                .or_insert(call.at);
+            if call.at - first_at > self.terms.dedup_window_s + TOLERANCE_S + MAX_RECORD_DELAY_S {
                 late.push((call, call.at - first_at));
             }
         }
@@ -200,7 +208,7 @@
                 shard,
                 ..
             } = call;
-            self.broken(
+            self.report(
                 Rule::Duplicate,
                 call.at,
                 format!("m{mixer} repeated {request}.{shard} after {after_s:.2} s"),
@@ -209,128 +217,133 @@
     }
 
     /// A kept connection that ends under a request which the mixer had read: a server knows of it.
-    fn judge_kept_connections(&mut self, requests: &BTreeMap<&str, &Request>) {
+    fn check_reused_connections(&mut self, requests: &BTreeMap<&str, &Request>) {
         let mut lost: BTreeMap<&str, (&Request, f64)> = BTreeMap::new();
         for call in &self.history.calls {
             let Some(request) = requests.get(call.request.as_str()) else {
                 continue;
             };
-            if let Some(broke_at) = request
-                .broke_on_kept_at
-                .filter(|broke_at| call.at < *broke_at)
+            if let Some(lost_at) = request
+                .reused_connection_lost_at
+                .filter(|lost_at| call.at < *lost_at)
             {
-                lost.insert(&request.id, (request, broke_at));
+                lost.insert(&request.id, (request, lost_at));
             }
         }
-        for (request, broke_at) in lost.into_values() {
+        for (request, lost_at) in lost.into_values() {
             let processes = &self.processes[request.mixer];
-            if !processes.was_killed_within(broke_at - 1.0, broke_at + 1.0) {
-                let what = format!(
+            if !processes.was_killed_within(lost_at - 1.0, lost_at + 1.0) {
+                let description = format!(
                     "m{} {}: read, and its connection closed",
                     request.mixer, request.id
                 );
-                self.broken(Rule::Lost, broke_at, what);
+                self.report(Rule::Lost, lost_at, description);
             }
         }
     }
 
-    fn judge_answer(&mut self, request: &Request, was_seen: bool) {
+    fn check_final_answer(&mut self, request: &Request, reached_server: bool) {
         let until = request.at + request.timeout_s + 0.5;
         let processes = &self.processes[request.mixer];
         let (ended_at, how) = match request.end {
             // In a crowd a new connection may be shut unread.
-            RequestEnd::Broken { is_reset: true, .. } if self.terms.is_crowded && !was_seen => {
+            RequestEnd::ConnectionLost { is_reset: true, .. }
+                if self.terms.has_descriptor_shortage && !reached_server =>
+            {
                 return
             }
-            RequestEnd::Broken { at, .. } => (at, "closed with no answer"),
-            RequestEnd::Silent => (until, "no answer in time"),
+            RequestEnd::ConnectionLost { at, .. } => (at, "closed with no answer"),
+            RequestEnd::TimedOut => (until, "no answer in time"),
             _ => return,
         };
-        let was_killed = processes.was_killed_within(request.at - NOTE_S, ended_at + 1.0);
-        let stood_still = processes.delayed_s(request.at, until) > MAX_DELAY_S;
-        if !was_killed && !stood_still {
-            let what = format!(
+        let was_killed =
+            processes.was_killed_within(request.at - MAX_RECORD_DELAY_S, ended_at + 1.0);
+        let was_stopped = processes.longest_stop_s(request.at, until) > MAX_UNEXCUSED_STOP_S;
+        if !was_killed && !was_stopped {
+            let description = format!(
                 "m{} {} of {:.3} s: {how}",
                 request.mixer, request.id, request.timeout_s
             );
-            self.broken(Rule::Lost, request.at, what);
+            self.report(Rule::Lost, request.at, description);
         }
     }
 
-    fn judge_processes(&mut self) {
+    fn check_processes(&mut self) {
         for record in &self.history.processes {
             let ProcessRecord { mixer, at, event } = *record;
             match event {
                 ProcessEvent::Crashed => {
-                    self.broken(Rule::Process, at, format!("m{mixer} crashed"))
+                    self.report(Rule::Process, at, format!("m{mixer} crashed"))
                 }
-                ProcessEvent::Violations(count) if count > 0 => {
-                    let what = format!("m{mixer}: its guard counted {count} violations");
-                    self.broken(Rule::Invariants, at, what);
+                ProcessEvent::GuardViolations(count) if count > 0 => {
+                    let description = format!("m{mixer}: its guard counted {count} violations");
+                    self.report(Rule::Invariants, at, description);
                 }
                 _ => {}
             }
         }
-        self.judge_starts();
+        self.check_starts();
     }
 
-    fn judge_starts(&mut self) {
+    fn check_starts(&mut self) {
         let starts = self.starts();
-        let late = |within_s: f64| move |start: &&Start| start.took_s > within_s;
-        for start in starts.iter().filter(late(READY_WITHIN_S)) {
-            let what = format!("m{} was not ready within {READY_WITHIN_S} s", start.mixer);
-            self.broken(Rule::Process, start.at + start.took_s, what);
+        let late = |within_s: f64| move |start: &&Start| start.time_to_ready_s > within_s;
+        for start in starts.iter().filter(late(MAX_TIME_TO_READY_S)) {
+            let description = format!(
+                "m{} was not ready within {MAX_TIME_TO_READY_S} s",
+                start.mixer
+            );
+            self.report(Rule::Process, start.at + start.time_to_ready_s, description);
         }
         let restarts: Vec<&Start> = starts.iter().filter(|start| start.is_restart).collect();
-        let late_ones: Vec<&Start> = restarts
+        let late_restarts: Vec<&Start> = restarts
             .iter()
             .copied()
-            .filter(late(READY_TIMEOUT_S))
+            .filter(late(TARGET_TIME_TO_READY_S))
             .collect();
-        if late_ones.len() as f64 <= MAX_LATE_SHARE * restarts.len() as f64 {
+        if late_restarts.len() as f64 <= MAX_LATE_RESTART_SHARE * restarts.len() as f64 {
             return;
         }
-        for start in late_ones
+        for start in late_restarts
             .into_iter()
-            .filter(|start| start.took_s <= READY_WITHIN_S)
+            .filter(|start| start.time_to_ready_s <= MAX_TIME_TO_READY_S)
         {
-            let what = format!(
+            let description = format!(
                 "m{} was ready after {:.1} s, as too many were",
-                start.mixer, start.took_s
+                start.mixer, start.time_to_ready_s
             );
-            self.broken(Rule::Process, start.at + start.took_s, what);
+            self.report(Rule::Process, start.at + start.time_to_ready_s, description);
         }
     }
 
     /// All starts of processes that were left alone until they were ready, or for long enough.
     fn starts(&self) -> Vec<Start> {
         let mut starts = Vec::new();
-        let mut open: BTreeMap<usize, f64> = BTreeMap::new();
-        let mut started: BTreeSet<usize> = BTreeSet::new();
+        let mut starting: BTreeMap<usize, f64> = BTreeMap::new();
+        let mut started_before: BTreeSet<usize> = BTreeSet::new();
         let ended = [
             ProcessEvent::Killed,
-            ProcessEvent::Terminated,
+            ProcessEvent::SigtermSent,
             ProcessEvent::Crashed,
         ];
         for record in &self.history.processes {
             let mixer = record.mixer;
             if record.event == ProcessEvent::Started {
-                open.insert(mixer, record.at);
+                starting.insert(mixer, record.at);
             } else if ended.contains(&record.event) {
-                open.remove(&mixer);
-                started.insert(mixer);
+                starting.remove(&mixer);
+                started_before.insert(mixer);
             } else if record.event == ProcessEvent::Ready {
-                let Some(at) = open.remove(&mixer) else {
+                let Some(at) = starting.remove(&mixer) else {
                     continue;
                 };
-                starts.push(self.start(mixer, at, record.at, started.contains(&mixer)));
+                starts.push(self.start(mixer, at, record.at, started_before.contains(&mixer)));
             }
         }
-        let length_s = self.terms.length_s;
-        starts.extend(
-            open.iter()
-                .map(|(mixer, at)| self.start(*mixer, *at, length_s, started.contains(mixer))),
-        );
+        let duration_s = self.terms.duration_s;
+        starts.extend(starting.iter().map(|(mixer, at)| {
+            self.start(*mixer, *at, duration_s, started_before.contains(mixer))
+        }));
         starts
     }
 
@@ -338,7 +351,7 @@
         Start {
             mixer,
             at,
-            took_s: ready_at - at - self.processes[mixer].delayed_s(at, ready_at),
+            time_to_ready_s: ready_at - at - self.processes[mixer].longest_stop_s(at, ready_at),
             is_restart,
         }
     }
@@ -349,6 +362,6 @@
     mixer: usize,
     at: f64,
     /// Until it was ready, or the end of the soak (seconds).
-    took_s: f64,
+    time_to_ready_s: f64,
     is_restart: bool,
 }
--- a/crates/wharfhub-testbed/src/soak/clients.rs
+++ b/crates/wharfhub-testbed/src/soak/clients.rs
@@ -14,70 +14,67 @@
 /// Wait between two requests of a client, at most (milliseconds).
 const MAX_PAUSE_MS: u64 = 120;
 /// How long a client waits for its answer, at least (milliseconds).
-const MIN_WAIT_MS: u64 = 250;
+const MIN_TIMEOUT_MS: u64 = 250;
 /// How long after its timeout a client closes. An answer counts for 0.5 s: a mixer that goes on after a stop right at the end of
 /// that time finds the client gone.
-const CLOSES_AFTER_TIMEOUT: Duration = Duration::from_millis(400);
+const CLOSE_DELAY_AFTER_TIMEOUT: Duration = Duration::from_millis(400);
 /// Longest single wait for bytes: its end is late by a few milliseconds at most.
 const MAX_WAIT_SLICE: Duration = Duration::from_millis(100);
 /// Share of the requests of the keyed class.
 const KEYED_SHARE: f64 = 0.25;
 /// Odds that a client leaves early, while clients do.
-const LEAVING_ODDS: f64 = 0.4;
+const EARLY_CLOSE_PROBABILITY: f64 = 0.4;
 /// How often readiness is asked.
-const READY_TICK: Duration = Duration::from_millis(50);
+const ROTATION_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// How often idle clients look whether they were sent away.
-const CROWD_TICK: Duration = Duration::from_millis(100);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 const MAX_PARTS: usize = 6;
 
 /// What the clients of one mixer go by.
 #[derive(Default)]
-pub struct MixerAdmission {
+pub struct MixerRouting {
     /// Whether the front leads clients there: the mixer was ready, and has not been told to end or died.
-    pub is_open: AtomicBool,
+    pub is_in_rotation: AtomicBool,
     /// Whether new connections are made: for some tenths of a second longer than that after SIGTERM.
-    pub takes_new: AtomicBool,
+    pub allows_new_connections: AtomicBool,
 }
 
 /// What all clients go by.
-pub struct Front {
+pub struct ClientPool {
     /// Where each mixer listens.
     pub addresses: Vec<SocketAddr>,
     /// Each mixer's door.
-    pub admissions: Vec<MixerAdmission>,
+    pub routing: Vec<MixerRouting>,
     /// Whether clients leave early.
-    pub clients_leave: AtomicBool,
+    pub clients_close_early: AtomicBool,
     /// Whether the soak is over.
     pub is_over: AtomicBool,
     /// Shards that there are.
     pub shards: u32,
     /// How long a client waits for its answer, at most (milliseconds).
-    pub longest_wait_ms: u64,
+    pub max_client_timeout_ms: u64,
     /// Where what is seen is noted.
     pub recorder: Arc<Recorder>,
-    last_request: AtomicU64,
+    last_request_number: AtomicU64,
 }
 
-impl Front {
+impl ClientPool {
     /// A front before mixers at these addresses, all closed.
     pub fn new(
         addresses: Vec<SocketAddr>,
         shards: u32,
-        longest_wait_ms: u64,
+        max_client_timeout_ms: u64,
         recorder: Arc<Recorder>,
-    ) -> Front {
-        Front {
-            admissions: addresses
-                .iter()
-                .map(|_| MixerAdmission::default())
-                .collect(),
+    ) -> ClientPool {
+        ClientPool {
+            routing: addresses.iter().map(|_| MixerRouting::default()).collect(),
             addresses,
-            clients_leave: AtomicBool::default(),
+            clients_close_early: AtomicBool::default(),
             is_over: AtomicBool::default(),
             shards,
-            longest_wait_ms,
+            max_client_timeout_ms,
             recorder,
-            last_request: AtomicU64::default(),
+            last_request_number: AtomicU64::default(),
         }
     }
 
@@ -87,28 +84,29 @@
 
     /// One client of a mixer, until the soak is over.
     pub fn run_client(&self, mixer: usize) {
-        let mut kept: Option<BufReader<TcpStream>> = None;
+        let mut idle_connection: Option<BufReader<TcpStream>> = None;
         let mut rng = rand::rng();
         while !self.is_over() {
             std::thread::sleep(Duration::from_millis(rng.random_range(0..MAX_PAUSE_MS)));
-            if !self.admissions[mixer].is_open.load(Ordering::Relaxed) {
+            if !self.routing[mixer].is_in_rotation.load(Ordering::Relaxed) {
                 // Whoever has a connection goes on with it; SIGKILL or the mixer ends it.
-                if kept.is_none() {
-                    std::thread::sleep(READY_TICK);
+                if idle_connection.is_none() {
+                    std::thread::sleep(ROTATION_CHECK_INTERVAL);
                     continue;
                 }
             }
-            self.ask(mixer, &mut kept);
+            self.send_request(mixer, &mut idle_connection);
         }
     }
 
     /// Idle clients of a mixer that fill its descriptors, until the soak is over: they connect again where they are sent away.
-    pub fn crowd(&self, mixer: usize, clients: usize) {
+    pub fn run_idle_clients(&self, mixer: usize, clients: usize) {
         let mut idle: Vec<TcpStream> = Vec::new();
         while !self.is_over() {
-            std::thread::sleep(CROWD_TICK);
-            idle.retain(|stream| !has_ended(stream));
-            while self.admissions[mixer].is_open.load(Ordering::Relaxed) && idle.len() < clients {
+            std::thread::sleep(IDLE_CHECK_INTERVAL);
+            idle.retain(|stream| !peer_has_closed(stream));
+            while self.routing[mixer].is_in_rotation.load(Ordering::Relaxed) && idle.len() < clients
+            {
                 let Ok(stream) = TcpStream::connect(self.addresses[mixer]) else {
                     break;
                 };
@@ -120,52 +118,71 @@
     }
 
     /// One request, and once more on a new connection where the end of a kept one crossed it.
-    fn ask(&self, mixer: usize, kept: &mut Option<BufReader<TcpStream>>) {
+    fn send_request(&self, mixer: usize, idle_connection: &mut Option<BufReader<TcpStream>>) {
         let mut rng = rand::rng();
-        let number = self.last_request.fetch_add(1, Ordering::Relaxed);
+        let number = self.last_request_number.fetch_add(1, Ordering::Relaxed);
         let id = format!("m{mixer}-{number}");
-        let wait = Duration::from_millis(rng.random_range(MIN_WAIT_MS..self.longest_wait_ms));
+        let timeout =
+            Duration::from_millis(rng.random_range(MIN_TIMEOUT_MS..self.max_client_timeout_ms));
         let keyed = rng.random_bool(KEYED_SHARE);
-        let leaves = self.clients_leave.load(Ordering::Relaxed) && rng.random_bool(LEAVING_ODDS);
-        let leaves_after = leaves.then(|| wait.mul_f64(rng.random_range(0.0..1.0)));
-        let text = self.text(&id, keyed, wait);
-        let is_kept = kept.is_some();
-        let (mut at, mut end) = match kept.take() {
-            Some(stream) => self.exchange(stream, &text, wait, leaves_after, kept),
-            None => self.exchange_anew(mixer, &text, wait, leaves_after, kept),
+        let closes_early = self.clients_close_early.load(Ordering::Relaxed)
+            && rng.random_bool(EARLY_CLOSE_PROBABILITY);
+        let close_after = closes_early.then(|| timeout.mul_f64(rng.random_range(0.0..1.0)));
+        let text = self.request_text(&id, keyed, timeout);
+        let is_reused = idle_connection.is_some();
+        let (mut at, mut end) = match idle_connection.take() {
+            Some(stream) => self.exchange(stream, &text, timeout, close_after, idle_connection),
+            None => {
+                self.exchange_on_new_connection(mixer, &text, timeout, close_after, idle_connection)
+            }
         };
-        let mut broke_on_kept_at = None;
-        if let (true, RequestEnd::Broken { at: broke_at, .. }) = (is_kept, end) {
-            broke_on_kept_at = Some(broke_at);
-            (at, end) = self.exchange_anew(mixer, &text, wait, leaves_after, kept);
+        let mut reused_connection_lost_at = None;
+        if let (true, RequestEnd::ConnectionLost { at: lost_at, .. }) = (is_reused, end) {
+            reused_connection_lost_at = Some(lost_at);
+            (at, end) = self.exchange_on_new_connection(
+                mixer,
+                &text,
+                timeout,
+                close_after,
+                idle_connection,
+            );
         }
         let request = Request {
             id,
             mixer,
             at,
-            timeout_s: wait.as_secs_f64(),
+            timeout_s: timeout.as_secs_f64(),
             keyed,
-            broke_on_kept_at,
+            reused_connection_lost_at,
             end,
         };
         self.recorder
             .record(|history| history.requests.push(request));
     }
 
-    fn exchange_anew(
+    fn exchange_on_new_connection(
         &self,
         mixer: usize,
         text: &str,
-        wait: Duration,
-        leaves_after: Option<Duration>,
-        kept: &mut Option<BufReader<TcpStream>>,
+        timeout: Duration,
+        close_after: Option<Duration>,
+        idle_connection: &mut Option<BufReader<TcpStream>>,
     ) -> (f64, RequestEnd) {
-        if !self.admissions[mixer].takes_new.load(Ordering::Relaxed) {
-            return (self.recorder.now(), RequestEnd::NotTaken);
+        if !self.routing[mixer]
+            .allows_new_connections
+            .load(Ordering::Relaxed)
+        {
+            return (self.recorder.now(), RequestEnd::NotAccepted);
         }
         match TcpStream::connect(self.addresses[mixer]) {
-            Ok(stream) => self.exchange(BufReader::new(stream), text, wait, leaves_after, kept),
-            Err(_) => (self.recorder.now(), RequestEnd::NotTaken),
+            Ok(stream) => self.exchange(
+                BufReader::new(stream),
+                text,
+                timeout,
+                close_after,
+                idle_connection,
+            ),
+            Err(_) => (self.recorder.now(), RequestEnd::NotAccepted),
         }
     }
 
@@ -175,40 +192,40 @@
         &self,
         mut stream: BufReader<TcpStream>,
         text: &str,
-        wait: Duration,
-        leaves_after: Option<Duration>,
-        kept: &mut Option<BufReader<TcpStream>>,
+        timeout: Duration,
+        close_after: Option<Duration>,
+        idle_connection: &mut Option<BufReader<TcpStream>>,
     ) -> (f64, RequestEnd) {
         let _ = stream.get_ref().set_nodelay(true);
         let written_at = self.recorder.now();
         if let Err(error) = stream.get_mut().write_all(text.as_bytes()) {
-            let end = RequestEnd::Broken {
+            let end = RequestEnd::ConnectionLost {
                 at: self.recorder.now(),
                 is_reset: is_reset(&error),
             };
             return (written_at, end);
         }
-        let until = Instant::now() + leaves_after.unwrap_or(wait + CLOSES_AFTER_TIMEOUT);
+        let until = Instant::now() + close_after.unwrap_or(timeout + CLOSE_DELAY_AFTER_TIMEOUT);
         let answer = read_answer(&mut stream, until);
         let at = self.recorder.now();
         let end = match answer {
             Ok(answer) => {
                 if answer.keeps_alive {
-                    *kept = Some(stream);
+                    *idle_connection = Some(stream);
                 }
                 RequestEnd::Answered {
                     at,
                     status: answer.status,
                 }
             }
-            Err(error) if is_timeout(&error) && leaves_after.is_some() => {
+            Err(error) if is_timeout(&error) && close_after.is_some() => {
                 drop(stream);
-                RequestEnd::Left {
+                RequestEnd::ClientClosed {
                     at: self.recorder.now(),
                 }
             }
-            Err(error) if is_timeout(&error) => RequestEnd::Silent,
-            Err(error) => RequestEnd::Broken {
+            Err(error) if is_timeout(&error) => RequestEnd::TimedOut,
+            Err(error) => RequestEnd::ConnectionLost {
                 at,
                 is_reset: is_reset(&error),
             },
@@ -216,7 +233,7 @@
         (written_at, end)
     }
 
-    fn text(&self, id: &str, keyed: bool, wait: Duration) -> String {
+    fn request_text(&self, id: &str, keyed: bool, timeout: Duration) -> String {
         let mut rng = rand::rng();
         let shards = self.shards as usize;
         let count = rng.random_range(1..=MAX_PARTS.min(shards));
@@ -237,14 +254,14 @@
         format!(
             "POST /{class} HTTP/1.1\r\nHost: s\r\nX-Request-ID: {id}\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: {}\r\n{key}\
              Content-Length: {}\r\n\r\n{body}",
-            wait.as_millis(),
+            timeout.as_millis(),
             body.len()
         )
     }
 }
 
 /// Whether the other side has closed a connection that does not block.
-fn has_ended(stream: &TcpStream) -> bool {
+fn peer_has_closed(stream: &TcpStream) -> bool {
     !matches!(stream.peek(&mut [0]), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
 }
 
--- a/crates/wharfhub-testbed/src/soak/history.rs
+++ b/crates/wharfhub-testbed/src/soak/history.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 /// How often the stand-ins look whether they stood still, and what counts as such.
-const STALL_TICK: Duration = Duration::from_millis(5);
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 const MIN_STALL_S: f64 = 0.03;
 
 /// What discovery says of a server.
@@ -23,7 +23,7 @@
 
 /// A version of the list: discovery has it from that time on.
 #[derive(Clone, Debug)]
-pub struct Version {
+pub struct ListVersion {
     /// When.
     pub at: f64,
     /// Each server's phase.
@@ -32,7 +32,7 @@
 
 /// An answer that discovery wrote: it counts as told from then on, whatever becomes of it on the way.
 #[derive(Clone, Copy, Debug)]
-pub struct Notified {
+pub struct DiscoveryAnswer {
     /// To which mixer.
     pub mixer: usize,
     /// When it was written.
@@ -45,7 +45,7 @@
 
 /// How discovery is out of reach.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Absence {
+pub enum DiscoveryFailure {
     /// It closes or refuses calls.
     Down,
     /// It does not answer, and its open watches are silent from then on.
@@ -54,11 +54,11 @@
 
 /// A time in which a mixer could not reach discovery.
 #[derive(Clone, Copy, Debug)]
-pub struct Unreachable {
+pub struct UnreachableSpan {
     /// Which; all of them where there is none.
     pub mixer: Option<usize>,
     /// How.
-    pub absence: Absence,
+    pub failure: DiscoveryFailure,
     /// From when.
     pub from: f64,
     /// To when.
@@ -95,21 +95,21 @@
         status: u16,
     },
     /// The client closed its connection.
-    Left {
+    ClientClosed {
         /// When.
         at: f64,
     },
     /// The connection ended without an answer.
-    Broken {
+    ConnectionLost {
         /// When.
         at: f64,
         /// Whether it was reset: a connection that is closed over bytes that were not read is.
         is_reset: bool,
     },
     /// No answer came by half a second after its time.
-    Silent,
+    TimedOut,
     /// It could not be handed in: nobody accepted the connection.
-    NotTaken,
+    NotAccepted,
 }
 
 /// A request of a client.
@@ -126,7 +126,7 @@
     /// Whether repeats of its parts are discarded by key for a while only.
     pub keyed: bool,
     /// When a kept connection ended under it without an answer, before it was sent once more on a new one.
-    pub broke_on_kept_at: Option<f64>,
+    pub reused_connection_lost_at: Option<f64>,
     /// How it ended.
     pub end: RequestEnd,
 }
@@ -141,13 +141,13 @@
     /// It is killed.
     Killed,
     /// It is gone after that: on a busy machine its sockets outlive the signal.
-    Dead,
+    Reaped,
     /// It was told to end.
-    Terminated,
+    SigtermSent,
     /// It has ended after that.
-    Ended,
+    Exited,
     /// It was killed, for it had not ended by the time that it has for that.
-    KilledAtEnd,
+    KilledAfterSigterm,
     /// It was told of another discovery, or to read its configuration again.
     Reconfigured,
     /// It was stopped.
@@ -157,9 +157,9 @@
     /// It ended by itself.
     Crashed,
     /// Its own guard counted so many violations.
-    Violations(u64),
+    GuardViolations(u64),
     /// Its own guard stopped so many acts.
-    Stops(u64),
+    GuardStops(u64),
 }
 
 /// A process event with its mixer and time.
@@ -186,13 +186,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct History {
     /// Versions of the list, in order.
-    pub versions: Vec<Version>,
+    pub versions: Vec<ListVersion>,
     /// Answers of discovery.
-    pub notified: Vec<Notified>,
+    pub discovery_answers: Vec<DiscoveryAnswer>,
     /// When discovery was out of reach.
-    pub unreachable: Vec<Unreachable>,
+    pub unreachable: Vec<UnreachableSpan>,
     /// When all open watches fell silent.
-    pub silences: Vec<f64>,
+    pub watch_silences: Vec<f64>,
     /// Parts at servers.
     pub calls: Vec<PartCall>,
     /// Requests of clients.
@@ -225,10 +225,10 @@
     }
 
     /// Notes stalls of this process, until `is_over` says so: a thread that wants to run every few milliseconds and does not.
-    pub fn watch_stalls(&self, is_over: impl Fn() -> bool) {
+    pub fn record_stalls(&self, is_over: impl Fn() -> bool) {
         let mut before = self.now();
         while !is_over() {
-            std::thread::sleep(STALL_TICK);
+            std::thread::sleep(STALL_CHECK_INTERVAL);
             let now = self.now();
             if now - before > MIN_STALL_S {
                 self.record(|history| {
@@ -248,7 +248,7 @@
     }
 
     /// Something happened to a process now.
-    pub fn process(&self, mixer: usize, event: ProcessEvent) {
+    pub fn record_process(&self, mixer: usize, event: ProcessEvent) {
         let at = self.now();
         self.record(|history| history.processes.push(ProcessRecord { mixer, at, event }));
     }
--- a/crates/wharfhub-testbed/src/soak/mod.rs
+++ b/crates/wharfhub-testbed/src/soak/mod.rs
@@ -6,9 +6,9 @@
 //! (`processes.rs`) and write down what they see (`history.rs`); afterwards the judge (`judge.rs`) goes through that. The
 //! plan follows from the seed alone; the times of sockets and processes are the machine's.
 
+pub mod checker;
 pub mod clients;
 pub mod history;
-pub mod judge;
 pub mod plan;
 pub mod processes;
 pub mod registry;
--- a/crates/wharfhub-testbed/src/soak/plan.rs
+++ b/crates/wharfhub-testbed/src/soak/plan.rs
@@ -9,30 +9,30 @@
 use rand_chacha::ChaCha8Rng;
 
 /// Processes of a soak, least and most.
-const MIXERS: (usize, usize) = (3, 40);
+const MIXER_COUNTS: (usize, usize) = (3, 40);
 /// Odds that there are few processes, and how many at most.
-const FEW_MIXERS_ODDS: f64 = 0.4;
-const MAX_FEW_MIXERS: usize = 8;
+const SMALL_FLEET_PROBABILITY: f64 = 0.4;
+const MAX_SMALL_FLEET_MIXERS: usize = 8;
 /// Odds that idle clients fill the descriptors of few processes; how many descriptors these have then, and otherwise.
-const CROWD_ODDS: f64 = 0.3;
-const CROWDED_SOCKETS: usize = 192;
+const DESCRIPTOR_SHORTAGE_PROBABILITY: f64 = 0.3;
+const SHORTAGE_SOCKETS: usize = 192;
 const SOCKETS: usize = 512;
 /// The longest wait of a client is one of these (milliseconds).
-const LONGEST_WAITS_MS: [u64; 4] = [900, 900, 1500, 3000];
+const MAX_CLIENT_TIMEOUTS_MS: [u64; 4] = [900, 900, 1500, 3000];
 /// Processes of the quick one.
 const QUICK_MIXERS: usize = 10;
 /// Leaf servers of each cell.
-const SERVERS_EACH_CELL: usize = 4;
-const CELLS: (u32, u32) = (2, 4);
+const SERVERS_PER_CELL: usize = 4;
+const CELL_COUNTS: (u32, u32) = (2, 4);
 /// Time before the first fault and after the last one (seconds).
-const QUIET_BEFORE_S: f64 = 3.0;
-const QUIET_AFTER_S: f64 = 10.0;
+const FAULT_FREE_START_S: f64 = 3.0;
+const FAULT_FREE_END_S: f64 = 10.0;
 /// Time in which faults begin (seconds).
-const FAULTS_S: (f64, f64) = (14.0, 6.0);
+const FAULT_PERIODS_S: (f64, f64) = (14.0, 6.0);
 /// Faults that begin in a second, on average.
-const FAULTS_A_SECOND: f64 = 3.0;
+const FAULTS_PER_S: f64 = 3.0;
 /// What the settings may say of the fleet's size: as many as there are, or so many.
-const NOTIFIED_FLEET_SIZES: [usize; 2] = [300, 860];
+const CONFIGURED_FLEET_SIZES: [usize; 2] = [300, 860];
 
 /// What is judged by.
 #[derive(Clone, Debug)]
@@ -42,13 +42,13 @@
     /// Nothing may go to a server that drains so long after it was told (seconds).
     pub drain_grace_s: f64,
     /// How long repeats of keyed parts are discarded (seconds).
-    pub window_s: f64,
+    pub dedup_window_s: f64,
     /// Length of the soak (seconds).
-    pub length_s: f64,
+    pub duration_s: f64,
     /// Whether lists are pushed.
-    pub pushed: bool,
+    pub lists_pushed: bool,
     /// Whether idle clients fill the descriptors: new connections may be shut unread then.
-    pub is_crowded: bool,
+    pub has_descriptor_shortage: bool,
 }
 
 /// What arrives of an answer that is cut off, before its connection is closed.
@@ -73,7 +73,7 @@
     ];
 
     /// How much arrives of so many bytes.
-    pub fn arriving(self, bytes: usize) -> usize {
+    pub fn arriving_bytes(self, bytes: usize) -> usize {
         match self {
             Cut::NoByte => 0,
             Cut::Half | Cut::HalfThenSilence => bytes / 2,
@@ -220,7 +220,7 @@
 
 /// A fault and when it begins.
 #[derive(Clone, Debug)]
-pub struct Planned {
+pub struct PlannedFault {
     /// When (seconds).
     pub at: f64,
     /// What.
@@ -239,72 +239,81 @@
     /// How many servers there are.
     pub servers: usize,
     /// What the settings say of the fleet's size.
-    pub notified_size: usize,
+    pub configured_fleet_size: usize,
     /// Descriptors of each mixer.
     pub sockets: usize,
     /// How long a client waits for its answer, at most (milliseconds).
-    pub longest_wait_ms: u64,
+    pub max_client_timeout_ms: u64,
     /// Whether attempts may be cancelled, and two may be in flight.
-    pub cancel: bool,
+    pub allows_cancelling: bool,
     /// Whether two attempts of a part may be in flight.
-    pub copies: bool,
+    pub allows_second_copies: bool,
     /// The faults, in order of time.
-    pub faults: Vec<Planned>,
+    pub faults: Vec<PlannedFault>,
 }
 
 impl Plan {
     /// The plan of a seed.
     pub fn draw(seed: u64, quick: bool) -> Plan {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let max = if rng.random_bool(FEW_MIXERS_ODDS) {
-            MAX_FEW_MIXERS
+        let max = if rng.random_bool(SMALL_FLEET_PROBABILITY) {
+            MAX_SMALL_FLEET_MIXERS
         } else {
-            MIXERS.1
+            MIXER_COUNTS.1
         };
         let mixers = if quick {
             QUICK_MIXERS
         } else {
-            rng.random_range(MIXERS.0..=max)
+            rng.random_range(MIXER_COUNTS.0..=max)
         };
-        let is_crowded = mixers <= QUICK_MIXERS && rng.random_bool(CROWD_ODDS);
-        let cells = rng.random_range(CELLS.0..=CELLS.1);
-        let servers = cells as usize * SERVERS_EACH_CELL;
-        let faults_s = if quick { FAULTS_S.1 } else { FAULTS_S.0 };
-        let count = (faults_s * FAULTS_A_SECOND) as usize;
-        let mut faults: Vec<Planned> = (0..count)
-            .map(|_| Planned {
-                at: QUIET_BEFORE_S + rng.random_range(0.0..faults_s),
+        let has_descriptor_shortage =
+            mixers <= QUICK_MIXERS && rng.random_bool(DESCRIPTOR_SHORTAGE_PROBABILITY);
+        let cells = rng.random_range(CELL_COUNTS.0..=CELL_COUNTS.1);
+        let servers = cells as usize * SERVERS_PER_CELL;
+        let fault_period_s = if quick {
+            FAULT_PERIODS_S.1
+        } else {
+            FAULT_PERIODS_S.0
+        };
+        let count = (fault_period_s * FAULTS_PER_S) as usize;
+        let mut faults: Vec<PlannedFault> = (0..count)
+            .map(|_| PlannedFault {
+                at: FAULT_FREE_START_S + rng.random_range(0.0..fault_period_s),
                 fault: draw_fault(&mut rng, mixers, servers),
             })
             .collect();
         faults.sort_by(|a, b| a.at.total_cmp(&b.at));
-        let sizes = [mixers, NOTIFIED_FLEET_SIZES[0], NOTIFIED_FLEET_SIZES[1]];
+        let fleet_sizes = [mixers, CONFIGURED_FLEET_SIZES[0], CONFIGURED_FLEET_SIZES[1]];
         Plan {
             seed,
             terms: Terms {
                 mixers,
                 drain_grace_s: *[0.5, 0.5, 0.7, 2.0].choose(&mut rng).unwrap_or(&0.5),
-                window_s: 1.0,
-                length_s: QUIET_BEFORE_S + faults_s + QUIET_AFTER_S,
-                pushed: rng.random_bool(0.25),
-                is_crowded,
+                dedup_window_s: 1.0,
+                duration_s: FAULT_FREE_START_S + fault_period_s + FAULT_FREE_END_S,
+                lists_pushed: rng.random_bool(0.25),
+                has_descriptor_shortage,
             },
             cells,
             servers,
-            notified_size: *sizes.choose(&mut rng).unwrap_or(&mixers),
-            sockets: if is_crowded { CROWDED_SOCKETS } else { SOCKETS },
-            longest_wait_ms: *LONGEST_WAITS_MS
+            configured_fleet_size: *fleet_sizes.choose(&mut rng).unwrap_or(&mixers),
+            sockets: if has_descriptor_shortage {
+                SHORTAGE_SOCKETS
+            } else {
+                SOCKETS
+            },
+            max_client_timeout_ms: *MAX_CLIENT_TIMEOUTS_MS
                 .choose(&mut rng)
-                .unwrap_or(&LONGEST_WAITS_MS[0]),
-            cancel: rng.random_bool(0.75),
-            copies: rng.random_bool(0.75),
+                .unwrap_or(&MAX_CLIENT_TIMEOUTS_MS[0]),
+            allows_cancelling: rng.random_bool(0.75),
+            allows_second_copies: rng.random_bool(0.75),
             faults,
         }
     }
 
     /// How long a client waits for its answer, at most (seconds).
-    pub fn longest_wait_s(&self) -> f64 {
-        self.longest_wait_ms as f64 / 1000.0
+    pub fn max_client_timeout_s(&self) -> f64 {
+        self.max_client_timeout_ms as f64 / 1000.0
     }
 
     /// The cell of a server.
@@ -313,7 +322,7 @@
     }
 }
 
-fn draw_some(rng: &mut ChaCha8Rng, count: usize, share: f64) -> Vec<usize> {
+fn draw_subset(rng: &mut ChaCha8Rng, count: usize, share: f64) -> Vec<usize> {
     (0..count).filter(|_| rng.random_bool(share)).collect()
 }
 
@@ -362,7 +371,7 @@
         kind @ 16..=26 => draw_server_fault(rng, kind, target, servers),
         _ => InjectedFault::DrainCut {
             server: target.server,
-            mixers: draw_some(rng, mixers, 0.6),
+            mixers: draw_subset(rng, mixers, 0.6),
             count: rng.random_range(1..=3),
             cut: draw_cut(rng),
             outage_s: if rng.random_bool(0.3) {
@@ -388,7 +397,7 @@
             down_s: rng.random_range(0.2..7.0),
         },
         3 => InjectedFault::KillMany {
-            mixers: draw_some(rng, mixers, 0.6),
+            mixers: draw_subset(rng, mixers, 0.6),
             down_s: rng.random_range(0.2..5.0),
         },
         4..=5 => InjectedFault::Terminate {
@@ -429,7 +438,7 @@
             for_s: rng.random_range(0.5..9.0),
         },
         11 => InjectedFault::DiscoveryHangs {
-            mixers: draw_some(rng, mixers, 0.4),
+            mixers: draw_subset(rng, mixers, 0.4),
             for_s,
         },
         12 => InjectedFault::DiscoverySlow {
@@ -467,7 +476,7 @@
             let share = rng.random_range(0.1..0.4);
             let back_s = noticed_s + rng.random_range(0.5..6.0);
             InjectedFault::Die {
-                servers: draw_some(rng, servers, share),
+                servers: draw_subset(rng, servers, share),
                 noticed_s,
                 back_s,
             }
--- a/crates/wharfhub-testbed/src/soak/processes.rs
+++ b/crates/wharfhub-testbed/src/soak/processes.rs
@@ -15,18 +15,18 @@
 use std::time::{Duration, Instant};
 
 /// How often a process is looked at.
-const TICK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// A process listens within this time.
-const MAX_START: Duration = Duration::from_secs(2);
+const MAX_LISTEN_DELAY: Duration = Duration::from_secs(2);
 /// A process that was told to end is killed so long after that, and its clients' longest wait (seconds): the operators' term.
-const KILLED_AFTER_S: f64 = 0.7;
+const KILL_DELAY_S: f64 = 0.7;
 /// A client's wait counts as so much at most there (seconds).
-const MAX_COUNTED_WAIT_S: f64 = 3.0;
+const MAX_COUNTED_TIMEOUT_S: f64 = 3.0;
 /// The classes' deadline is at least this (seconds).
 const MIN_DEADLINE_S: f64 = 1.0;
 /// What is read of the guard's counts.
-const VIOLATIONS: &str = "svc_violations_total";
-const STOPS: &str = "svc_guard_stops_total";
+const VIOLATIONS_METRIC: &str = "svc_violations_total";
+const GUARD_STOPS_METRIC: &str = "svc_guard_stops_total";
 
 /// A signal that a soak sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -76,9 +76,9 @@
              \"limits\":{{\"sockets\":{sockets},\"memory_mb\":64}},\"known\":{known},\"settings\":{settings}}}"
         );
         // Whole or not at all: a process may be reading it.
-        let fresh = path.with_extension("new");
-        std::fs::write(&fresh, text)?;
-        std::fs::rename(&fresh, path)
+        let new_path = path.with_extension("new");
+        std::fs::write(&new_path, text)?;
+        std::fs::rename(&new_path, path)
     }
 }
 
@@ -91,7 +91,7 @@
     child: Mutex<Option<Child>>,
     recorder: Arc<Recorder>,
     /// When it is killed after it was told to end.
-    end_within: Duration,
+    kill_delay: Duration,
 }
 
 impl Drop for MixerProcess {
@@ -107,8 +107,8 @@
 /// An address of this machine at which nobody listens, on a loopback address of the mixer's own: no other socket gets its
 /// port before the mixer does.
 fn free_address(mixer: usize) -> io::Result<SocketAddr> {
-    let own = std::net::Ipv4Addr::new(127, 9, 0, (mixer % 250) as u8 + 1);
-    TcpListener::bind((own, 0))?.local_addr()
+    let loopback = std::net::Ipv4Addr::new(127, 9, 0, (mixer % 250) as u8 + 1);
+    TcpListener::bind((loopback, 0))?.local_addr()
 }
 
 impl MixerProcess {
@@ -138,8 +138,8 @@
             log: folder.join(format!("m{number}.log")),
             child: Mutex::new(None),
             recorder: recorder.clone(),
-            end_within: Duration::from_secs_f64(
-                plan.longest_wait_s().min(MAX_COUNTED_WAIT_S) + KILLED_AFTER_S,
+            kill_delay: Duration::from_secs_f64(
+                plan.max_client_timeout_s().min(MAX_COUNTED_TIMEOUT_S) + KILL_DELAY_S,
             ),
         })
     }
@@ -159,7 +159,8 @@
             .env_remove("LB_DISCOVERY")
             .stderr(Stdio::piped())
             .spawn()?;
-        self.recorder.process(self.number, ProcessEvent::Started);
+        self.recorder
+            .record_process(self.number, ProcessEvent::Started);
         let errors = child.stderr.take().ok_or(io::ErrorKind::BrokenPipe)?;
         let mut log = File::options().create(true).append(true).open(&self.log)?;
         let recorder = self.recorder.clone();
@@ -180,12 +181,12 @@
 
     /// Waits until it answers; says whether it did.
     pub fn await_listener(&self) -> bool {
-        let until = Instant::now() + MAX_START;
+        let until = Instant::now() + MAX_LISTEN_DELAY;
         while clients::get(self.address(), "/-/healthy").is_err() {
             if Instant::now() > until {
                 return false;
             }
-            std::thread::sleep(TICK);
+            std::thread::sleep(POLL_INTERVAL);
         }
         true
     }
@@ -202,48 +203,52 @@
     }
 
     /// Writes a configuration address of discovery, and has it read.
-    pub fn move_to(&self, discovery: SocketAddr, known: &str) -> io::Result<()> {
+    pub fn reconfigure(&self, discovery: SocketAddr, known: &str) -> io::Result<()> {
         self.config.write(discovery, known)?;
         self.recorder
-            .process(self.number, ProcessEvent::Reconfigured);
+            .record_process(self.number, ProcessEvent::Reconfigured);
         self.signal(Signal::HangUp)
     }
 
     /// Whether a process of it runs.
-    pub fn runs(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         lock(&self.child).is_some()
     }
 
     /// Notes a process that has ended by itself.
-    pub fn look(&self) {
+    pub fn record_crash(&self) {
         let mut child = lock(&self.child);
         if child
             .as_mut()
             .is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))))
         {
             *child = None;
-            self.recorder.process(self.number, ProcessEvent::Crashed);
+            self.recorder
+                .record_process(self.number, ProcessEvent::Crashed);
         }
     }
 
     /// Kills it.
     pub fn kill(&self) {
         if let Some(mut child) = lock(&self.child).take() {
-            self.recorder.process(self.number, ProcessEvent::Killed);
+            self.recorder
+                .record_process(self.number, ProcessEvent::Killed);
             let _ = child.kill();
             let _ = child.wait();
-            self.recorder.process(self.number, ProcessEvent::Dead);
+            self.recorder
+                .record_process(self.number, ProcessEvent::Reaped);
         }
     }
 
     /// Tells it to end, sends it other signals meanwhile, each so long after the one before, and waits until it has ended or
     /// is killed.
     pub fn terminate(&self, series: &[(Signal, Duration)]) -> io::Result<()> {
-        if !self.runs() {
+        if !self.is_running() {
             return Ok(());
         }
-        self.recorder.process(self.number, ProcessEvent::Terminated);
-        let until = Instant::now() + self.end_within;
+        self.recorder
+            .record_process(self.number, ProcessEvent::SigtermSent);
+        let until = Instant::now() + self.kill_delay;
         self.signal(Signal::Terminate)?;
         for (signal, after) in series {
             std::thread::sleep((*after).min(until.saturating_duration_since(Instant::now())));
@@ -255,20 +260,21 @@
         while child.try_wait()?.is_none() {
             if Instant::now() > until {
                 self.recorder
-                    .process(self.number, ProcessEvent::KilledAtEnd);
+                    .record_process(self.number, ProcessEvent::KilledAfterSigterm);
                 child.kill()?;
                 child.wait()?;
                 return Ok(());
             }
-            std::thread::sleep(TICK);
+            std::thread::sleep(POLL_INTERVAL);
         }
-        self.recorder.process(self.number, ProcessEvent::Ended);
+        self.recorder
+            .record_process(self.number, ProcessEvent::Exited);
         Ok(())
     }
 
     /// Notes what its guard has counted since its start.
-    pub fn note_guard(&self) {
-        if !self.runs() {
+    pub fn record_guard_counters(&self) {
+        if !self.is_running() {
             return;
         }
         let Ok((_, text)) = clients::get(self.address(), "/-/figures") else {
@@ -277,18 +283,22 @@
         let sum = |name: &str| {
             text.lines()
                 .filter(|line| line.starts_with(name))
-                .filter_map(count)
+                .filter_map(parse_count)
                 .sum()
         };
-        self.recorder
-            .process(self.number, ProcessEvent::Violations(sum(VIOLATIONS)));
-        self.recorder
-            .process(self.number, ProcessEvent::Stops(sum(STOPS)));
+        self.recorder.record_process(
+            self.number,
+            ProcessEvent::GuardViolations(sum(VIOLATIONS_METRIC)),
+        );
+        self.recorder.record_process(
+            self.number,
+            ProcessEvent::GuardStops(sum(GUARD_STOPS_METRIC)),
+        );
     }
 }
 
 /// The count at the end of a line of figures.
-fn count(line: &str) -> Option<u64> {
+fn parse_count(line: &str) -> Option<u64> {
     line.rsplit(' ').next()?.parse().ok()
 }
 
@@ -297,30 +307,30 @@
     let Plan {
         terms,
         cells,
-        notified_size,
-        cancel,
-        copies,
+        configured_fleet_size,
+        allows_cancelling,
+        allows_second_copies,
         ..
     } = plan;
-    let give_up_s = plan.longest_wait_s().max(MIN_DEADLINE_S);
-    let mode = if terms.pushed {
+    let deadline_s = plan.max_client_timeout_s().max(MIN_DEADLINE_S);
+    let mode = if terms.lists_pushed {
         "automatic"
     } else {
         "subscribe"
     };
     let shards = cells * 2;
     format!(
-        "{{\"categories\":[{{\"name\":\"slot\",\"aimS\":0.4,\"giveUpS\":{give_up_s},\"effect\":\"retryable\",\"lateWorth\":0.3,\
-         \"worth\":1.0}},{{\"name\":\"hold\",\"aimS\":0.4,\"giveUpS\":{give_up_s},\"effect\":\"dedup\",\"windowS\":{window_s},\
+        "{{\"categories\":[{{\"name\":\"slot\",\"aimS\":0.4,\"giveUpS\":{deadline_s},\"effect\":\"retryable\",\"lateWorth\":0.3,\
+         \"worth\":1.0}},{{\"name\":\"hold\",\"aimS\":0.4,\"giveUpS\":{deadline_s},\"effect\":\"dedup\",\"windowS\":{dedup_window_s},\
          \"lateWorth\":0.1,\"worth\":2.0}}],\"tenants\":[{{\"name\":\"acme\",\"share\":1.0,\"allowancePerS\":100000.0}}],\
-         \"zones\":[\"a\"],\"myZone\":0,\"replicasOfMe\":{notified_size},\"roundS\":0.005,\"discovery\":\"{mode}\",\
+         \"zones\":[\"a\"],\"myZone\":0,\"replicasOfMe\":{configured_fleet_size},\"roundS\":0.005,\"discovery\":\"{mode}\",\
          \"familyInfo\":{{\"cells\":{cells},\"inARow\":2,\"slabs\":{shards},\"perCall\":1,\"classPartial\":[0.9,0.9],\
          \"completeFrom\":[1.0,1.0],\"floorByClass\":[1.0,1.0],\"followUp\":[0,0]}},\
-         \"permissions\":{{\"cancelling\":{cancel},\"connIdleS\":4.0,\"connectTimeoutS\":0.25,\"maxRetryAfterS\":2.0,\
-         \"mostHeld\":200,\"retryAfter\":true,\"secondCopies\":{copies},\"sendCap\":4,\"streamsPerConn\":32}},\
+         \"permissions\":{{\"cancelling\":{allows_cancelling},\"connIdleS\":4.0,\"connectTimeoutS\":0.25,\"maxRetryAfterS\":2.0,\
+         \"mostHeld\":200,\"retryAfter\":true,\"secondCopies\":{allows_second_copies},\"sendCap\":4,\"streamsPerConn\":32}},\
          \"rules\":{{\"askWithinS\":10.0,\"coldFrom\":0.5,\"coldS\":3.0,\"drainGraceS\":{grace_s},\"fallMultiple\":2.5,\
          \"overloadForS\":1.5}}}}",
-        window_s = terms.window_s,
+        dedup_window_s = terms.dedup_window_s,
         grace_s = terms.drain_grace_s,
     )
 }
--- a/crates/wharfhub-testbed/src/soak/registry.rs
+++ b/crates/wharfhub-testbed/src/soak/registry.rs
@@ -4,7 +4,9 @@
 //! way: it counts as told all the same.
 //! This file must never decide which fault comes when.
 
-use super::history::{Absence, Notified, Recorder, ServerPhase, Unreachable, Version};
+use super::history::{
+    DiscoveryAnswer, DiscoveryFailure, ListVersion, Recorder, ServerPhase, UnreachableSpan,
+};
 use super::plan::Cut;
 use crate::standin::lock;
 use std::fmt::Write as _;
@@ -14,13 +16,13 @@
 use std::time::Duration;
 
 /// Longest sleep between two looks at a fault.
-const TICK: Duration = Duration::from_millis(10);
+const FAULT_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// Headers that a call may have.
 const MAX_HEADERS: usize = 64;
 /// The answer to each call in some outages.
-const REFUSAL: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+const REFUSED_RESPONSE: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 /// Addresses of discovery for each mixer: a new configuration moves it from one to the next.
-pub const ADDRESSES_EACH: usize = 2;
+pub const ADDRESSES_PER_MIXER: usize = 2;
 
 /// A server of the list.
 #[derive(Clone, Debug)]
@@ -43,11 +45,11 @@
     /// Which servers each version changed; the first one lists all.
     changes: Vec<Vec<usize>>,
     outage: Option<Outage>,
-    hanging: Vec<bool>, // by mixer
-    known: Vec<String>, // by mixer: the complete list as it was last told
+    unresponsive: Vec<bool>,  // by mixer
+    known_lists: Vec<String>, // by mixer: the complete list as it was last told
     delay_s: f64,
-    cuts: Option<Cut>,
-    cuts_left: Vec<(usize, Cut)>, // by mixer: so many answers more are cut
+    cut_all: Option<Cut>,
+    pending_cuts: Vec<(usize, Cut)>, // by mixer: so many answers more are cut
     /// Watches that were opened before these counts went up are silent, or reset.
     silences: u64,
     resets: u64,
@@ -65,12 +67,12 @@
 impl State {
     /// How the next answer to a mixer is cut, if it is.
     fn take_cut(&mut self, mixer: usize) -> Option<Cut> {
-        let (left, cut) = &mut self.cuts_left[mixer];
+        let (left, cut) = &mut self.pending_cuts[mixer];
         if *left > 0 {
             *left -= 1;
             return Some(*cut);
         }
-        self.cuts
+        self.cut_all
     }
 
     fn version(&self) -> usize {
@@ -78,7 +80,7 @@
     }
 }
 
-struct Inside {
+struct Shared {
     state: Mutex<State>,
     changed: Condvar,
     recorder: Arc<Recorder>,
@@ -87,14 +89,14 @@
 /// A discovery that runs. Its threads end with the process.
 #[derive(Clone)]
 pub struct Registry {
-    inside: Arc<Inside>,
+    shared: Arc<Shared>,
     /// The addresses for each mixer.
-    pub addresses: Vec<[SocketAddr; ADDRESSES_EACH]>,
+    pub addresses: Vec<[SocketAddr; ADDRESSES_PER_MIXER]>,
 }
 
 /// What a mixer asks.
 #[derive(Clone, Copy)]
-struct Call {
+struct ListCall {
     since: Option<usize>,
     wait: Duration,
 }
@@ -109,38 +111,41 @@
         let mut state = State {
             changes: vec![(0..servers.len()).collect()],
             servers,
-            hanging: vec![false; mixers],
-            cuts_left: vec![(0, Cut::NoByte); mixers],
+            unresponsive: vec![false; mixers],
+            pending_cuts: vec![(0, Cut::NoByte); mixers],
             ..State::default()
         };
-        state.known = vec![state.complete_list(); mixers];
-        let inside = Arc::new(Inside {
+        state.known_lists = vec![state.complete_list(); mixers];
+        let shared = Arc::new(Shared {
             state: Mutex::new(state),
             changed: Condvar::new(),
             recorder: recorder.clone(),
         });
-        inside.record_version(&lock(&inside.state));
+        shared.record_version(&lock(&shared.state));
         let mut addresses = Vec::new();
         for mixer in 0..mixers {
-            addresses.push([listen(&inside, mixer)?, listen(&inside, mixer)?]);
+            addresses.push([
+                listen_for_mixer(&shared, mixer)?,
+                listen_for_mixer(&shared, mixer)?,
+            ]);
         }
-        Ok(Registry { inside, addresses })
+        Ok(Registry { shared, addresses })
     }
 
     /// The list as a configuration's `known` has it: the one that a mixer last had.
     pub fn known(&self, mixer: usize) -> String {
-        lock(&self.inside.state).known[mixer].clone()
+        lock(&self.shared.state).known_lists[mixer].clone()
     }
 
     /// Changes servers: a new version.
     pub fn change(&self, changed: &[usize], change: impl Fn(&mut ListedServer)) {
-        let mut state = lock(&self.inside.state);
+        let mut state = lock(&self.shared.state);
         for server in changed {
             change(&mut state.servers[*server]);
         }
         state.changes.push(changed.to_vec());
-        self.inside.record_version(&state);
-        self.inside.changed.notify_all();
+        self.shared.record_version(&state);
+        self.shared.changed.notify_all();
     }
 
     /// Goes down, which ends all watches, or comes back.
@@ -149,11 +154,11 @@
     }
 
     /// Does not answer these mixers, or does so again.
-    pub fn set_hanging(&self, mixers: &[usize], hangs: bool) {
+    pub fn set_unresponsive(&self, mixers: &[usize], hangs: bool) {
         self.update(|state| {
             mixers
                 .iter()
-                .for_each(|mixer| state.hanging[*mixer] = hangs)
+                .for_each(|mixer| state.unresponsive[*mixer] = hangs)
         });
     }
 
@@ -163,8 +168,8 @@
     }
 
     /// Cuts all answers off, or none any more.
-    pub fn set_cuts(&self, cuts: Option<Cut>) {
-        self.update(|state| state.cuts = cuts);
+    pub fn set_cut_all(&self, cut: Option<Cut>) {
+        self.update(|state| state.cut_all = cut);
     }
 
     /// Cuts the next answers to these mixers off, so many each.
@@ -172,17 +177,17 @@
         self.update(|state| {
             mixers
                 .iter()
-                .for_each(|mixer| state.cuts_left[*mixer] = (count, cut))
+                .for_each(|mixer| state.pending_cuts[*mixer] = (count, cut))
         });
     }
 
     /// All open watches tell nothing any more.
     pub fn silence_watches(&self) {
-        let at = self.inside.recorder.now();
+        let at = self.shared.recorder.now();
         self.update(|state| state.silences += 1);
-        self.inside
+        self.shared
             .recorder
-            .record(|history| history.silences.push(at));
+            .record(|history| history.watch_silences.push(at));
     }
 
     /// All open watches are reset.
@@ -191,26 +196,31 @@
     }
 
     /// Some mixers could not reach it from then until now.
-    pub fn was_unreachable(&self, mixers: Option<&[usize]>, absence: Absence, from: f64) {
-        let to = self.inside.recorder.now();
-        let span = |mixer: Option<usize>| Unreachable {
+    pub fn record_unreachable(
+        &self,
+        mixers: Option<&[usize]>,
+        failure: DiscoveryFailure,
+        from: f64,
+    ) {
+        let to = self.shared.recorder.now();
+        let span = |mixer: Option<usize>| UnreachableSpan {
             mixer,
-            absence,
+            failure,
             from,
             to,
         };
-        let spans: Vec<Unreachable> = match mixers {
+        let spans: Vec<UnreachableSpan> = match mixers {
             None => vec![span(None)],
             Some(mixers) => mixers.iter().map(|mixer| span(Some(*mixer))).collect(),
         };
-        self.inside
+        self.shared
             .recorder
             .record(|history| history.unreachable.extend(spans));
     }
 
     fn update(&self, change: impl FnOnce(&mut State)) {
-        change(&mut lock(&self.inside.state));
-        self.inside.changed.notify_all();
+        change(&mut lock(&self.shared.state));
+        self.shared.changed.notify_all();
     }
 }
 
@@ -249,7 +259,7 @@
         self.list((0..self.servers.len()).collect(), true)
     }
 
-    fn answer(&self, call: Call) -> String {
+    fn list_since(&self, call: ListCall) -> String {
         match call.since.filter(|since| *since <= self.version()) {
             None => self.complete_list(),
             Some(since) => {
@@ -262,15 +272,15 @@
     }
 }
 
-impl Inside {
+impl Shared {
     fn record_version(&self, state: &State) {
         let at = self.recorder.now();
         let phases = state.servers.iter().map(|server| server.phase).collect();
         self.recorder
-            .record(|history| history.versions.push(Version { at, phases }));
+            .record(|history| history.versions.push(ListVersion { at, phases }));
     }
 
-    fn serve(&self, stream: TcpStream, mixer: usize) -> io::Result<()> {
+    fn serve_connection(&self, stream: TcpStream, mixer: usize) -> io::Result<()> {
         if lock(&self.state).outage == Some(Outage::Closes) {
             return Ok(());
         }
@@ -278,26 +288,26 @@
         let mut reader = BufReader::new(stream);
         loop {
             let call = read_call(&mut reader)?;
-            let Some(answer) = self.wait_for(mixer, call) else {
+            let Some(answer) = self.await_reply(mixer, call) else {
                 return Ok(());
             };
             match answer {
-                Answered::Text { text, version, cut } => {
-                    self.write(reader.get_mut(), mixer, &text, version, cut)?;
+                Reply::List { text, version, cut } => {
+                    self.write_list(reader.get_mut(), mixer, &text, version, cut)?;
                     match cut {
                         None => {}
-                        Some(Cut::HalfThenSilence) => return await_close(reader.get_mut()),
+                        Some(Cut::HalfThenSilence) => return await_peer_close(reader.get_mut()),
                         Some(_) => return Ok(()),
                     }
                 }
-                Answered::Refused => reader.get_mut().write_all(REFUSAL)?,
-                Answered::Never => return await_close(reader.get_mut()),
+                Reply::Refused => reader.get_mut().write_all(REFUSED_RESPONSE)?,
+                Reply::Silence => return await_peer_close(reader.get_mut()),
             }
         }
     }
 
     /// Waits until a call is to be answered. Nothing: its connection ends.
-    fn wait_for(&self, mixer: usize, call: Call) -> Option<Answered> {
+    fn await_reply(&self, mixer: usize, call: ListCall) -> Option<Reply> {
         let began = std::time::Instant::now();
         let mut state = lock(&self.state);
         let (silences, resets) = (state.silences, state.resets);
@@ -306,33 +316,36 @@
         loop {
             match state.outage {
                 Some(Outage::Closes) => return None,
-                Some(Outage::Refuses) => return Some(Answered::Refused),
+                Some(Outage::Refuses) => return Some(Reply::Refused),
                 None if waits && state.resets > resets => return None,
                 None => {}
             }
-            if state.hanging[mixer] || (waits && state.silences > silences) {
-                return Some(Answered::Never);
+            if state.unresponsive[mixer] || (waits && state.silences > silences) {
+                return Some(Reply::Silence);
             }
-            let has_news = call.since.is_none_or(|since| since != state.version());
+            let has_other_version = call.since.is_none_or(|since| since != state.version());
             let is_due = if waits {
-                has_news || began.elapsed() >= call.wait
+                has_other_version || began.elapsed() >= call.wait
             } else {
                 began.elapsed() >= delay
             };
             if is_due {
-                let (text, version, cut) =
-                    (state.answer(call), state.version(), state.take_cut(mixer));
-                return Some(Answered::Text { text, version, cut });
+                let (text, version, cut) = (
+                    state.list_since(call),
+                    state.version(),
+                    state.take_cut(mixer),
+                );
+                return Some(Reply::List { text, version, cut });
             }
             state = self
                 .changed
-                .wait_timeout(state, TICK)
+                .wait_timeout(state, FAULT_CHECK_INTERVAL)
                 .unwrap_or_else(|broken| broken.into_inner())
                 .0;
         }
     }
 
-    fn write(
+    fn write_list(
         &self,
         stream: &mut TcpStream,
         mixer: usize,
@@ -340,51 +353,51 @@
         version: usize,
         cut: Option<Cut>,
     ) -> io::Result<()> {
-        if has_closed(stream)? {
+        if peer_has_closed(stream)? {
             return Ok(()); // the call was given up
         }
-        let complete = format!(
+        let response = format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
             text.len()
         );
         let is_cut = cut.is_some();
-        let arriving = cut.map_or(complete.len(), |cut| cut.arriving(complete.len()));
+        let arriving_bytes = cut.map_or(response.len(), |cut| cut.arriving_bytes(response.len()));
         let at = self.recorder.now();
         self.recorder.record(|history| {
-            history.notified.push(Notified {
+            history.discovery_answers.push(DiscoveryAnswer {
                 mixer,
                 at,
                 version,
                 is_cut,
             })
         });
-        stream.write_all(&complete.as_bytes()[..arriving])?;
+        stream.write_all(&response.as_bytes()[..arriving_bytes])?;
         let mut state = lock(&self.state);
         if version == state.version() && !is_cut {
-            state.known[mixer] = state.complete_list();
+            state.known_lists[mixer] = state.complete_list();
         }
         Ok(())
     }
 }
 
-enum Answered {
-    Text {
+enum Reply {
+    List {
         text: String,
         version: usize,
         cut: Option<Cut>,
     },
     Refused,
-    Never,
+    Silence,
 }
 
 /// Silent, until the mixer closes the connection.
-fn await_close(stream: &mut TcpStream) -> io::Result<()> {
+fn await_peer_close(stream: &mut TcpStream) -> io::Result<()> {
     while stream.read(&mut [0; 512])? > 0 {}
     Ok(())
 }
 
 /// Whether the other side has closed a connection.
-fn has_closed(stream: &TcpStream) -> io::Result<bool> {
+fn peer_has_closed(stream: &TcpStream) -> io::Result<bool> {
     stream.set_nonblocking(true)?;
     let peeked = stream.peek(&mut [0]);
     stream.set_nonblocking(false)?;
@@ -394,21 +407,21 @@
     }
 }
 
-fn listen(inside: &Arc<Inside>, mixer: usize) -> io::Result<SocketAddr> {
+fn listen_for_mixer(shared: &Arc<Shared>, mixer: usize) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
-    let inside = inside.clone();
+    let shared = shared.clone();
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let inside = inside.clone();
+            let shared = shared.clone();
             // A call that can't be answered ends its connection.
-            std::thread::spawn(move || inside.serve(stream, mixer));
+            std::thread::spawn(move || shared.serve_connection(stream, mixer));
         }
     });
     Ok(address)
 }
 
-fn read_call(reader: &mut BufReader<TcpStream>) -> io::Result<Call> {
+fn read_call(reader: &mut BufReader<TcpStream>) -> io::Result<ListCall> {
     let mut line = String::new();
     if reader.read_line(&mut line)? == 0 {
         return Err(io::ErrorKind::UnexpectedEof.into());
@@ -421,12 +434,12 @@
             .ok()
     };
     let since =
-        number("index=").and_then(|notified| usize::try_from(notified).ok()?.checked_sub(1));
+        number("index=").and_then(|revision| usize::try_from(revision).ok()?.checked_sub(1));
     let wait = Duration::from_millis(number("wait=").unwrap_or(0));
     for _ in 0..MAX_HEADERS {
         let mut header = String::new();
         if reader.read_line(&mut header)? <= 2 {
-            return Ok(Call { since, wait });
+            return Ok(ListCall { since, wait });
         }
     }
     Err(io::ErrorKind::InvalidData.into())
--- a/crates/wharfhub-testbed/src/soak/run.rs
+++ b/crates/wharfhub-testbed/src/soak/run.rs
@@ -3,12 +3,12 @@
 //! Each fault that lasts has a thread of its own, so that faults overlap as the plan has them. All that was started ends
 //! with the soak.
 
-use super::clients::Front;
-use super::history::{Absence, History, ProcessEvent, Recorder, RequestEnd, ServerPhase};
-use super::judge::{Judge, Violation};
-use super::plan::{Cut, InjectedFault, Plan, Planned};
+use super::checker::{Checker, Violation};
+use super::clients::ClientPool;
+use super::history::{DiscoveryFailure, History, ProcessEvent, Recorder, RequestEnd, ServerPhase};
+use super::plan::{Cut, InjectedFault, Plan, PlannedFault};
 use super::processes::{MixerProcess, Signal};
-use super::registry::{ListedServer, Outage, Registry, ADDRESSES_EACH};
+use super::registry::{ListedServer, Outage, Registry, ADDRESSES_PER_MIXER};
 use super::servers::{Behavior, LeafServer};
 use std::io;
 use std::path::Path;
@@ -17,17 +17,17 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// Clients of each mixer.
-const CLIENTS_EACH: usize = 2;
-const TICK: Duration = Duration::from_millis(20);
+const CLIENTS_PER_MIXER: usize = 2;
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// A server that drains under answers that are cut is gone and back so much later (seconds).
 const CUT_DRAIN_GONE_S: f64 = 4.0;
 const CUT_DRAIN_BACK_S: f64 = 6.0;
 /// After SIGTERM new connections still come for so long: the front has not noticed yet.
-const NOTICED_S: f64 = 0.3;
+const NEW_CONNECTIONS_AFTER_SIGTERM_S: f64 = 0.3;
 /// Requests still come on kept connections; the last of them have ended so long after the longest wait (seconds).
-const LAST_REQUESTS_S: f64 = 0.7;
+const LAST_REQUESTS_MARGIN_S: f64 = 0.7;
 /// Idle clients of each mixer in a crowd.
-const CROWD_EACH: usize = 160;
+const IDLE_CLIENTS_PER_MIXER: usize = 160;
 
 /// What came of a soak.
 #[derive(Debug)]
@@ -37,11 +37,11 @@
     /// Requests that were taken, and of these the served, refused, failed and left ones.
     pub requests: RequestCounts,
     /// The share of requests that were served in the quiet time at the end.
-    pub served_at_the_end: f64,
+    pub final_served_share: f64,
     /// Parts that came to servers.
     pub calls: usize,
     /// Acts that the mixers' guards stopped.
-    pub stops: u64,
+    pub guard_stops: u64,
     /// How long the stand-ins stood still themselves (seconds).
     pub stalled_s: f64,
 }
@@ -58,9 +58,9 @@
     /// Other answers.
     pub failed: usize,
     /// Clients that left.
-    pub left: usize,
+    pub closed_by_client: usize,
     /// Nobody took them.
-    pub not_taken: usize,
+    pub not_accepted: usize,
     /// No answer.
     pub unanswered: usize,
 }
@@ -76,9 +76,9 @@
                     status: 429 | 503, ..
                 } => &mut counts.refused,
                 RequestEnd::Answered { .. } => &mut counts.failed,
-                RequestEnd::Left { .. } => &mut counts.left,
-                RequestEnd::NotTaken => &mut counts.not_taken,
-                RequestEnd::Broken { .. } | RequestEnd::Silent => &mut counts.unanswered,
+                RequestEnd::ClientClosed { .. } => &mut counts.closed_by_client,
+                RequestEnd::NotAccepted => &mut counts.not_accepted,
+                RequestEnd::ConnectionLost { .. } | RequestEnd::TimedOut => &mut counts.unanswered,
             };
             *kind += 1;
         }
@@ -87,104 +87,106 @@
 }
 
 /// Everybody who takes part.
-struct Stage {
+struct SoakRun {
     recorder: Arc<Recorder>,
     registry: Registry,
     servers: Vec<LeafServer>,
     mixers: Vec<Mixer>,
-    front: Arc<Front>,
-    length_s: f64,
+    client_pool: Arc<ClientPool>,
+    duration_s: f64,
     /// Faults of one kind that hold at the same time: the last one to end takes it back.
-    discovery_down: AtomicUsize,
-    clients_leave: AtomicUsize,
+    outage_faults: AtomicUsize,
+    early_close_faults: AtomicUsize,
 }
 
 /// A mixer, and the address of discovery that its configuration names now.
 struct Mixer {
     process: MixerProcess,
     /// Held while its process is changed: kills, restarts and stops of one mixer come one after the other.
-    changing: Mutex<()>,
+    process_lock: Mutex<()>,
     discovery: AtomicUsize,
 }
 
 impl Mixer {
-    fn change(&self) -> MutexGuard<'_, ()> {
-        crate::standin::lock(&self.changing)
+    fn lock_process(&self) -> MutexGuard<'_, ()> {
+        crate::standin::lock(&self.process_lock)
     }
 }
 
 /// Plays a plan. Logs of the mixers go to that folder.
-pub fn play(plan: &Plan, folder: &Path) -> io::Result<(History, Outcome)> {
+pub fn run_plan(plan: &Plan, folder: &Path) -> io::Result<(History, Outcome)> {
     std::fs::create_dir_all(folder)?;
-    let stage = Arc::new(Stage::set(plan, folder)?);
-    stage.open();
-    let clients: Vec<_> = (0..plan.terms.mixers * CLIENTS_EACH)
+    let soak = Arc::new(SoakRun::new(plan, folder)?);
+    soak.start_mixers();
+    let clients: Vec<_> = (0..plan.terms.mixers * CLIENTS_PER_MIXER)
         .map(|client| {
-            let front = stage.front.clone();
-            std::thread::spawn(move || front.run_client(client / CLIENTS_EACH))
+            let client_pool = soak.client_pool.clone();
+            std::thread::spawn(move || client_pool.run_client(client / CLIENTS_PER_MIXER))
         })
         .collect();
-    let crowd: Vec<_> = (0..plan.terms.mixers)
-        .filter(|_| plan.terms.is_crowded)
+    let idle_clients: Vec<_> = (0..plan.terms.mixers)
+        .filter(|_| plan.terms.has_descriptor_shortage)
         .map(|mixer| {
-            let front = stage.front.clone();
-            std::thread::spawn(move || front.crowd(mixer, CROWD_EACH))
+            let client_pool = soak.client_pool.clone();
+            std::thread::spawn(move || client_pool.run_idle_clients(mixer, IDLE_CLIENTS_PER_MIXER))
         })
         .collect();
-    let front = stage.front.clone();
-    let recorder = stage.recorder.clone();
-    let watch =
-        std::thread::spawn(move || recorder.watch_stalls(|| front.is_over.load(Ordering::Relaxed)));
+    let client_pool = soak.client_pool.clone();
+    let recorder = soak.recorder.clone();
+    let stall_watch = std::thread::spawn(move || {
+        recorder.record_stalls(|| client_pool.is_over.load(Ordering::Relaxed))
+    });
     let faults: Vec<_> = plan
         .faults
         .iter()
         .map(|planned| {
-            let (stage, planned) = (stage.clone(), planned.clone());
-            std::thread::spawn(move || stage.inflict(&planned))
+            let (soak, planned) = (soak.clone(), planned.clone());
+            std::thread::spawn(move || soak.inject(&planned))
         })
         .collect();
-    while stage.recorder.now() < plan.terms.length_s {
-        stage.look();
-        std::thread::sleep(TICK);
+    while soak.recorder.now() < plan.terms.duration_s {
+        soak.poll_mixers();
+        std::thread::sleep(POLL_INTERVAL);
     }
-    stage.front.is_over.store(true, Ordering::Relaxed);
+    soak.client_pool.is_over.store(true, Ordering::Relaxed);
     faults.into_iter().for_each(|thread| drop(thread.join()));
     clients
         .into_iter()
-        .chain(crowd)
+        .chain(idle_clients)
         .for_each(|thread| drop(thread.join()));
-    drop(watch.join());
+    drop(stall_watch.join());
     std::thread::sleep(Duration::from_secs_f64(
-        plan.longest_wait_s() + LAST_REQUESTS_S,
+        plan.max_client_timeout_s() + LAST_REQUESTS_MARGIN_S,
     ));
-    stage
-        .mixers
+    soak.mixers
         .iter()
-        .for_each(|mixer| mixer.process.note_guard());
-    let history = stage.recorder.history();
+        .for_each(|mixer| mixer.process.record_guard_counters());
+    let history = soak.recorder.history();
     let outcome = outcome(plan, &history);
     Ok((history, outcome))
 }
 
 fn outcome(plan: &Plan, history: &History) -> Outcome {
     let quiet_from = plan.faults.iter().map(fault_ends_at).fold(0.0, f64::max);
-    let last_s = (plan.terms.length_s - 2.0).max(quiet_from.min(plan.terms.length_s - 1.0));
-    let last = RequestCounts::of(
+    let final_from_s =
+        (plan.terms.duration_s - 2.0).max(quiet_from.min(plan.terms.duration_s - 1.0));
+    let final_counts = RequestCounts::of(
         history
             .requests
             .iter()
-            .filter(|request| request.at > last_s),
+            .filter(|request| request.at > final_from_s),
     );
     let stops = history.processes.iter().map(|record| match record.event {
-        ProcessEvent::Stops(count) => count,
+        ProcessEvent::GuardStops(count) => count,
         _ => 0,
     });
     Outcome {
-        violations: Judge::judge(history, &plan.terms),
+        violations: Checker::check(history, &plan.terms),
         requests: RequestCounts::of(history.requests.iter()),
-        served_at_the_end: last.served as f64 / (last.all - last.left).max(1) as f64,
+        final_served_share: final_counts.served as f64
+            / (final_counts.all - final_counts.closed_by_client).max(1) as f64,
         calls: history.calls.len(),
-        stops: stops.sum(),
+        guard_stops: stops.sum(),
         stalled_s: history
             .stalls
             .iter()
@@ -194,8 +196,8 @@
 }
 
 /// When a fault is over (seconds).
-fn fault_ends_at(planned: &Planned) -> f64 {
-    let lasts_s = match &planned.fault {
+fn fault_ends_at(planned: &PlannedFault) -> f64 {
+    let duration_s = match &planned.fault {
         InjectedFault::Kill { down_s, .. } | InjectedFault::KillMany { down_s, .. } => *down_s,
         InjectedFault::Stop { for_s, .. }
         | InjectedFault::DiscoveryDown { for_s, .. }
@@ -214,17 +216,17 @@
         | InjectedFault::WatchesSilent
         | InjectedFault::WatchesReset => 0.0,
     };
-    planned.at + lasts_s
+    planned.at + duration_s
 }
 
-fn unix_ms() -> u64 {
+fn unix_time_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |since| since.as_millis() as u64)
 }
 
-impl Stage {
-    fn set(plan: &Plan, folder: &Path) -> io::Result<Stage> {
+impl SoakRun {
+    fn new(plan: &Plan, folder: &Path) -> io::Result<SoakRun> {
         let recorder = Arc::new(Recorder::default());
         let servers: Vec<LeafServer> = (0..plan.servers)
             .map(|number| LeafServer::start(number, &recorder))
@@ -245,34 +247,34 @@
                 let process = MixerProcess::new(number, plan, folder, &recorder)?;
                 Ok(Mixer {
                     process,
-                    changing: Mutex::default(),
+                    process_lock: Mutex::default(),
                     discovery: AtomicUsize::default(),
                 })
             })
             .collect::<io::Result<_>>()?;
         let addresses = mixers.iter().map(|mixer| mixer.process.address()).collect();
-        let front = Arc::new(Front::new(
+        let client_pool = Arc::new(ClientPool::new(
             addresses,
             plan.cells * 2,
-            plan.longest_wait_ms,
+            plan.max_client_timeout_ms,
             recorder.clone(),
         ));
-        let (discovery_down, clients_leave) = (AtomicUsize::default(), AtomicUsize::default());
-        let length_s = plan.terms.length_s;
-        Ok(Stage {
+        let (outage_faults, early_close_faults) = (AtomicUsize::default(), AtomicUsize::default());
+        let duration_s = plan.terms.duration_s;
+        Ok(SoakRun {
             recorder,
             registry,
             servers,
             mixers,
-            front,
-            length_s,
-            discovery_down,
-            clients_leave,
+            client_pool,
+            duration_s,
+            outage_faults,
+            early_close_faults,
         })
     }
 
     /// Starts all mixers.
-    fn open(&self) {
+    fn start_mixers(&self) {
         for number in 0..self.mixers.len() {
             self.start(number);
         }
@@ -283,42 +285,46 @@
         let address = self.registry.addresses[number][mixer.discovery.load(Ordering::Relaxed)];
         if let Err(error) = mixer.process.start(address, &self.registry.known(number)) {
             eprintln!("soak: m{number} can't be started: {error}");
-            self.recorder.process(number, ProcessEvent::Crashed);
+            self.recorder.record_process(number, ProcessEvent::Crashed);
         }
     }
 
     /// Notes processes that have ended by themselves, and leads clients to those that are ready.
-    fn look(&self) {
+    fn poll_mixers(&self) {
         for (number, mixer) in self.mixers.iter().enumerate() {
             // One that is just being changed is looked at next time.
-            let Ok(_changing) = mixer.changing.try_lock() else {
+            let Ok(_process_lock) = mixer.process_lock.try_lock() else {
                 continue;
             };
-            mixer.process.look();
-            let admission = &self.front.admissions[number];
-            if mixer.process.runs()
-                && !admission.is_open.load(Ordering::Relaxed)
+            mixer.process.record_crash();
+            let routing = &self.client_pool.routing[number];
+            if mixer.process.is_running()
+                && !routing.is_in_rotation.load(Ordering::Relaxed)
                 && mixer.process.is_ready()
             {
-                self.recorder.process(number, ProcessEvent::Ready);
-                admission.takes_new.store(true, Ordering::Relaxed);
-                admission.is_open.store(true, Ordering::Relaxed);
+                self.recorder.record_process(number, ProcessEvent::Ready);
+                routing
+                    .allows_new_connections
+                    .store(true, Ordering::Relaxed);
+                routing.is_in_rotation.store(true, Ordering::Relaxed);
             }
         }
     }
 
     /// The front sends no new clients there.
     fn stop_new_clients(&self, number: usize) {
-        let admission = &self.front.admissions[number];
-        admission.is_open.store(false, Ordering::Relaxed);
-        admission.takes_new.store(false, Ordering::Relaxed);
+        let routing = &self.client_pool.routing[number];
+        routing.is_in_rotation.store(false, Ordering::Relaxed);
+        routing
+            .allows_new_connections
+            .store(false, Ordering::Relaxed);
     }
 
     fn sleep(&self, seconds: f64) {
         std::thread::sleep(Duration::from_secs_f64(seconds.max(0.0)));
     }
 
-    fn inflict(&self, planned: &Planned) {
+    fn inject(&self, planned: &PlannedFault) {
         self.sleep(planned.at - self.recorder.now());
         match &planned.fault {
             InjectedFault::Kill { mixer, down_s } => self.kill(*mixer, *down_s),
@@ -359,17 +365,19 @@
                 servers,
                 noticed_s,
                 back_s,
-            } => self.die(servers, *noticed_s, *back_s),
+            } => self.kill_servers(servers, *noticed_s, *back_s),
             InjectedFault::ServerHangs { server, for_s } => {
-                self.fault(*server, *for_s, |behavior, on| behavior.hangs = on);
+                self.inject_server_fault(*server, *for_s, |behavior, on| behavior.hangs = on);
             }
             InjectedFault::ServerResets { server, for_s } => {
-                self.fault(*server, *for_s, |behavior, on| behavior.resets = on);
+                self.inject_server_fault(*server, *for_s, |behavior, on| behavior.resets = on);
             }
             InjectedFault::ServerFull { server, for_s } => {
-                self.fault(*server, *for_s, |behavior, on| behavior.is_full = on);
+                self.inject_server_fault(*server, *for_s, |behavior, on| {
+                    behavior.is_overloaded = on
+                });
             }
-            InjectedFault::ClientsLeave { for_s } => self.clients_leave(*for_s),
+            InjectedFault::ClientsLeave { for_s } => self.close_clients_early(*for_s),
         }
     }
 
@@ -382,9 +390,9 @@
     }
 
     fn answers_cut(&self, cut: Cut, for_s: f64) {
-        self.registry.set_cuts(Some(cut));
+        self.registry.set_cut_all(Some(cut));
         self.sleep(for_s);
-        self.registry.set_cuts(None);
+        self.registry.set_cut_all(None);
     }
 
     fn discovery_slow(&self, by_s: f64, for_s: f64) {
@@ -395,27 +403,29 @@
 
     fn kill(&self, number: usize, down_s: f64) {
         let mixer = &self.mixers[number];
-        let _changing = mixer.change();
-        if !mixer.process.runs() {
+        let _process_lock = mixer.lock_process();
+        if !mixer.process.is_running() {
             return;
         }
         // The front goes on to lead clients there until it has noticed; nobody accepts them.
         mixer.process.kill();
         self.stop_new_clients(number);
-        self.sleep(down_s.min(self.length_s - self.recorder.now() - 1.0));
+        self.sleep(down_s.min(self.duration_s - self.recorder.now() - 1.0));
         self.start(number);
     }
 
     fn terminate(&self, number: usize, series: &[(Signal, f64)]) {
         let mixer = &self.mixers[number];
-        let _changing = mixer.change();
-        let admission = &self.front.admissions[number];
+        let _process_lock = mixer.lock_process();
+        let routing = &self.client_pool.routing[number];
         // Clients go on with what they have, and new connections still come for a while.
         std::thread::scope(|scope| {
             scope.spawn(|| {
-                self.sleep(NOTICED_S);
-                admission.takes_new.store(false, Ordering::Relaxed);
-                admission.is_open.store(false, Ordering::Relaxed);
+                self.sleep(NEW_CONNECTIONS_AFTER_SIGTERM_S);
+                routing
+                    .allows_new_connections
+                    .store(false, Ordering::Relaxed);
+                routing.is_in_rotation.store(false, Ordering::Relaxed);
             });
             let series: Vec<(Signal, Duration)> = series
                 .iter()
@@ -430,14 +440,15 @@
 
     fn stop(&self, number: usize, for_s: f64) {
         let mixer = &self.mixers[number];
-        let _changing = mixer.change();
-        if !mixer.process.runs() {
+        let _process_lock = mixer.lock_process();
+        if !mixer.process.is_running() {
             return;
         }
-        self.recorder.process(number, ProcessEvent::Stopped);
+        self.recorder.record_process(number, ProcessEvent::Stopped);
         let stopped = mixer.process.signal(Signal::Stop);
         self.sleep(for_s);
-        self.recorder.process(number, ProcessEvent::Continued);
+        self.recorder
+            .record_process(number, ProcessEvent::Continued);
         let continued = mixer.process.signal(Signal::Continue);
         if let Err(error) = stopped.and(continued) {
             eprintln!("soak: m{number}: {error}");
@@ -446,15 +457,15 @@
 
     fn move_discovery(&self, number: usize) {
         let mixer = &self.mixers[number];
-        let _changing = mixer.change();
-        let index = (mixer.discovery.load(Ordering::Relaxed) + 1) % ADDRESSES_EACH;
+        let _process_lock = mixer.lock_process();
+        let index = (mixer.discovery.load(Ordering::Relaxed) + 1) % ADDRESSES_PER_MIXER;
         mixer.discovery.store(index, Ordering::Relaxed);
         // Before its first instruction a process has no handler, and SIGHUP would end it, as any other.
-        if mixer.process.runs() && mixer.process.await_listener() {
+        if mixer.process.is_running() && mixer.process.await_listener() {
             let known = self.registry.known(number);
             if let Err(error) = mixer
                 .process
-                .move_to(self.registry.addresses[number][index], &known)
+                .reconfigure(self.registry.addresses[number][index], &known)
             {
                 eprintln!("soak: m{number}: {error}");
             }
@@ -464,13 +475,16 @@
     /// The same configuration, some times in a row.
     fn reread(&self, number: usize, times: usize, every_s: f64) {
         let mixer = &self.mixers[number];
-        let _changing = mixer.change();
-        if !mixer.process.runs() || !mixer.process.await_listener() {
+        let _process_lock = mixer.lock_process();
+        if !mixer.process.is_running() || !mixer.process.await_listener() {
             return;
         }
         for _ in 0..times {
             let address = self.registry.addresses[number][mixer.discovery.load(Ordering::Relaxed)];
-            if let Err(error) = mixer.process.move_to(address, &self.registry.known(number)) {
+            if let Err(error) = mixer
+                .process
+                .reconfigure(address, &self.registry.known(number))
+            {
                 eprintln!("soak: m{number}: {error}");
             }
             self.sleep(every_s);
@@ -479,68 +493,73 @@
 
     fn discovery_down(&self, outage: Outage, for_s: f64) {
         let from = self.recorder.now();
-        self.discovery_down.fetch_add(1, Ordering::Relaxed);
+        self.outage_faults.fetch_add(1, Ordering::Relaxed);
         self.registry.set_outage(Some(outage));
         self.sleep(for_s);
-        if self.discovery_down.fetch_sub(1, Ordering::Relaxed) == 1 {
+        if self.outage_faults.fetch_sub(1, Ordering::Relaxed) == 1 {
             self.registry.set_outage(None);
         }
-        self.registry.was_unreachable(None, Absence::Down, from);
+        self.registry
+            .record_unreachable(None, DiscoveryFailure::Down, from);
     }
 
     fn discovery_hangs(&self, mixers: &[usize], for_s: f64) {
         let from = self.recorder.now();
-        self.registry.set_hanging(mixers, true);
+        self.registry.set_unresponsive(mixers, true);
         self.sleep(for_s);
-        self.registry.set_hanging(mixers, false);
+        self.registry.set_unresponsive(mixers, false);
         self.registry
-            .was_unreachable(Some(mixers), Absence::Silent, from);
+            .record_unreachable(Some(mixers), DiscoveryFailure::Silent, from);
     }
 
     fn drain(&self, server: usize, gone_s: f64, back_s: f64) {
         self.registry
             .change(&[server], |line| line.phase = ServerPhase::Draining);
         self.sleep(gone_s);
-        self.servers[server].behave(|behavior| behavior.is_dead = true);
+        self.servers[server].update_behavior(|behavior| behavior.is_down = true);
         self.registry
             .change(&[server], |line| line.phase = ServerPhase::Gone);
         self.sleep(back_s - gone_s);
-        self.bring_back(&[server]);
+        self.restore_servers(&[server]);
     }
 
-    fn die(&self, servers: &[usize], noticed_s: f64, back_s: f64) {
-        servers
-            .iter()
-            .for_each(|server| self.servers[*server].behave(|behavior| behavior.is_dead = true));
+    fn kill_servers(&self, servers: &[usize], noticed_s: f64, back_s: f64) {
+        servers.iter().for_each(|server| {
+            self.servers[*server].update_behavior(|behavior| behavior.is_down = true)
+        });
         self.sleep(noticed_s);
         self.registry
             .change(servers, |line| line.phase = ServerPhase::Gone);
         self.sleep(back_s - noticed_s);
-        self.bring_back(servers);
+        self.restore_servers(servers);
     }
 
-    fn bring_back(&self, servers: &[usize]) {
-        servers
-            .iter()
-            .for_each(|server| self.servers[*server].behave(|behavior| behavior.is_dead = false));
-        let up_since_ms = unix_ms();
+    fn restore_servers(&self, servers: &[usize]) {
+        servers.iter().for_each(|server| {
+            self.servers[*server].update_behavior(|behavior| behavior.is_down = false)
+        });
+        let up_since_ms = unix_time_ms();
         self.registry.change(servers, |line| {
             (line.phase, line.up_since_ms) = (ServerPhase::Ready, up_since_ms);
         });
     }
 
-    fn fault(&self, server: usize, for_s: f64, set: impl Fn(&mut Behavior, bool)) {
-        self.servers[server].behave(|behavior| set(behavior, true));
+    fn inject_server_fault(&self, server: usize, for_s: f64, set: impl Fn(&mut Behavior, bool)) {
+        self.servers[server].update_behavior(|behavior| set(behavior, true));
         self.sleep(for_s);
-        self.servers[server].behave(|behavior| set(behavior, false));
+        self.servers[server].update_behavior(|behavior| set(behavior, false));
     }
 
-    fn clients_leave(&self, for_s: f64) {
-        self.clients_leave.fetch_add(1, Ordering::Relaxed);
-        self.front.clients_leave.store(true, Ordering::Relaxed);
+    fn close_clients_early(&self, for_s: f64) {
+        self.early_close_faults.fetch_add(1, Ordering::Relaxed);
+        self.client_pool
+            .clients_close_early
+            .store(true, Ordering::Relaxed);
         self.sleep(for_s);
-        if self.clients_leave.fetch_sub(1, Ordering::Relaxed) == 1 {
-            self.front.clients_leave.store(false, Ordering::Relaxed);
+        if self.early_close_faults.fetch_sub(1, Ordering::Relaxed) == 1 {
+            self.client_pool
+                .clients_close_early
+                .store(false, Ordering::Relaxed);
         }
     }
 }
--- a/crates/wharfhub-testbed/src/soak/servers.rs
+++ b/crates/wharfhub-testbed/src/soak/servers.rs
@@ -15,24 +15,24 @@
 /// Time that a part takes, at least and at most (milliseconds).
 const SERVICE_MS: (u64, u64) = (2, 25);
 /// Odds that a call on a server that resets connections meets a reset.
-const RESET_ODDS: f64 = 0.3;
+const RESET_PROBABILITY: f64 = 0.3;
 /// Odds that a server that is full turns a part away.
-const FULL_ODDS: f64 = 0.5;
+const REJECT_PROBABILITY: f64 = 0.5;
 /// How often the listener looks whether its server is alive.
-const ACCEPT_TICK: Duration = Duration::from_millis(2);
+const ACCEPT_POLL_INTERVAL: Duration = Duration::from_millis(2);
 const MAX_FRAME_BYTES: usize = 1 << 20;
 
 /// How a server behaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Behavior {
     /// Its process does not run.
-    pub is_dead: bool,
+    pub is_down: bool,
     /// It answers nothing.
     pub hangs: bool,
     /// It resets connections under its calls.
     pub resets: bool,
     /// It turns work away.
-    pub is_full: bool,
+    pub is_overloaded: bool,
 }
 
 /// An answer that is due, in order of time.
@@ -66,7 +66,7 @@
     answers: BinaryHeap<Reverse<Answer>>,
 }
 
-struct Inside {
+struct Shared {
     number: usize,
     state: Mutex<State>,
     changed: Condvar,
@@ -77,7 +77,7 @@
 pub struct LeafServer {
     /// Where it listens.
     pub address: SocketAddr,
-    inside: Arc<Inside>,
+    shared: Arc<Shared>,
 }
 
 impl LeafServer {
@@ -86,39 +86,39 @@
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let (state, changed, recorder) = (Mutex::default(), Condvar::new(), recorder.clone());
-        let inside = Arc::new(Inside {
+        let shared = Arc::new(Shared {
             number,
             state,
             changed,
             recorder,
         });
-        let (accepting, answering) = (inside.clone(), inside.clone());
-        std::thread::spawn(move || accepting.accept(listener, address));
-        std::thread::spawn(move || answering.answer());
-        Ok(LeafServer { address, inside })
+        let (accepting, writing) = (shared.clone(), shared.clone());
+        std::thread::spawn(move || accepting.accept_connections(listener, address));
+        std::thread::spawn(move || writing.write_answers());
+        Ok(LeafServer { address, shared })
     }
 
     /// Behaves otherwise from now on.
-    pub fn behave(&self, change: impl FnOnce(&mut Behavior)) {
-        let mut state = lock(&self.inside.state);
+    pub fn update_behavior(&self, change: impl FnOnce(&mut Behavior)) {
+        let mut state = lock(&self.shared.state);
         change(&mut state.behavior);
-        if state.behavior.is_dead {
+        if state.behavior.is_down {
             state.answers.clear();
             for connection in state.connections.drain(..) {
                 let _ = connection.shutdown(Shutdown::Both);
             }
         }
-        self.inside.changed.notify_all();
+        self.shared.changed.notify_all();
     }
 }
 
-impl Inside {
+impl Shared {
     /// Accepts while the server is alive; its port is closed meanwhile.
-    fn accept(self: Arc<Inside>, listener: TcpListener, address: SocketAddr) {
+    fn accept_connections(self: Arc<Shared>, listener: TcpListener, address: SocketAddr) {
         let mut listener = Some(listener);
         loop {
-            let is_dead = lock(&self.state).behavior.is_dead;
-            if is_dead {
+            let is_down = lock(&self.state).behavior.is_down;
+            if is_down {
                 listener = None;
             } else if listener.is_none() {
                 listener = TcpListener::bind(address).ok();
@@ -126,19 +126,19 @@
             if let Some(open) = &listener {
                 let _ = open.set_nonblocking(true);
                 while let Ok((stream, _)) = open.accept() {
-                    let inside = self.clone();
+                    let shared = self.clone();
                     // What can't be used ends its connection.
-                    std::thread::spawn(move || inside.serve(stream));
+                    std::thread::spawn(move || shared.read_calls(stream));
                 }
             }
-            std::thread::sleep(ACCEPT_TICK);
+            std::thread::sleep(ACCEPT_POLL_INTERVAL);
         }
     }
 
-    fn serve(&self, mut stream: TcpStream) -> io::Result<()> {
+    fn read_calls(&self, mut stream: TcpStream) -> io::Result<()> {
         stream.set_nonblocking(false)?;
         stream.set_nodelay(true)?;
-        let out = Arc::new(Mutex::new(stream.try_clone()?));
+        let writer = Arc::new(Mutex::new(stream.try_clone()?));
         lock(&self.state).connections.push(stream.try_clone()?);
         let mut length = [0; 4];
         loop {
@@ -150,29 +150,29 @@
             let mut frame = vec![0; length];
             stream.read_exact(&mut frame)?;
             if frame[0] == b'q' {
-                self.take_call(&frame[1..], &out)?;
+                self.receive_call(&frame[1..], &writer)?;
             }
         }
     }
 
     /// Notes each part of a call and puts its answer off until it is due.
-    fn take_call(&self, frame: &[u8], out: &Arc<Mutex<TcpStream>>) -> io::Result<()> {
+    fn receive_call(&self, frame: &[u8], writer: &Arc<Mutex<TcpStream>>) -> io::Result<()> {
         let at = self.recorder.now();
         let behavior = lock(&self.state).behavior;
-        if behavior.is_dead {
+        if behavior.is_down {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
         let mut rng = rand::rng();
-        let resets = behavior.resets && rng.random_bool(RESET_ODDS);
-        for part in parts(frame).ok_or(io::ErrorKind::InvalidData)? {
-            let is_full = behavior.is_full && rng.random_bool(FULL_ODDS);
-            let mixer = mixer_of(&part.request).ok_or(io::ErrorKind::InvalidData)?;
+        let resets = behavior.resets && rng.random_bool(RESET_PROBABILITY);
+        for part in parse_call(frame).ok_or(io::ErrorKind::InvalidData)? {
+            let is_rejected = behavior.is_overloaded && rng.random_bool(REJECT_PROBABILITY);
+            let mixer = mixer_number(&part.request).ok_or(io::ErrorKind::InvalidData)?;
             let PartLine {
                 request,
                 shard,
                 sent_timeout_s,
             } = part;
-            let end = if is_full { "skipped" } else { "served" };
+            let end = if is_rejected { "skipped" } else { "served" };
             let answer = format!("a{request}.{shard} {end} 1 -\nv");
             let call = PartCall {
                 mixer,
@@ -181,7 +181,7 @@
                 server: self.number,
                 at,
                 sent_timeout_s,
-                never_ran: is_full,
+                never_ran: is_rejected,
             };
             self.recorder.record(|history| history.calls.push(call));
             let mut bytes = (answer.len() as u32).to_be_bytes().to_vec();
@@ -192,20 +192,20 @@
                 lock(&self.state).answers.push(Reverse(Answer {
                     due,
                     bytes,
-                    stream: out.clone(),
+                    stream: writer.clone(),
                 }));
                 self.changed.notify_all();
             }
         }
         if resets {
-            let _ = lock(out).shutdown(Shutdown::Both);
+            let _ = lock(writer).shutdown(Shutdown::Both);
             return Err(io::ErrorKind::ConnectionReset.into());
         }
         Ok(())
     }
 
     /// Writes answers when they are due.
-    fn answer(&self) {
+    fn write_answers(&self) {
         let mut state = lock(&self.state);
         loop {
             let now = Instant::now();
@@ -243,7 +243,7 @@
 }
 
 /// Takes a call apart: for each part a line, and so many bytes of text as it says.
-fn parts(mut rest: &[u8]) -> Option<Vec<PartLine>> {
+fn parse_call(mut rest: &[u8]) -> Option<Vec<PartLine>> {
     let mut found = Vec::new();
     while !rest.is_empty() {
         let end = rest.iter().position(|byte| *byte == b'\n')?;
@@ -270,6 +270,6 @@
 }
 
 /// Requests bear the number of their mixer in their names: `m7-...`.
-fn mixer_of(request: &str) -> Option<usize> {
+fn mixer_number(request: &str) -> Option<usize> {
     request.strip_prefix('m')?.split('-').next()?.parse().ok()
 }
--- a/crates/wharfhub-testbed/src/soak/timeline.rs
+++ b/crates/wharfhub-testbed/src/soak/timeline.rs
@@ -4,7 +4,8 @@
 //! This file owns those spans of time. It must never look at anything but the history, and names no broken rule.
 
 use super::history::{
-    Absence, History, Notified, ProcessEvent, ProcessRecord, ServerPhase, Unreachable,
+    DiscoveryAnswer, DiscoveryFailure, History, ProcessEvent, ProcessRecord, ServerPhase,
+    UnreachableSpan,
 };
 use super::plan::Terms;
 
@@ -36,7 +37,11 @@
 
 impl NotificationTimes {
     /// For each process of a mixer.
-    pub(super) fn of_all(history: &History, terms: &Terms, mixer: usize) -> Vec<NotificationTimes> {
+    pub(super) fn of_processes(
+        history: &History,
+        terms: &Terms,
+        mixer: usize,
+    ) -> Vec<NotificationTimes> {
         let starts = history
             .processes
             .iter()
@@ -51,11 +56,11 @@
 
     fn of(history: &History, terms: &Terms, mixer: usize, started_at: f64) -> NotificationTimes {
         let discovery_access = DiscoveryAccess::of(history, mixer);
-        let notified_at = |changed_at: f64| match terms.pushed {
-            true => discovery_access.agent_has_at(changed_at, started_at),
+        let notified_at = |changed_at: f64| match terms.lists_pushed {
+            true => discovery_access.notified_through_agent_at(changed_at, started_at),
             false => discovery_access
-                .undisturbed_since(changed_at, NOTIFIED_AFTER_S)
-                .max(discovery_access.first_reached_at(started_at)),
+                .continuously_reachable_at(changed_at, NOTIFIED_AFTER_S)
+                .max(discovery_access.notified_of_earlier_versions_at(started_at)),
         };
         let mut notified: Vec<f64> = history
             .versions
@@ -63,10 +68,10 @@
             .map(|version| notified_at(version.at))
             .collect();
         // A process starts with the list that the one before last had; what was lost on its way to that one it can't have.
-        let own = |answer: &&Notified| {
+        let own = |answer: &&DiscoveryAnswer| {
             answer.mixer == mixer && (answer.at >= started_at || !answer.is_cut)
         };
-        for answer in history.notified.iter().filter(own) {
+        for answer in history.discovery_answers.iter().filter(own) {
             notified[answer.version] = notified[answer.version].min(answer.at.max(started_at));
         }
         // Who knows a version knows what was changed before it.
@@ -97,36 +102,36 @@
 /// When a mixer could reach discovery, or its agent.
 struct DiscoveryAccess {
     /// When it could not, in order of time.
-    away: Vec<Span>,
+    unreachable: Vec<Span>,
     /// When its open watches fell silent, and until when nothing could be done about it.
-    silent: Vec<Span>,
+    silent_watches: Vec<Span>,
     reconfigured_at: Vec<f64>,
 }
 
 impl DiscoveryAccess {
     fn of(history: &History, mixer: usize) -> DiscoveryAccess {
-        let own = |span: &&Unreachable| span.mixer.is_none_or(|other| other == mixer);
-        let span = |span: &Unreachable| Span {
+        let own = |span: &&UnreachableSpan| span.mixer.is_none_or(|other| other == mixer);
+        let span = |span: &UnreachableSpan| Span {
             from: span.from,
             to: span.to,
         };
-        let mut away: Vec<Span> = history.unreachable.iter().filter(own).map(span).collect();
-        away.sort_by(|a, b| a.from.total_cmp(&b.from));
+        let mut unreachable: Vec<Span> = history.unreachable.iter().filter(own).map(span).collect();
+        unreachable.sort_by(|a, b| a.from.total_cmp(&b.from));
         let fell_silent = history
-            .silences
+            .watch_silences
             .iter()
             .map(|at| Span { from: *at, to: *at });
         let hung = history
             .unreachable
             .iter()
             .filter(own)
-            .filter(|span| span.absence == Absence::Silent);
+            .filter(|span| span.failure == DiscoveryFailure::Silent);
         let reconfigured = |record: &&ProcessRecord| {
             record.mixer == mixer && record.event == ProcessEvent::Reconfigured
         };
         DiscoveryAccess {
-            away,
-            silent: fell_silent.chain(hung.map(span)).collect(),
+            unreachable,
+            silent_watches: fell_silent.chain(hung.map(span)).collect(),
             reconfigured_at: history
                 .processes
                 .iter()
@@ -137,9 +142,9 @@
     }
 
     /// When discovery could be reached for so long on end, from that time on.
-    fn undisturbed_since(&self, from: f64, for_s: f64) -> f64 {
+    fn continuously_reachable_at(&self, from: f64, for_s: f64) -> f64 {
         let mut from = from;
-        for span in &self.away {
+        for span in &self.unreachable {
             if span.overlaps(from, from + for_s) {
                 from = from.max(span.to);
             }
@@ -148,28 +153,32 @@
     }
 
     /// When it can be reached again, at that time at the earliest.
-    fn back_at(&self, from: f64) -> f64 {
-        self.undisturbed_since(from, 0.0)
+    fn reachable_at(&self, from: f64) -> f64 {
+        self.continuously_reachable_at(from, 0.0)
     }
 
     /// What was told before a process was there counts for it from its start on; where it can't reach discovery then, as
     /// any change does from its return on.
-    fn first_reached_at(&self, started_at: f64) -> f64 {
-        let is_away = self
-            .away
+    fn notified_of_earlier_versions_at(&self, started_at: f64) -> f64 {
+        let is_unreachable = self
+            .unreachable
             .iter()
             .any(|span| span.overlaps(started_at, started_at + FIRST_CALL_WITHIN_S));
-        match is_away {
-            true => self.undisturbed_since(started_at, NOTIFIED_AFTER_S),
+        match is_unreachable {
+            true => self.continuously_reachable_at(started_at, NOTIFIED_AFTER_S),
             false => started_at,
         }
     }
 
     /// When a change counts as told where lists are pushed: what the agent has counts, but not yet where the watch on it has
     /// fallen silent, or right after a new configuration.
-    fn agent_has_at(&self, changed_at: f64, started_at: f64) -> f64 {
-        let mut notified_at = self.back_at(changed_at.max(started_at));
-        for span in self.silent.iter().filter(|span| span.to >= started_at) {
+    fn notified_through_agent_at(&self, changed_at: f64, started_at: f64) -> f64 {
+        let mut notified_at = self.reachable_at(changed_at.max(started_at));
+        for span in self
+            .silent_watches
+            .iter()
+            .filter(|span| span.to >= started_at)
+        {
             if (span.from..span.to + NOTIFIED_AFTER_S).contains(&notified_at) {
                 notified_at = span.to + NOTIFIED_AFTER_S;
             }
@@ -179,22 +188,22 @@
                 notified_at = at + NOTIFIED_AFTER_MOVE_S;
             }
         }
-        self.back_at(notified_at)
+        self.reachable_at(notified_at)
     }
 }
 
 /// What is known of the processes of one mixer.
 #[derive(Default)]
-pub(super) struct Processes {
+pub(super) struct ProcessSpans {
     stopped: Vec<Span>,
     /// From the kill, or the end, to the next start.
     down: Vec<Span>,
     killed: Vec<Span>, // without having been told to end, until they were gone
 }
 
-impl Processes {
-    pub(super) fn of(history: &History, mixer: usize) -> Processes {
-        let mut found = Processes::default();
+impl ProcessSpans {
+    pub(super) fn of(history: &History, mixer: usize) -> ProcessSpans {
+        let mut spans = ProcessSpans::default();
         let (mut stopped_at, mut down_from) = (None, None);
         for record in history
             .processes
@@ -205,27 +214,29 @@
                 ProcessEvent::Stopped => stopped_at = Some(record.at),
                 ProcessEvent::Continued => {
                     let from = stopped_at.take().unwrap_or(record.at);
-                    found.stopped.push(Span {
+                    spans.stopped.push(Span {
                         from,
                         to: record.at,
                     });
                 }
                 ProcessEvent::Killed | ProcessEvent::Crashed => {
-                    found.killed.push(Span {
+                    spans.killed.push(Span {
                         from: record.at,
                         to: record.at,
                     });
                     down_from = Some(record.at);
                 }
-                ProcessEvent::Dead => {
-                    if let Some(killed) = found.killed.last_mut() {
+                ProcessEvent::Reaped => {
+                    if let Some(killed) = spans.killed.last_mut() {
                         killed.to = record.at;
                     }
                 }
-                ProcessEvent::Ended | ProcessEvent::KilledAtEnd => down_from = Some(record.at),
+                ProcessEvent::Exited | ProcessEvent::KilledAfterSigterm => {
+                    down_from = Some(record.at)
+                }
                 ProcessEvent::Started => {
                     let from = down_from.take().unwrap_or(f64::NEG_INFINITY);
-                    found.down.push(Span {
+                    spans.down.push(Span {
                         from,
                         to: record.at,
                     });
@@ -233,15 +244,15 @@
                 _ => {}
             }
         }
-        found.down.extend(down_from.map(|from| Span {
+        spans.down.extend(down_from.map(|from| Span {
             from,
             to: f64::INFINITY,
         }));
-        found
+        spans
     }
 
     /// How long it stood still in that time, at most in one piece (seconds).
-    pub(super) fn delayed_s(&self, from: f64, to: f64) -> f64 {
+    pub(super) fn longest_stop_s(&self, from: f64, to: f64) -> f64 {
         let inside = |span: &Span| span.to.min(to) - span.from.max(from);
         self.stopped.iter().map(inside).fold(0.0, f64::max)
     }
