--- a/crates/wharfhub-testbed/src/experiments/soak.rs
+++ b/crates/wharfhub-testbed/src/experiments/soak.rs
@@ -1,4 +1,4 @@
-//! The randomized fault soak: real daemons under faults that overlap in time, judged from outside, over many seeds.
+//! The `soak` experiment: randomized fault soaks of real daemons with consecutive seeds, checked from outside.
 
 use super::{Failure, Options, Verdict};
 use crate::report::Table;
@@ -8,19 +8,19 @@
 use std::io;
 use std::path::Path;
 
-/// Soaks of a full run, one after the other.
+/// Number of soaks in a full run.
 const SEEDS: u64 = 20;
-/// Soaks of a quick one.
+/// Number of soaks in a quick run.
 const QUICK_SEEDS: u64 = 3;
-/// The part of the experiment that plays its first seed alone, at full size.
+/// Name of the part of the experiment that runs a soak with the first seed only.
 const ONE_SEED: &str = "one";
-/// In the quiet time at the end at least this share is served.
+/// Smallest share of requests that have to be served in the last seconds of a soak, when faults have ended.
 const MIN_FINAL_SERVED_SHARE: f64 = 0.9;
-/// Broken rules that are printed of each soak.
+/// Largest number of violations printed for a soak.
 const MAX_PRINTED_VIOLATIONS: usize = 8;
-/// Lines of the mixers' logs that are printed of a soak with broken rules.
+/// Largest number of lines of the mixers' logs printed for a soak with violations.
 const MAX_PRINTED_LOG_LINES: usize = 40;
-/// What such a line contains: what a mixer found of its own acts, and when it was stopped.
+/// Texts by which log lines are selected for printing: the findings of the mixers' invariant guards, and stalls of the process.
 const PRINTED_LOG_TEXTS: [&str; 3] = [
     "invariant violated",
     "invariant undecided",
@@ -59,7 +59,7 @@
     for violation in &outcome.violations {
         *count_by_rule.entry(violation.rule).or_default() += 1;
     }
-    println!("seed {}: broken {count_by_rule:?}", plan.seed);
+    println!("seed {}: violations {count_by_rule:?}", plan.seed);
     for violation in outcome.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         println!(
             "  {:7.3} {:?}: {}",
@@ -71,7 +71,7 @@
     }
 }
 
-/// Prints what the mixers found of their own acts: the folder with their logs does not outlive a run in CI.
+/// Prints the selected lines of the mixers' logs, because the folder with the logs is not kept after a run in CI.
 fn print_log_lines(folder: &Path) -> io::Result<()> {
     let mut lines = Vec::new();
     for entry in std::fs::read_dir(folder)? {
@@ -86,7 +86,7 @@
         println!("{line}");
     }
     if lines.len() > MAX_PRINTED_LOG_LINES {
-        println!("  and {} lines more", lines.len() - MAX_PRINTED_LOG_LINES);
+        println!("  and {} more lines", lines.len() - MAX_PRINTED_LOG_LINES);
     }
     Ok(())
 }
@@ -127,13 +127,13 @@
             print_violations(&plan, &outcome);
             print_log_lines(&folder)?;
             shortfalls.push(format!(
-                "seed {seed}: {} rules broken",
+                "seed {seed}: {} violations",
                 outcome.violations.len()
             ));
         }
         if outcome.final_served_share < MIN_FINAL_SERVED_SHARE {
             shortfalls.push(format!(
-                "seed {seed}: {:.3} served at the end",
+                "seed {seed}: {:.3} of the requests served at the end",
                 outcome.final_served_share
             ));
         }
--- a/crates/wharfhub-testbed/src/soak/checker.rs
+++ b/crates/wharfhub-testbed/src/soak/checker.rs
@@ -1,72 +1,79 @@
-//! The judge of a soak: goes through what was seen and names each broken rule.
+//! Checks the recorded history of a soak against the operators' terms and reports each violation.
 //!
-//! The rules are the operators' terms: what discovery has written to a mixer counts as told, whether or not it has arrived; a
-//! change counts as told 6 s after discovery had it and could be reached, and where lists are pushed as soon as the agent has
-//! it; what was told binds a mixer after the drain grace. Nothing is begun for a client that left; each request that was taken gets its final answer; keyed parts are repeated within their
-//! window only; servers are told to work no longer than clients wait; processes don't crash and are ready in time. This file
-//! must never look at anything but the history.
+//! A mixer counts as notified of a change once discovery has written an answer with that change to the mixer, even if the answer
+//! did not arrive, and at the latest 6 s after discovery had the change and could be reached. Where lists are pushed, the mixer
+//! counts as notified as soon as its agent has the change. From the end of the drain grace after the notification on, the mixer
+//! must not send to a server that is draining or removed.
+//!
+//! In addition, no attempt starts for a client that has disconnected, each accepted request gets its final answer, keyed parts
+//! are repeated only within their deduplication window, the timeout sent to a server is no longer than the client still waits,
+//! and mixer processes do not crash and are ready in time.
+//!
+//! The history is the checker's only input.
 
 use super::history::{History, PartCall, ProcessEvent, ProcessRecord, Request, RequestEnd, Stall};
 use super::plan::Terms;
 use super::timeline::{NotificationTimes, ProcessSpans};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Slack of the rules on sockets (seconds).
+/// Tolerance for sends over sockets that are due by a limit of the terms (seconds).
 const TOLERANCE_S: f64 = 0.05;
-/// What may pass between the write of a mixer and the note of a stand-in, on a busy machine (seconds).
+/// Longest time between a write by a mixer and its record by a stand-in on a busy machine (seconds).
 const MAX_RECORD_DELAY_S: f64 = 0.05;
-/// An attempt for a client that left has begun by then (seconds).
+/// Longest time after a client's disconnect at which an attempt for that client may still start (seconds).
 const MAX_SEND_AFTER_DISCONNECT_S: f64 = 0.1;
-/// The wait that a server is told may exceed what the client still waits by this (seconds).
+/// Amount by which the timeout sent to a server may exceed the time that the client still waits (seconds).
 const SENT_TIMEOUT_TOLERANCE_S: f64 = 0.15;
-/// A mixer has to be ready so long after its start, and nine in ten of those that were restarted so long (seconds).
+/// Time from its start within which each mixer has to be ready (seconds).
 const MAX_TIME_TO_READY_S: f64 = 30.0;
+/// Time from its start within which nine in ten restarted mixers have to be ready (seconds).
 const TARGET_TIME_TO_READY_S: f64 = 10.0;
 const MAX_LATE_RESTART_SHARE: f64 = 0.1;
-/// A process that stood still for longer excuses what was late meanwhile (seconds). The terms allow for less.
+/// A request without an answer is excused if its mixer was stopped for longer than this meanwhile (seconds). The terms leave
+/// room for shorter stops.
 const MAX_UNEXCUSED_STOP_S: f64 = 0.15;
 
-/// A rule of the terms.
+/// A rule of the operators' terms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Nothing to a server that drains or is gone, after the grace.
+    /// No part goes to a draining or removed server after the drain grace.
     Drain,
-    /// Nothing begun for a client that left.
+    /// No attempt starts for a client that has disconnected.
     ClientGone,
-    /// A final answer to each request that was taken.
+    /// Each accepted request gets a final answer.
     Lost,
-    /// Repeats of keyed parts within their window.
+    /// Keyed parts are repeated only within their deduplication window.
     Duplicate,
-    /// The wait that servers are told.
+    /// The timeout sent to a server does not exceed the time that the client still waits.
     SentTimeout,
-    /// No crash, and ready in time.
+    /// Mixer processes do not crash and are ready in time.
     Process,
-    /// The mixer's own guard counted a violation.
+    /// The invariant guard of a mixer counts no violation.
     Invariants,
 }
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// Which.
+    /// The violated rule.
     pub rule: Rule,
-    /// When (seconds).
+    /// Time of the action, or of the request without an answer (seconds since the start of the soak).
     pub at: f64,
-    /// What happened.
+    /// The action that violated the rule, with its mixer and values.
     pub description: String,
 }
 
-/// Goes through a history.
+/// The check of one history.
 pub struct Checker<'a> {
     history: &'a History,
     terms: &'a Terms,
-    notification_times: Vec<Vec<NotificationTimes>>, // by mixer, for each of its processes
+    notification_times: Vec<Vec<NotificationTimes>>, // by mixer and process
     processes: Vec<ProcessSpans>,
     violations: Vec<Violation>,
 }
 
 impl<'a> Checker<'a> {
-    /// Names all broken rules, in order of time.
+    /// Returns all violations in order of time.
     pub fn check(history: &'a History, terms: &'a Terms) -> Vec<Violation> {
         let mixers = 0..terms.mixers;
         let mut checker = Checker {
@@ -116,7 +123,7 @@
         });
     }
 
-    /// How long the stand-ins stood still in that time (seconds).
+    /// Returns for how long the stand-ins were stalled between `from` and `to` (seconds).
     fn stand_in_stall_s(&self, from: f64, to: f64) -> f64 {
         let inside = |stall: &Stall| (stall.to.min(to) - stall.from.max(from)).max(0.0);
         self.history.stalls.iter().map(inside).sum()
@@ -142,7 +149,7 @@
         self.report(
             Rule::Drain,
             call.at,
-            format!("m{mixer} sent {request} to s{server}, told {late_s:.2} s before"),
+            format!("m{mixer} sent {request} to s{server} {late_s:.2} s after it was notified that s{server} is not ready"),
         );
     }
 
@@ -159,7 +166,7 @@
             Rule::ClientGone,
             call.at,
             format!(
-                "m{mixer} began {} at s{server} {late_s:.2} s after its client left",
+                "m{mixer} started {} at s{server} {late_s:.2} s after the client disconnected",
                 request.id
             ),
         );
@@ -180,7 +187,9 @@
         self.report(
             Rule::SentTimeout,
             call.at,
-            format!("m{mixer} told {sent_timeout_s:.3} s for {id}, {left_s:.3} s are left"),
+            format!(
+                "m{mixer} sent a timeout of {sent_timeout_s:.3} s for {id} with {left_s:.3} s left"
+            ),
         );
     }
 
@@ -211,12 +220,13 @@
             self.report(
                 Rule::Duplicate,
                 call.at,
-                format!("m{mixer} repeated {request}.{shard} after {after_s:.2} s"),
+                format!("m{mixer} repeated keyed part {request}.{shard} after {after_s:.2} s"),
             );
         }
     }
 
-    /// A kept connection that ends under a request which the mixer had read: a server knows of it.
+    /// Reports requests on a reused connection that the mixer closed without an answer after it had read them. A part of the
+    /// request that reached a server before the close shows that the mixer had read it.
     fn check_reused_connections(&mut self, requests: &BTreeMap<&str, &Request>) {
         let mut lost: BTreeMap<&str, (&Request, f64)> = BTreeMap::new();
         for call in &self.history.calls {
@@ -234,7 +244,7 @@
             let processes = &self.processes[request.mixer];
             if !processes.was_killed_within(lost_at - 1.0, lost_at + 1.0) {
                 let description = format!(
-                    "m{} {}: read, and its connection closed",
+                    "m{} {}: connection closed without an answer after the request was read",
                     request.mixer, request.id
                 );
                 self.report(Rule::Lost, lost_at, description);
@@ -246,13 +256,13 @@
         let until = request.at + request.timeout_s + 0.5;
         let processes = &self.processes[request.mixer];
         let (ended_at, how) = match request.end {
-            // In a crowd a new connection may be shut unread.
+            // A mixer short of descriptors may close a new connection without reading from it.
             RequestEnd::ConnectionLost { is_reset: true, .. }
                 if self.terms.has_descriptor_shortage && !reached_server =>
             {
                 return
             }
-            RequestEnd::ConnectionLost { at, .. } => (at, "closed with no answer"),
+            RequestEnd::ConnectionLost { at, .. } => (at, "connection closed without an answer"),
             RequestEnd::TimedOut => (until, "no answer in time"),
             _ => return,
         };
@@ -261,7 +271,7 @@
         let was_stopped = processes.longest_stop_s(request.at, until) > MAX_UNEXCUSED_STOP_S;
         if !was_killed && !was_stopped {
             let description = format!(
-                "m{} {} of {:.3} s: {how}",
+                "m{} {} with a timeout of {:.3} s: {how}",
                 request.mixer, request.id, request.timeout_s
             );
             self.report(Rule::Lost, request.at, description);
@@ -276,7 +286,8 @@
                     self.report(Rule::Process, at, format!("m{mixer} crashed"))
                 }
                 ProcessEvent::GuardViolations(count) if count > 0 => {
-                    let description = format!("m{mixer}: its guard counted {count} violations");
+                    let description =
+                        format!("m{mixer}: the invariant guard counted {count} violations");
                     self.report(Rule::Invariants, at, description);
                 }
                 _ => {}
@@ -309,14 +320,15 @@
             .filter(|start| start.time_to_ready_s <= MAX_TIME_TO_READY_S)
         {
             let description = format!(
-                "m{} was ready after {:.1} s, as too many were",
+                "m{} was ready after {:.1} s, as too many restarted mixers were",
                 start.mixer, start.time_to_ready_s
             );
             self.report(Rule::Process, start.at + start.time_to_ready_s, description);
         }
     }
 
-    /// All starts of processes that were left alone until they were ready, or for long enough.
+    /// Returns the starts of processes that were ready before they crashed or got a signal to end, and those still not ready
+    /// at the end of the soak.
     fn starts(&self) -> Vec<Start> {
         let mut starts = Vec::new();
         let mut starting: BTreeMap<usize, f64> = BTreeMap::new();
@@ -357,11 +369,11 @@
     }
 }
 
-/// A start of a process.
+/// A start of a mixer process.
 struct Start {
     mixer: usize,
     at: f64,
-    /// Until it was ready, or the end of the soak (seconds).
+    /// Time until the process was ready, or until the end of the soak, without the longest stop (seconds).
     time_to_ready_s: f64,
     is_restart: bool,
 }
--- a/crates/wharfhub-testbed/src/soak/clients.rs
+++ b/crates/wharfhub-testbed/src/soak/clients.rs
@@ -1,6 +1,6 @@
-//! The clients of a soak: some for each mixer, one request after the other, as the platform's front would lead them.
+//! The clients of a soak: several for each mixer, each with one request at a time, routed as the platform's load balancer would.
 //!
-//! They note how each request ended. This file must never judge.
+//! The end of each request is recorded in the history.
 
 use super::history::{Recorder, Request, RequestEnd};
 use rand::seq::index::sample;
@@ -11,55 +11,57 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Wait between two requests of a client, at most (milliseconds).
+/// Longest pause between two requests of a client (milliseconds).
 const MAX_PAUSE_MS: u64 = 120;
-/// How long a client waits for its answer, at least (milliseconds).
+/// Shortest timeout of a client (milliseconds).
 const MIN_TIMEOUT_MS: u64 = 250;
-/// How long after its timeout a client closes. An answer counts for 0.5 s: a mixer that goes on after a stop right at the end of
-/// that time finds the client gone.
+/// Time from a client's timeout to the close of its connection. Answers count until 0.5 s after the timeout; a mixer that
+/// continues after SIGSTOP right at the end of that period finds the client already disconnected.
 const CLOSE_DELAY_AFTER_TIMEOUT: Duration = Duration::from_millis(400);
-/// Longest single wait for bytes: its end is late by a few milliseconds at most.
+/// Longest single wait for bytes. A receive timeout of this length ends at most a few milliseconds late.
 const MAX_WAIT_SLICE: Duration = Duration::from_millis(100);
-/// Share of the requests of the keyed class.
+/// Share of requests in the class with idempotency keys.
 const KEYED_SHARE: f64 = 0.25;
-/// Odds that a client leaves early, while clients do.
+/// Probability that a client closes its connection before the answer, during the fault that makes clients do so.
 const EARLY_CLOSE_PROBABILITY: f64 = 0.4;
-/// How often readiness is asked.
+/// Pause of a client without a connection while its mixer is out of rotation, in addition to the pause between requests.
 const ROTATION_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// How often idle clients look whether they were sent away.
+/// Interval at which idle clients check whether the mixer has closed their connections.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Largest number of parts of a request.
 const MAX_PARTS: usize = 6;
 
-/// What the clients of one mixer go by.
+/// The routing state of one mixer, as a load balancer in front of the mixers would have it.
 #[derive(Default)]
 pub struct MixerRouting {
-    /// Whether the front leads clients there: the mixer was ready, and has not been told to end or died.
+    /// Whether clients without a connection send requests to the mixer. Set when the mixer is ready, and cleared when it is
+    /// killed or some time after SIGTERM, when a load balancer would have noticed.
     pub is_in_rotation: AtomicBool,
-    /// Whether new connections are made: for some tenths of a second longer than that after SIGTERM.
+    /// Whether clients may open new connections to the mixer.
     pub allows_new_connections: AtomicBool,
 }
 
-/// What all clients go by.
+/// The state that all clients share.
 pub struct ClientPool {
-    /// Where each mixer listens.
+    /// Address at which each mixer listens.
     pub addresses: Vec<SocketAddr>,
-    /// Each mixer's door.
+    /// Routing state of each mixer.
     pub routing: Vec<MixerRouting>,
-    /// Whether clients leave early.
+    /// Whether some clients close their connections before the answer.
     pub clients_close_early: AtomicBool,
     /// Whether the soak is over.
     pub is_over: AtomicBool,
-    /// Shards that there are.
+    /// Number of shards.
     pub shards: u32,
-    /// How long a client waits for its answer, at most (milliseconds).
+    /// Longest timeout of a client (milliseconds).
     pub max_client_timeout_ms: u64,
-    /// Where what is seen is noted.
+    /// Recorder of the history.
     pub recorder: Arc<Recorder>,
     last_request_number: AtomicU64,
 }
 
 impl ClientPool {
-    /// A front before mixers at these addresses, all closed.
+    /// Creates the clients' state for mixers at these addresses, all out of rotation.
     pub fn new(
         addresses: Vec<SocketAddr>,
         shards: u32,
@@ -82,14 +84,14 @@
         self.is_over.load(Ordering::Relaxed)
     }
 
-    /// One client of a mixer, until the soak is over.
+    /// Runs one client of a mixer until the soak is over.
     pub fn run_client(&self, mixer: usize) {
         let mut idle_connection: Option<BufReader<TcpStream>> = None;
         let mut rng = rand::rng();
         while !self.is_over() {
             std::thread::sleep(Duration::from_millis(rng.random_range(0..MAX_PAUSE_MS)));
             if !self.routing[mixer].is_in_rotation.load(Ordering::Relaxed) {
-                // Whoever has a connection goes on with it; SIGKILL or the mixer ends it.
+                // A client with an open connection keeps sending on it until the mixer closes it or is killed.
                 if idle_connection.is_none() {
                     std::thread::sleep(ROTATION_CHECK_INTERVAL);
                     continue;
@@ -99,7 +101,8 @@
         }
     }
 
-    /// Idle clients of a mixer that fill its descriptors, until the soak is over: they connect again where they are sent away.
+    /// Keeps idle connections to a mixer open to use up its descriptors, until the soak is over. Connections that the mixer
+    /// closes are replaced.
     pub fn run_idle_clients(&self, mixer: usize, clients: usize) {
         let mut idle: Vec<TcpStream> = Vec::new();
         while !self.is_over() {
@@ -117,7 +120,8 @@
         }
     }
 
-    /// One request, and once more on a new connection where the end of a kept one crossed it.
+    /// Sends a request and records its end. The request is retried on a new connection if a reused one is closed without an
+    /// answer, as the close may have crossed the request.
     fn send_request(&self, mixer: usize, idle_connection: &mut Option<BufReader<TcpStream>>) {
         let mut rng = rand::rng();
         let number = self.last_request_number.fetch_add(1, Ordering::Relaxed);
@@ -186,8 +190,8 @@
         }
     }
 
-    /// Sends a request and waits for its answer; a connection that stays alive is kept. Gives when it was written, which may
-    /// be long after its connection was begun.
+    /// Sends a request and waits for its answer; a connection that stays alive is kept for the next request. Returns the time
+    /// of the write, which may be long after the connection was opened, and the end of the request.
     fn exchange(
         &self,
         mut stream: BufReader<TcpStream>,
@@ -260,7 +264,7 @@
     }
 }
 
-/// Whether the other side has closed a connection that does not block.
+/// Returns whether the peer has closed a non-blocking connection.
 fn peer_has_closed(stream: &TcpStream) -> bool {
     !matches!(stream.peek(&mut [0]), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
 }
@@ -284,8 +288,9 @@
     )
 }
 
-/// Waits for bytes of an answer, and sets how long the reads after that may take; an error where that time is over. Waits in
-/// slices, because a receive timeout ends late by up to an eighth of its length: a client closes when it is due.
+/// Waits for bytes of an answer, sets the timeout of the reads that follow, and returns an error when `until` has passed. The
+/// wait is split into slices because a receive timeout may end late by an eighth of its length, and a client has to close its
+/// connection on time.
 fn await_bytes(stream: &mut BufReader<TcpStream>, until: Instant) -> io::Result<()> {
     loop {
         let left = until.saturating_duration_since(Instant::now());
@@ -343,7 +348,7 @@
     })
 }
 
-/// Asks a page of a mixer on a connection of its own; gives the status and the body.
+/// Requests a page from a mixer on a separate connection and returns the status and the body.
 pub fn get(address: SocketAddr, target: &str) -> io::Result<(u16, String)> {
     let mut stream = TcpStream::connect(address)?;
     stream.set_read_timeout(Some(Duration::from_secs(2)))?;
--- a/crates/wharfhub-testbed/src/soak/history.rs
+++ b/crates/wharfhub-testbed/src/soak/history.rs
@@ -1,209 +1,210 @@
-//! What the stand-ins of a soak saw, each with its time: the only thing that the judge goes by.
+//! The history of a soak: everything the stand-ins observed, with times. The checker has no other input.
 //!
-//! Times are seconds since the soak began, by one monotonic clock. This file must never judge.
+//! Times are seconds since the start of the soak, taken from one monotonic clock.
 
 use crate::standin::lock;
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// How often the stand-ins look whether they stood still, and what counts as such.
+/// Interval at which the process of the stand-ins checks whether it was stalled.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// Shortest time between two checks that counts as a stall (seconds).
 const MIN_STALL_S: f64 = 0.03;
 
-/// What discovery says of a server.
+/// The phase of a server on the list of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerPhase {
-    /// Something new may go there.
+    /// The server may get new parts.
     Ready,
-    /// It drains.
+    /// The server is draining.
     Draining,
-    /// It is gone.
+    /// The server was removed from the list.
     Gone,
 }
 
-/// A version of the list: discovery has it from that time on.
+/// A version of the list.
 #[derive(Clone, Debug)]
 pub struct ListVersion {
-    /// When.
+    /// Time since which discovery has this version.
     pub at: f64,
-    /// Each server's phase.
+    /// Phases of the servers, by server number.
     pub phases: Vec<ServerPhase>,
 }
 
-/// An answer that discovery wrote: it counts as told from then on, whatever becomes of it on the way.
+/// An answer that discovery wrote. The mixer counts as notified from then on, even if the answer does not arrive.
 #[derive(Clone, Copy, Debug)]
 pub struct DiscoveryAnswer {
-    /// To which mixer.
+    /// Number of the mixer that made the call.
     pub mixer: usize,
-    /// When it was written.
+    /// Time of the write.
     pub at: f64,
-    /// The version, by place.
+    /// Index of the version in [`History::versions`].
     pub version: usize,
-    /// Whether it was cut off on the way.
+    /// Whether the answer was cut off on its way to the mixer.
     pub is_cut: bool,
 }
 
-/// How discovery is out of reach.
+/// The way in which discovery is unreachable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryFailure {
-    /// It closes or refuses calls.
+    /// Discovery closes or refuses calls.
     Down,
-    /// It does not answer, and its open watches are silent from then on.
+    /// Discovery does not answer, and its open watches stay silent from then on.
     Silent,
 }
 
-/// A time in which a mixer could not reach discovery.
+/// A span in which discovery was unreachable.
 #[derive(Clone, Copy, Debug)]
 pub struct UnreachableSpan {
-    /// Which; all of them where there is none.
+    /// Number of the affected mixer; none if all mixers are affected.
     pub mixer: Option<usize>,
-    /// How.
+    /// The way in which calls failed.
     pub failure: DiscoveryFailure,
-    /// From when.
+    /// Start of the span.
     pub from: f64,
-    /// To when.
+    /// End of the span.
     pub to: f64,
 }
 
-/// A part that came to a server.
+/// A part that a server received.
 #[derive(Clone, Debug)]
 pub struct PartCall {
-    /// Whose.
+    /// Number of the mixer that sent the part.
     pub mixer: usize,
-    /// The client's name of the request.
+    /// ID of the request that the part belongs to.
     pub request: String,
-    /// Which shard.
+    /// Shard that the part is for.
     pub shard: u32,
-    /// Where it came.
+    /// Number of the receiving server.
     pub server: usize,
-    /// When.
+    /// Time of receipt.
     pub at: f64,
-    /// How long the server is told to work for it (seconds).
+    /// Timeout that the mixer sent with the part (seconds).
     pub sent_timeout_s: f64,
-    /// Whether it never ran: the server turned it away.
+    /// Whether the server rejected the part without running it.
     pub never_ran: bool,
 }
 
-/// How a request ended for its client.
+/// The end of a request as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RequestEnd {
-    /// A final answer came.
+    /// The client received a final answer.
     Answered {
-        /// When its last byte came.
+        /// Time at which the last byte arrived.
         at: f64,
-        /// Its status.
+        /// HTTP status.
         status: u16,
     },
-    /// The client closed its connection.
+    /// The client closed its connection before the answer.
     ClientClosed {
-        /// When.
+        /// Time of the close.
         at: f64,
     },
-    /// The connection ended without an answer.
+    /// The mixer closed the connection without an answer.
     ConnectionLost {
-        /// When.
+        /// Time at which the client noticed the close.
         at: f64,
-        /// Whether it was reset: a connection that is closed over bytes that were not read is.
+        /// Whether the connection was reset, as happens when a peer closes a connection with unread data.
         is_reset: bool,
     },
-    /// No answer came by half a second after its time.
+    /// No answer arrived before the client closed its connection, some time after its timeout.
     TimedOut,
-    /// It could not be handed in: nobody accepted the connection.
+    /// The request was not sent because no connection to the mixer could be opened.
     NotAccepted,
 }
 
 /// A request of a client.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its name.
+    /// Value of the `X-Request-ID` header.
     pub id: String,
-    /// Where it was handed in.
+    /// Number of the mixer that the client sent the request to.
     pub mixer: usize,
-    /// When its last byte was written.
+    /// Time at which the client started to write the request.
     pub at: f64,
-    /// How long the client waits (seconds).
+    /// Timeout of the client (seconds).
     pub timeout_s: f64,
-    /// Whether repeats of its parts are discarded by key for a while only.
+    /// Whether the request has an idempotency key, by which servers discard repeats of its parts within a limited window.
     pub keyed: bool,
-    /// When a kept connection ended under it without an answer, before it was sent once more on a new one.
+    /// Time at which a reused connection was closed without an answer to the request, which was then retried on a new one.
     pub reused_connection_lost_at: Option<f64>,
-    /// How it ended.
+    /// End of the request.
     pub end: RequestEnd,
 }
 
-/// What happened to a process of a mixer.
+/// An event of a mixer process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProcessEvent {
-    /// It was started.
+    /// The process was started.
     Started,
-    /// It said that it is ready.
+    /// The process reported that it is ready.
     Ready,
-    /// It is killed.
+    /// SIGKILL is about to be sent.
     Killed,
-    /// It is gone after that: on a busy machine its sockets outlive the signal.
+    /// The killed process was reaped. On a busy machine its sockets outlive the signal.
     Reaped,
-    /// It was told to end.
+    /// SIGTERM is about to be sent.
     SigtermSent,
-    /// It has ended after that.
+    /// The process exited after SIGTERM.
     Exited,
-    /// It was killed, for it had not ended by the time that it has for that.
+    /// The process was killed because it had not exited in time after SIGTERM.
     KilledAfterSigterm,
-    /// It was told of another discovery, or to read its configuration again.
+    /// The configuration was rewritten and is about to be reloaded, with or without another address of discovery.
     Reconfigured,
-    /// It was stopped.
+    /// SIGSTOP is about to be sent.
     Stopped,
-    /// It goes on.
+    /// SIGCONT is about to be sent.
     Continued,
-    /// It ended by itself.
+    /// The process exited without a signal to do so, or could not be started.
     Crashed,
-    /// Its own guard counted so many violations.
+    /// Number of violations that the invariant guard of the process has counted.
     GuardViolations(u64),
-    /// Its own guard stopped so many acts.
+    /// Number of actions that the invariant guard of the process has stopped.
     GuardStops(u64),
 }
 
-/// A process event with its mixer and time.
+/// A process event with the mixer and the time.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessRecord {
-    /// Which mixer.
+    /// Number of the mixer.
     pub mixer: usize,
-    /// When.
+    /// Time of the event.
     pub at: f64,
-    /// What.
+    /// The event.
     pub event: ProcessEvent,
 }
 
-/// A time in which the stand-ins themselves stood still: what they noted then came earlier.
+/// A span in which the stand-ins themselves were stalled: events recorded at its end happened earlier.
 #[derive(Clone, Copy, Debug)]
 pub struct Stall {
-    /// From when.
+    /// Start of the stall.
     pub from: f64,
-    /// To when.
+    /// End of the stall.
     pub to: f64,
 }
 
-/// All that was seen.
+/// All observations of a soak.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// Versions of the list, in order.
+    /// Versions of the list, in order of time.
     pub versions: Vec<ListVersion>,
-    /// Answers of discovery.
+    /// Answers that discovery wrote.
     pub discovery_answers: Vec<DiscoveryAnswer>,
-    /// When discovery was out of reach.
+    /// Spans in which discovery was unreachable.
     pub unreachable: Vec<UnreachableSpan>,
-    /// When all open watches fell silent.
+    /// Times at which all open watches fell silent.
     pub watch_silences: Vec<f64>,
-    /// Parts at servers.
+    /// Parts that the servers received.
     pub calls: Vec<PartCall>,
-    /// Requests of clients.
+    /// Requests of the clients.
     pub requests: Vec<Request>,
-    /// Processes.
+    /// Events of the mixer processes.
     pub processes: Vec<ProcessRecord>,
     /// Stalls of the stand-ins.
     pub stalls: Vec<Stall>,
 }
 
-/// The history while it is written, and the clock of all who write.
+/// The history while it is being recorded, with the clock of all threads that record.
 pub struct Recorder {
     start: Instant,
     history: Mutex<History>,
@@ -219,12 +220,13 @@
 }
 
 impl Recorder {
-    /// The time now (seconds).
+    /// Returns the current time (seconds since the start of the soak).
     pub fn now(&self) -> f64 {
         self.start.elapsed().as_secs_f64()
     }
 
-    /// Notes stalls of this process, until `is_over` says so: a thread that wants to run every few milliseconds and does not.
+    /// Records stalls of this process until `is_over` returns true. A stall is detected when this thread, which sleeps for a few
+    /// milliseconds at a time, wakes up much later.
     pub fn record_stalls(&self, is_over: impl Fn() -> bool) {
         let mut before = self.now();
         while !is_over() {
@@ -242,18 +244,18 @@
         }
     }
 
-    /// Writes something down.
+    /// Applies `write` to the history.
     pub fn record(&self, write: impl FnOnce(&mut History)) {
         write(&mut lock(&self.history));
     }
 
-    /// Something happened to a process now.
+    /// Records a process event with the current time.
     pub fn record_process(&self, mixer: usize, event: ProcessEvent) {
         let at = self.now();
         self.record(|history| history.processes.push(ProcessRecord { mixer, at, event }));
     }
 
-    /// What was written so far.
+    /// Returns a copy of the history recorded so far.
     pub fn history(&self) -> History {
         lock(&self.history).clone()
     }
--- a/crates/wharfhub-testbed/src/soak/mod.rs
+++ b/crates/wharfhub-testbed/src/soak/mod.rs
@@ -1,10 +1,11 @@
-//! A randomized fault soak: tens of real daemons on loopback, faults that overlap in time, and a judge that knows from
-//! outside what each mixer was told and when.
+//! A randomized fault soak: tens of real daemons on loopback, faults that overlap in time, and a checker that knows from outside
+//! which changes each mixer was notified of and when.
 //!
-//! A seed gives the plan (`plan.rs`): who there is, which fault comes from when to when. Stand-ins for discovery
-//! (`registry.rs`), leaf servers (`servers.rs`) and clients (`clients.rs`) play it against processes of the daemon
-//! (`processes.rs`) and write down what they see (`history.rs`); afterwards the judge (`judge.rs`) goes through that. The
-//! plan follows from the seed alone; the times of sockets and processes are the machine's.
+//! The seed determines the plan (`plan.rs`): the numbers of mixers and servers, and the start and duration of each fault.
+//! `run.rs` carries the plan out: stand-ins for discovery (`registry.rs`), leaf servers (`servers.rs`) and clients
+//! (`clients.rs`) exchange traffic with processes of the daemon (`processes.rs`) and record what they observe (`history.rs`).
+//! Afterwards the checker (`checker.rs`, with `timeline.rs`) examines the record. The same seed gives the same plan, but the
+//! timing of sockets and processes depends on the machine.
 
 pub mod checker;
 pub mod clients;
--- a/crates/wharfhub-testbed/src/soak/plan.rs
+++ b/crates/wharfhub-testbed/src/soak/plan.rs
@@ -1,6 +1,8 @@
-//! The plan of a soak: who there is and which fault comes from when to when, drawn from a seed.
+//! The plan of a soak, drawn from a seed: the numbers of mixers and servers, the settings, and each fault with its start and
+//! duration.
 //!
-//! Faults are drawn independently of each other, so that they overlap. This file must never look at a clock or a socket.
+//! Faults are drawn independently of each other, so that they overlap. A plan depends on its seed alone, so the code here uses
+//! no clock and no socket.
 
 use super::processes::Signal;
 use super::registry::Outage;
@@ -8,59 +10,64 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Processes of a soak, least and most.
+/// Smallest and largest number of mixers in a soak.
 const MIXER_COUNTS: (usize, usize) = (3, 40);
-/// Odds that there are few processes, and how many at most.
+/// Probability of a small fleet of mixers.
 const SMALL_FLEET_PROBABILITY: f64 = 0.4;
+/// Largest number of mixers in a small fleet.
 const MAX_SMALL_FLEET_MIXERS: usize = 8;
-/// Odds that idle clients fill the descriptors of few processes; how many descriptors these have then, and otherwise.
+/// Probability that idle clients use up the descriptors of the mixers, in a fleet of at most [`QUICK_MIXERS`].
 const DESCRIPTOR_SHORTAGE_PROBABILITY: f64 = 0.3;
+/// Descriptor limit of a mixer whose descriptors idle clients use up.
 const SHORTAGE_SOCKETS: usize = 192;
+/// Descriptor limit of a mixer otherwise.
 const SOCKETS: usize = 512;
-/// The longest wait of a client is one of these (milliseconds).
+/// Values of the clients' longest timeout, one of which is drawn (milliseconds).
 const MAX_CLIENT_TIMEOUTS_MS: [u64; 4] = [900, 900, 1500, 3000];
-/// Processes of the quick one.
+/// Number of mixers in a quick soak.
 const QUICK_MIXERS: usize = 10;
 /// Leaf servers of each cell.
 const SERVERS_PER_CELL: usize = 4;
+/// Smallest and largest number of cells.
 const CELL_COUNTS: (u32, u32) = (2, 4);
-/// Time before the first fault and after the last one (seconds).
+/// Time before the first fault (seconds).
 const FAULT_FREE_START_S: f64 = 3.0;
+/// Time from the end of the period in which faults start to the end of the soak (seconds).
 const FAULT_FREE_END_S: f64 = 10.0;
-/// Time in which faults begin (seconds).
+/// Length of the period in which faults start, in a full and in a quick soak (seconds).
 const FAULT_PERIODS_S: (f64, f64) = (14.0, 6.0);
-/// Faults that begin in a second, on average.
+/// Average number of faults that start in a second.
 const FAULTS_PER_S: f64 = 3.0;
-/// What the settings may say of the fleet's size: as many as there are, or so many.
+/// Fleet sizes that the settings may name instead of the actual one.
 const CONFIGURED_FLEET_SIZES: [usize; 2] = [300, 860];
 
-/// What is judged by.
+/// Parameters of the checker.
 #[derive(Clone, Debug)]
 pub struct Terms {
-    /// How many mixers there are.
+    /// Number of mixers.
     pub mixers: usize,
-    /// Nothing may go to a server that drains so long after it was told (seconds).
+    /// Time from the notification on after which no part may go to a draining server (seconds).
     pub drain_grace_s: f64,
-    /// How long repeats of keyed parts are discarded (seconds).
+    /// Time for which servers discard repeats of keyed parts (seconds).
     pub dedup_window_s: f64,
     /// Length of the soak (seconds).
     pub duration_s: f64,
-    /// Whether lists are pushed.
+    /// Whether an agent pushes the list to the mixers.
     pub lists_pushed: bool,
-    /// Whether idle clients fill the descriptors: new connections may be shut unread then.
+    /// Whether idle clients use up the mixers' descriptors. New connections may then be closed before they are read.
     pub has_descriptor_shortage: bool,
 }
 
-/// What arrives of an answer that is cut off, before its connection is closed.
+/// The part of a cut-off answer that arrives before its connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cut {
-    /// Nothing.
+    /// No byte arrives.
     NoByte,
-    /// Half of it.
+    /// Half of the bytes arrive.
     Half,
-    /// All but the last byte.
+    /// All bytes but the last arrive.
     AllButLast,
-    /// Half of it, and the connection stays open.
+    /// Half of the bytes arrive, and the connection stays open.
     HalfThenSilence,
 }
 
@@ -72,7 +79,7 @@
         Cut::HalfThenSilence,
     ];
 
-    /// How much arrives of so many bytes.
+    /// Returns how many of the given number of bytes arrive.
     pub fn arriving_bytes(self, bytes: usize) -> usize {
         match self {
             Cut::NoByte => 0,
@@ -82,178 +89,178 @@
     }
 }
 
-/// A fault.
+/// A fault that is injected into the mixers, discovery, the leaf servers or the clients.
 #[derive(Clone, Debug, PartialEq)]
 pub enum InjectedFault {
-    /// A mixer is killed, and started again so long after it, with the list that it was first started with.
+    /// A mixer is killed and later restarted, with the last complete list that it received as its known list.
     Kill {
-        /// Which.
+        /// Number of the mixer.
         mixer: usize,
-        /// When it is started again (seconds later).
+        /// Time from the kill to the restart (seconds).
         down_s: f64,
     },
-    /// Many mixers at once.
+    /// Many mixers are killed at the same time, and each is restarted as in `Kill`.
     KillMany {
-        /// Which.
+        /// Numbers of the mixers.
         mixers: Vec<usize>,
-        /// When they are started again (seconds later).
+        /// Time from the kill to the restart (seconds).
         down_s: f64,
     },
-    /// A mixer is told to end, and started again once it has, or was killed.
+    /// A mixer gets SIGTERM and is restarted after it has exited, or was killed because it took too long.
     Terminate {
-        /// Which.
+        /// Number of the mixer.
         mixer: usize,
-        /// Signals that follow, each so long after the one before (seconds).
+        /// Signals that follow the SIGTERM, each with the delay after the previous signal (seconds).
         series: Vec<(Signal, f64)>,
     },
-    /// A mixer reads its configuration again, some times in a row.
+    /// A mixer reloads its configuration several times in a row.
     Reread {
-        /// Which.
+        /// Number of the mixer.
         mixer: usize,
-        /// How often.
+        /// Number of reloads.
         times: usize,
-        /// Time between two (seconds).
+        /// Time between two reloads (seconds).
         every_s: f64,
     },
-    /// A mixer stands still.
+    /// A mixer is stopped by SIGSTOP and continued.
     Stop {
-        /// Which.
+        /// Number of the mixer.
         mixer: usize,
-        /// For how long (seconds).
+        /// Duration (seconds).
         for_s: f64,
     },
-    /// A new configuration moves a mixer to the other address of discovery.
+    /// A new configuration makes a mixer use its other address of discovery.
     Move {
-        /// Which.
+        /// Number of the mixer.
         mixer: usize,
     },
-    /// Discovery goes down.
+    /// Discovery is down for all mixers.
     DiscoveryDown {
-        /// What becomes of calls.
+        /// Way in which calls fail.
         outage: Outage,
-        /// For how long (seconds).
+        /// Duration (seconds).
         for_s: f64,
     },
-    /// Discovery does not answer some mixers.
+    /// Discovery does not answer the calls of some mixers.
     DiscoveryHangs {
-        /// Which.
+        /// Numbers of the mixers.
         mixers: Vec<usize>,
-        /// For how long (seconds).
+        /// Duration (seconds).
         for_s: f64,
     },
-    /// Discovery answers late.
+    /// Discovery delays its answers to calls that do not wait for a change.
     DiscoverySlow {
-        /// By how much (seconds).
+        /// Delay (seconds).
         by_s: f64,
-        /// For how long (seconds).
+        /// Duration (seconds).
         for_s: f64,
     },
     /// All answers of discovery are cut off.
     AnswersCut {
-        /// What arrives of them.
+        /// Part of each answer that arrives.
         cut: Cut,
-        /// For how long (seconds).
+        /// Duration (seconds).
         for_s: f64,
     },
-    /// A server drains, and the next answers to some mixers are cut off.
+    /// A server drains, and the next answers of discovery to some mixers are cut off.
     DrainCut {
-        /// Which server; it is gone and back as in `Drain`.
+        /// Number of the draining server, which is removed and returns as in `Drain`.
         server: usize,
-        /// Which mixers.
+        /// Numbers of the mixers whose answers are cut off.
         mixers: Vec<usize>,
-        /// How many answers to each.
+        /// Number of answers to each mixer that are cut off.
         count: usize,
-        /// What arrives of them.
+        /// Part of each answer that arrives.
         cut: Cut,
-        /// Discovery is down for so long before (seconds).
+        /// Length of an outage of discovery before the drain, 0 for none (seconds).
         outage_s: f64,
     },
-    /// All open watches fall silent for good.
+    /// All open watches of discovery fall silent and are never answered.
     WatchesSilent,
-    /// All open watches are reset.
+    /// Discovery closes the connections of all open watches.
     WatchesReset,
-    /// A server drains, and is gone some seconds later; it comes back after that.
+    /// A server drains, stops and is removed from the list, and later returns.
     Drain {
-        /// Which.
+        /// Number of the server.
         server: usize,
-        /// When it is gone (seconds later).
+        /// Time from the start of the drain to the removal (seconds).
         gone_s: f64,
-        /// When it is back (seconds later).
+        /// Time from the start of the drain to the return (seconds).
         back_s: f64,
     },
-    /// Servers die and are taken off the list so much later; they come back after that.
+    /// Servers stop without draining, are removed from the list some time later, and return.
     Die {
-        /// Which.
+        /// Numbers of the servers.
         servers: Vec<usize>,
-        /// When discovery has noticed (seconds later).
+        /// Time from the stop to the removal from the list (seconds).
         noticed_s: f64,
-        /// When they are back (seconds later).
+        /// Time from the stop to the return (seconds).
         back_s: f64,
     },
-    /// A server takes work and answers nothing.
+    /// A server accepts parts and does not answer.
     ServerHangs {
-        /// Which.
+        /// Number of the server.
         server: usize,
-        /// For how long (seconds).
+        /// Duration (seconds).
         for_s: f64,
     },
-    /// A server resets connections under its calls.
+    /// A server closes connections on some of the calls that it receives.
     ServerResets {
-        /// Which.
+        /// Number of the server.
         server: usize,
-        /// For how long (seconds).
+        /// Duration (seconds).
         for_s: f64,
     },
-    /// A server turns work away.
+    /// A server rejects parts at random.
     ServerFull {
-        /// Which.
+        /// Number of the server.
         server: usize,
-        /// For how long (seconds).
+        /// Duration (seconds).
         for_s: f64,
     },
-    /// Clients close their connections early.
+    /// Clients close some of their connections before the answer.
     ClientsLeave {
-        /// For how long (seconds).
+        /// Duration (seconds).
         for_s: f64,
     },
 }
 
-/// A fault and when it begins.
+/// A fault with its start.
 #[derive(Clone, Debug)]
 pub struct PlannedFault {
-    /// When (seconds).
+    /// Start of the fault (seconds since the start of the soak).
     pub at: f64,
-    /// What.
+    /// The fault.
     pub fault: InjectedFault,
 }
 
-/// A soak.
+/// The plan of one soak.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Its seed.
+    /// Seed from which the plan was drawn.
     pub seed: u64,
-    /// What is judged by.
+    /// Parameters of the checker.
     pub terms: Terms,
-    /// Cells of the servers.
+    /// Number of cells.
     pub cells: u32,
-    /// How many servers there are.
+    /// Number of leaf servers.
     pub servers: usize,
-    /// What the settings say of the fleet's size.
+    /// Number of mixers that the settings name.
     pub configured_fleet_size: usize,
-    /// Descriptors of each mixer.
+    /// Descriptor limit of each mixer.
     pub sockets: usize,
-    /// How long a client waits for its answer, at most (milliseconds).
+    /// Longest timeout of a client (milliseconds).
     pub max_client_timeout_ms: u64,
-    /// Whether attempts may be cancelled, and two may be in flight.
+    /// Whether mixers may cancel attempts.
     pub allows_cancelling: bool,
-    /// Whether two attempts of a part may be in flight.
+    /// Whether mixers may have two attempts of a part in flight.
     pub allows_second_copies: bool,
-    /// The faults, in order of time.
+    /// Faults in order of their start.
     pub faults: Vec<PlannedFault>,
 }
 
 impl Plan {
-    /// The plan of a seed.
+    /// Draws the plan of a seed.
     pub fn draw(seed: u64, quick: bool) -> Plan {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let max = if rng.random_bool(SMALL_FLEET_PROBABILITY) {
@@ -311,12 +318,12 @@
         }
     }
 
-    /// How long a client waits for its answer, at most (seconds).
+    /// Returns the longest timeout of a client (seconds).
     pub fn max_client_timeout_s(&self) -> f64 {
         self.max_client_timeout_ms as f64 / 1000.0
     }
 
-    /// The cell of a server.
+    /// Returns the cell of a server.
     pub fn cell(&self, server: usize) -> u32 {
         server as u32 % self.cells
     }
@@ -336,7 +343,7 @@
         .unwrap_or(&Outage::Closes)
 }
 
-/// Signals that follow one to end: none, or the same again, and configurations to be read.
+/// Draws the signals that follow a SIGTERM: at most three, each another SIGTERM or a SIGHUP.
 fn draw_signals(rng: &mut ChaCha8Rng) -> Vec<(Signal, f64)> {
     let count = rng.random_range(0..=3);
     (0..count)
@@ -351,7 +358,7 @@
         .collect()
 }
 
-/// What a fault concerns unless it draws that itself, and for how long (seconds).
+/// Target and duration of a fault whose kind does not draw its own.
 #[derive(Clone, Copy)]
 struct FaultTarget {
     mixer: usize,
@@ -383,7 +390,7 @@
     }
 }
 
-/// A fault of the processes of mixers.
+/// Draws a fault of mixer processes.
 fn draw_process_fault(
     rng: &mut ChaCha8Rng,
     kind: i32,
@@ -424,7 +431,7 @@
     }
 }
 
-/// A fault of discovery, or of the connections to it.
+/// Draws a fault of discovery or of the connections to it.
 fn draw_discovery_fault(
     rng: &mut ChaCha8Rng,
     kind: i32,
@@ -454,7 +461,7 @@
     }
 }
 
-/// A fault of leaf servers, or of clients.
+/// Draws a fault of leaf servers or of clients.
 fn draw_server_fault(
     rng: &mut ChaCha8Rng,
     kind: i32,
--- a/crates/wharfhub-testbed/src/soak/processes.rs
+++ b/crates/wharfhub-testbed/src/soak/processes.rs
@@ -1,6 +1,6 @@
-//! The mixers of a soak: real processes of the daemon, started, killed, stopped and told to end.
+//! The mixers of a soak: real processes of the daemon that are started, stopped, reconfigured, terminated and killed.
 //!
-//! All that this file starts ends with its value. It must never touch a process that it did not start.
+//! Dropping a [`MixerProcess`] kills its process.
 
 use super::clients;
 use super::history::{ProcessEvent, Recorder};
@@ -14,30 +14,31 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How often a process is looked at.
+/// Interval at which a process is checked for its listener or its exit.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// A process listens within this time.
+/// Longest wait for a process to listen.
 const MAX_LISTEN_DELAY: Duration = Duration::from_secs(2);
-/// A process that was told to end is killed so long after that, and its clients' longest wait (seconds): the operators' term.
+/// A process that has not exited after SIGTERM is killed once the clients' longest timeout and this time have passed (seconds),
+/// by the operators' terms.
 const KILL_DELAY_S: f64 = 0.7;
-/// A client's wait counts as so much at most there (seconds).
+/// Upper limit of the clients' timeout in that sum (seconds).
 const MAX_COUNTED_TIMEOUT_S: f64 = 3.0;
-/// The classes' deadline is at least this (seconds).
+/// Smallest deadline of the classes in the settings (seconds).
 const MIN_DEADLINE_S: f64 = 1.0;
-/// What is read of the guard's counts.
+/// Metrics of the invariant guard that are recorded.
 const VIOLATIONS_METRIC: &str = "svc_violations_total";
 const GUARD_STOPS_METRIC: &str = "svc_guard_stops_total";
 
 /// A signal that a soak sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// Stands still.
+    /// SIGSTOP: the process is stopped.
     Stop,
-    /// Goes on.
+    /// SIGCONT: the process continues.
     Continue,
-    /// Ends in order.
+    /// SIGTERM: the process shuts down gracefully.
     Terminate,
-    /// Reads its configuration again.
+    /// SIGHUP: the process reloads its configuration.
     HangUp,
 }
 
@@ -52,7 +53,7 @@
     }
 }
 
-/// What a mixer is started with.
+/// The configuration file of a mixer and the values in it that stay the same during a soak.
 #[derive(Clone, Debug)]
 struct Config {
     path: PathBuf,
@@ -75,14 +76,14 @@
             "{{\"name\":\"soak\",\"listen\":\"{listen}\",\"seed\":\"{seed:x}\",\"discovery\":\"{discovery}\",\
              \"limits\":{{\"sockets\":{sockets},\"memory_mb\":64}},\"known\":{known},\"settings\":{settings}}}"
         );
-        // Whole or not at all: a process may be reading it.
+        // The rename replaces the file atomically, since a process may be reading it.
         let new_path = path.with_extension("new");
         std::fs::write(&new_path, text)?;
         std::fs::rename(&new_path, path)
     }
 }
 
-/// A mixer over all its processes.
+/// A mixer, with one process at a time that may be restarted.
 pub struct MixerProcess {
     number: usize,
     program: PathBuf,
@@ -90,7 +91,7 @@
     log: PathBuf,
     child: Mutex<Option<Child>>,
     recorder: Arc<Recorder>,
-    /// When it is killed after it was told to end.
+    /// Time from SIGTERM after which a process that has not exited is killed.
     kill_delay: Duration,
 }
 
@@ -104,15 +105,15 @@
     }
 }
 
-/// An address of this machine at which nobody listens, on a loopback address of the mixer's own: no other socket gets its
-/// port before the mixer does.
+/// Returns a free address on a loopback IP that only this mixer uses, so that no other socket takes the port before the mixer
+/// listens.
 fn free_address(mixer: usize) -> io::Result<SocketAddr> {
     let loopback = std::net::Ipv4Addr::new(127, 9, 0, (mixer % 250) as u8 + 1);
     TcpListener::bind((loopback, 0))?.local_addr()
 }
 
 impl MixerProcess {
-    /// A mixer that does not run yet. Its logs go to that folder.
+    /// Creates a mixer without starting it. Its logs go to `folder`.
     pub fn new(
         number: usize,
         plan: &Plan,
@@ -144,12 +145,12 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address at which the mixer listens.
     pub fn address(&self) -> SocketAddr {
         self.config.listen
     }
 
-    /// Starts it, with that as its last known list.
+    /// Starts a process with `known` as its last known list.
     pub fn start(&self, discovery: SocketAddr, known: &str) -> io::Result<()> {
         self.config.write(discovery, known)?;
         let mut command = Command::new(&self.program);
@@ -166,7 +167,7 @@
         let recorder = self.recorder.clone();
         std::thread::spawn(move || {
             for line in BufReader::new(errors).lines().map_while(Result::ok) {
-                // A log that can't be written is no reason to end the soak.
+                // The soak goes on if a log can't be written.
                 let _ = writeln!(log, "{:.3} {line}", recorder.now());
             }
         });
@@ -174,12 +175,12 @@
         Ok(())
     }
 
-    /// Whether it says that it is ready.
+    /// Returns whether the process reports that it is ready.
     pub fn is_ready(&self) -> bool {
         clients::get(self.address(), "/-/ready").is_ok_and(|(status, _)| status == 200)
     }
 
-    /// Waits until it answers; says whether it did.
+    /// Waits until the process answers calls and returns whether it does in time.
     pub fn await_listener(&self) -> bool {
         let until = Instant::now() + MAX_LISTEN_DELAY;
         while clients::get(self.address(), "/-/healthy").is_err() {
@@ -191,7 +192,7 @@
         true
     }
 
-    /// Sends a signal to it, where it runs.
+    /// Sends a signal to the process, if one is running.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         let Some(id) = lock(&self.child).as_ref().map(Child::id) else {
             return Ok(());
@@ -202,7 +203,7 @@
             .map(drop)
     }
 
-    /// Writes a configuration address of discovery, and has it read.
+    /// Writes a configuration with this address of discovery and makes the process reload it.
     pub fn reconfigure(&self, discovery: SocketAddr, known: &str) -> io::Result<()> {
         self.config.write(discovery, known)?;
         self.recorder
@@ -210,12 +211,12 @@
         self.signal(Signal::HangUp)
     }
 
-    /// Whether a process of it runs.
+    /// Returns whether a process has been started and not yet been found to have exited.
     pub fn is_running(&self) -> bool {
         lock(&self.child).is_some()
     }
 
-    /// Notes a process that has ended by itself.
+    /// Records a process that has exited without a signal to do so.
     pub fn record_crash(&self) {
         let mut child = lock(&self.child);
         if child
@@ -228,7 +229,7 @@
         }
     }
 
-    /// Kills it.
+    /// Kills the process, if one is running.
     pub fn kill(&self) {
         if let Some(mut child) = lock(&self.child).take() {
             self.recorder
@@ -240,8 +241,8 @@
         }
     }
 
-    /// Tells it to end, sends it other signals meanwhile, each so long after the one before, and waits until it has ended or
-    /// is killed.
+    /// Sends SIGTERM, then the signals of `series`, each with its delay after the previous one, and waits until the process has
+    /// exited or its time is up and it is killed.
     pub fn terminate(&self, series: &[(Signal, Duration)]) -> io::Result<()> {
         if !self.is_running() {
             return Ok(());
@@ -272,7 +273,7 @@
         Ok(())
     }
 
-    /// Notes what its guard has counted since its start.
+    /// Records the counts of the invariant guard since the start of the process.
     pub fn record_guard_counters(&self) {
         if !self.is_running() {
             return;
@@ -297,12 +298,12 @@
     }
 }
 
-/// The count at the end of a line of figures.
+/// Parses the count at the end of a line of metrics.
 fn parse_count(line: &str) -> Option<u64> {
     line.rsplit(' ').next()?.parse().ok()
 }
 
-/// The settings of all mixers of a plan.
+/// Returns the settings that all mixers of a plan share, as JSON.
 fn settings(plan: &Plan) -> String {
     let Plan {
         terms,
--- a/crates/wharfhub-testbed/src/soak/registry.rs
+++ b/crates/wharfhub-testbed/src/soak/registry.rs
@@ -1,8 +1,7 @@
-//! The discovery of a soak: an address for each mixer, a list that changes, and faults on the way.
+//! The stand-in for discovery in a soak: separate addresses for each mixer, a list that changes, and faults that `run.rs` sets.
 //!
-//! A thread for each connection. Each answer that is written to a mixer is noted with its time, also one that is cut off on its
-//! way: it counts as told all the same.
-//! This file must never decide which fault comes when.
+//! One thread serves each connection. Each answer written to a mixer is recorded with its time, even if it is cut off on its
+//! way, because the mixer counts as notified from the write on.
 
 use super::history::{
     DiscoveryAnswer, DiscoveryFailure, ListVersion, Recorder, ServerPhase, UnreachableSpan,
@@ -15,57 +14,58 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
-/// Longest sleep between two looks at a fault.
+/// Longest time until a waiting call notices a new fault.
 const FAULT_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// Headers that a call may have.
+/// Largest number of header lines of a call.
 const MAX_HEADERS: usize = 64;
-/// The answer to each call in some outages.
+/// Answer to each call during an outage of the kind [`Outage::Refuses`].
 const REFUSED_RESPONSE: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
-/// Addresses of discovery for each mixer: a new configuration moves it from one to the next.
+/// Addresses of discovery for each mixer. A new configuration can move the mixer from one to the next.
 pub const ADDRESSES_PER_MIXER: usize = 2;
 
 /// A server of the list.
 #[derive(Clone, Debug)]
 pub struct ListedServer {
-    /// Its name.
+    /// ID of the server in the list.
     pub name: String,
-    /// Where it listens.
+    /// Address at which the server listens.
     pub address: SocketAddr,
-    /// Its cell.
+    /// Cell that the server belongs to.
     pub cell: u32,
-    /// Its phase.
+    /// Phase that the list gives.
     pub phase: ServerPhase,
-    /// When it last started (Unix milliseconds); 0 for long ago.
+    /// Time of the last start (Unix milliseconds), or 0 for a start long ago.
     pub up_since_ms: u64,
 }
 
 #[derive(Default)]
 struct State {
     servers: Vec<ListedServer>,
-    /// Which servers each version changed; the first one lists all.
+    /// Indices of the servers that each version changed; all servers for the first version.
     changes: Vec<Vec<usize>>,
     outage: Option<Outage>,
     unresponsive: Vec<bool>,  // by mixer
-    known_lists: Vec<String>, // by mixer: the complete list as it was last told
+    known_lists: Vec<String>, // by mixer: the last complete list that was delivered in full
     delay_s: f64,
     cut_all: Option<Cut>,
-    pending_cuts: Vec<(usize, Cut)>, // by mixer: so many answers more are cut
-    /// Watches that were opened before these counts went up are silent, or reset.
+    pending_cuts: Vec<(usize, Cut)>, // by mixer: the number of next answers to cut off
+    /// Number of times that all open watches were silenced: a watch opened before the last time is not answered.
     silences: u64,
+    /// Number of times that all open watches were reset: the connection of a watch opened before the last time is closed.
     resets: u64,
 }
 
-/// What becomes of calls while discovery is down.
+/// The way in which calls fail while discovery is down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outage {
-    /// Their connections are closed.
+    /// The connections of the calls are closed.
     Closes,
-    /// They are answered with 503.
+    /// The calls are answered with status 503.
     Refuses,
 }
 
 impl State {
-    /// How the next answer to a mixer is cut, if it is.
+    /// Returns where the next answer to a mixer is cut off, if at all, and counts that answer.
     fn take_cut(&mut self, mixer: usize) -> Option<Cut> {
         let (left, cut) = &mut self.pending_cuts[mixer];
         if *left > 0 {
@@ -86,23 +86,25 @@
     recorder: Arc<Recorder>,
 }
 
-/// A discovery that runs. Its threads end with the process.
+/// A running stand-in for discovery. Its threads run until the process ends.
 #[derive(Clone)]
 pub struct Registry {
     shared: Arc<Shared>,
-    /// The addresses for each mixer.
+    /// Addresses of discovery for each mixer.
     pub addresses: Vec<[SocketAddr; ADDRESSES_PER_MIXER]>,
 }
 
-/// What a mixer asks.
+/// A call of a mixer for the list.
 #[derive(Clone, Copy)]
 struct ListCall {
+    /// Version that the mixer has; none if it has none.
     since: Option<usize>,
+    /// Time for which the call waits for a newer version.
     wait: Duration,
 }
 
 impl Registry {
-    /// Starts one for so many mixers.
+    /// Starts the stand-in for the given number of mixers.
     pub fn start(
         servers: Vec<ListedServer>,
         mixers: usize,
@@ -132,12 +134,12 @@
         Ok(Registry { shared, addresses })
     }
 
-    /// The list as a configuration's `known` has it: the one that a mixer last had.
+    /// Returns the last complete list that was delivered to a mixer in full, in the format of the configuration's `known`.
     pub fn known(&self, mixer: usize) -> String {
         lock(&self.shared.state).known_lists[mixer].clone()
     }
 
-    /// Changes servers: a new version.
+    /// Changes servers, which makes a new version of the list.
     pub fn change(&self, changed: &[usize], change: impl Fn(&mut ListedServer)) {
         let mut state = lock(&self.shared.state);
         for server in changed {
@@ -148,12 +150,12 @@
         self.shared.changed.notify_all();
     }
 
-    /// Goes down, which ends all watches, or comes back.
+    /// Starts an outage, which ends all watches, or ends it.
     pub fn set_outage(&self, outage: Option<Outage>) {
         self.update(|state| state.outage = outage);
     }
 
-    /// Does not answer these mixers, or does so again.
+    /// Sets whether calls of these mixers stay unanswered.
     pub fn set_unresponsive(&self, mixers: &[usize], hangs: bool) {
         self.update(|state| {
             mixers
@@ -162,17 +164,17 @@
         });
     }
 
-    /// Answers so much later.
+    /// Delays answers to calls that do not wait for a change (seconds).
     pub fn set_delay(&self, delay_s: f64) {
         self.update(|state| state.delay_s = delay_s);
     }
 
-    /// Cuts all answers off, or none any more.
+    /// Sets where all answers are cut off, if at all.
     pub fn set_cut_all(&self, cut: Option<Cut>) {
         self.update(|state| state.cut_all = cut);
     }
 
-    /// Cuts the next answers to these mixers off, so many each.
+    /// Cuts off the next `count` answers to each of these mixers.
     pub fn cut_next(&self, mixers: &[usize], count: usize, cut: Cut) {
         self.update(|state| {
             mixers
@@ -181,7 +183,7 @@
         });
     }
 
-    /// All open watches tell nothing any more.
+    /// Silences all open watches: they are never answered.
     pub fn silence_watches(&self) {
         let at = self.shared.recorder.now();
         self.update(|state| state.silences += 1);
@@ -190,12 +192,12 @@
             .record(|history| history.watch_silences.push(at));
     }
 
-    /// All open watches are reset.
+    /// Closes the connections of all open watches.
     pub fn reset_watches(&self) {
         self.update(|state| state.resets += 1);
     }
 
-    /// Some mixers could not reach it from then until now.
+    /// Records that discovery was unreachable for these mixers, or all where there are none given, since `from`.
     pub fn record_unreachable(
         &self,
         mixers: Option<&[usize]>,
@@ -231,7 +233,7 @@
             let phase = match server.phase {
                 ServerPhase::Ready => "Ready",
                 ServerPhase::Draining => "Terminating",
-                ServerPhase::Gone if complete => continue, // what a complete list doesn't name is gone
+                ServerPhase::Gone if complete => continue, // a complete list leaves out removed servers
                 ServerPhase::Gone => "Gone",
             };
             let comma = if lines.is_empty() { "" } else { "," };
@@ -248,7 +250,7 @@
                  \"phase\":\"{phase}\",\"up_since_ms\":{up_since_ms}}}"
             );
         }
-        // Versions are told from 1 on.
+        // Revisions on the wire start at 1, indices of versions at 0.
         format!(
             "{{\"revision\":{},\"complete\":{complete},\"members\":[{lines}]}}",
             self.version() + 1
@@ -306,7 +308,7 @@
         }
     }
 
-    /// Waits until a call is to be answered. Nothing: its connection ends.
+    /// Waits until a call is due and returns its reply; none if the connection is to be closed.
     fn await_reply(&self, mixer: usize, call: ListCall) -> Option<Reply> {
         let began = std::time::Instant::now();
         let mut state = lock(&self.state);
@@ -354,7 +356,7 @@
         cut: Option<Cut>,
     ) -> io::Result<()> {
         if peer_has_closed(stream)? {
-            return Ok(()); // the call was given up
+            return Ok(()); // the mixer has abandoned the call
         }
         let response = format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
@@ -390,13 +392,13 @@
     Silence,
 }
 
-/// Silent, until the mixer closes the connection.
+/// Reads and discards bytes until the mixer closes the connection.
 fn await_peer_close(stream: &mut TcpStream) -> io::Result<()> {
     while stream.read(&mut [0; 512])? > 0 {}
     Ok(())
 }
 
-/// Whether the other side has closed a connection.
+/// Returns whether the peer has closed the connection.
 fn peer_has_closed(stream: &TcpStream) -> io::Result<bool> {
     stream.set_nonblocking(true)?;
     let peeked = stream.peek(&mut [0]);
@@ -414,7 +416,7 @@
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let shared = shared.clone();
-            // A call that can't be answered ends its connection.
+            // An error ends only the connection that it occurs on.
             std::thread::spawn(move || shared.serve_connection(stream, mixer));
         }
     });
--- a/crates/wharfhub-testbed/src/soak/run.rs
+++ b/crates/wharfhub-testbed/src/soak/run.rs
@@ -1,7 +1,6 @@
-//! One soak from start to end: the stand-ins, the processes, the plan's faults in their time, and the judge at the end.
+//! Runs one soak: starts the stand-ins and the mixers, injects the faults of the plan at their times, and checks the history.
 //!
-//! Each fault that lasts has a thread of its own, so that faults overlap as the plan has them. All that was started ends
-//! with the soak.
+//! Each fault has its own thread, so that faults overlap as planned. The mixers are killed at the end of the soak.
 
 use super::checker::{Checker, Violation};
 use super::clients::ClientPool;
@@ -16,52 +15,56 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Clients of each mixer.
+/// Number of clients of each mixer.
 const CLIENTS_PER_MIXER: usize = 2;
+/// Interval at which the mixers are checked for exits and readiness.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// A server that drains under answers that are cut is gone and back so much later (seconds).
+/// Time from the start of a drain with cut-off answers to the removal of the server (seconds).
 const CUT_DRAIN_GONE_S: f64 = 4.0;
+/// Time from the start of a drain with cut-off answers to the return of the server (seconds).
 const CUT_DRAIN_BACK_S: f64 = 6.0;
-/// After SIGTERM new connections still come for so long: the front has not noticed yet.
+/// Time after SIGTERM for which clients still open new connections, as a load balancer that has not noticed yet would (seconds).
 const NEW_CONNECTIONS_AFTER_SIGTERM_S: f64 = 0.3;
-/// Requests still come on kept connections; the last of them have ended so long after the longest wait (seconds).
+/// The counts of the mixers are read this long after the clients' longest timeout has passed since the last request, when the
+/// mixers have ended all requests (seconds).
 const LAST_REQUESTS_MARGIN_S: f64 = 0.7;
-/// Idle clients of each mixer in a crowd.
+/// Number of idle clients of each mixer in a soak with a shortage of descriptors.
 const IDLE_CLIENTS_PER_MIXER: usize = 160;
 
-/// What came of a soak.
+/// The result of a soak.
 #[derive(Debug)]
 pub struct Outcome {
-    /// Broken rules.
+    /// Violations that the checker found.
     pub violations: Vec<Violation>,
-    /// Requests that were taken, and of these the served, refused, failed and left ones.
+    /// Numbers of requests by their end.
     pub requests: RequestCounts,
-    /// The share of requests that were served in the quiet time at the end.
+    /// Share of requests that were served in the last one or two seconds, when faults have ended. Requests whose clients closed
+    /// their connection do not count.
     pub final_served_share: f64,
-    /// Parts that came to servers.
+    /// Number of parts that servers received.
     pub calls: usize,
-    /// Acts that the mixers' guards stopped.
+    /// Number of actions that the mixers' invariant guards stopped.
     pub guard_stops: u64,
-    /// How long the stand-ins stood still themselves (seconds).
+    /// Total time for which the stand-ins themselves were stalled (seconds).
     pub stalled_s: f64,
 }
 
-/// How requests ended.
+/// Numbers of requests by their end.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RequestCounts {
-    /// All.
+    /// All requests.
     pub all: usize,
-    /// Answers with 200.
+    /// Requests answered with status 200.
     pub served: usize,
-    /// Answers with 429 and 503.
+    /// Requests answered with status 429 or 503.
     pub refused: usize,
-    /// Other answers.
+    /// Requests answered with another status.
     pub failed: usize,
-    /// Clients that left.
+    /// Requests whose client closed its connection before the answer.
     pub closed_by_client: usize,
-    /// Nobody took them.
+    /// Requests for which no connection could be opened.
     pub not_accepted: usize,
-    /// No answer.
+    /// Requests whose connection was closed without an answer, and requests that timed out.
     pub unanswered: usize,
 }
 
@@ -86,7 +89,7 @@
     }
 }
 
-/// Everybody who takes part.
+/// A running soak: the stand-ins, the mixers and the state of the faults.
 struct SoakRun {
     recorder: Arc<Recorder>,
     registry: Registry,
@@ -94,16 +97,18 @@
     mixers: Vec<Mixer>,
     client_pool: Arc<ClientPool>,
     duration_s: f64,
-    /// Faults of one kind that hold at the same time: the last one to end takes it back.
+    /// Number of outages of discovery in force. Discovery returns when the last one ends.
     outage_faults: AtomicUsize,
+    /// Number of faults in force that make clients close early. Clients stop doing so when the last one ends.
     early_close_faults: AtomicUsize,
 }
 
-/// A mixer, and the address of discovery that its configuration names now.
+/// A mixer with the lock for changes to its process.
 struct Mixer {
     process: MixerProcess,
-    /// Held while its process is changed: kills, restarts and stops of one mixer come one after the other.
+    /// Lock held while the process is changed, so that kills, restarts and stops of one mixer follow each other.
     process_lock: Mutex<()>,
+    /// Index of the address of discovery that the configuration of the mixer names.
     discovery: AtomicUsize,
 }
 
@@ -113,7 +118,7 @@
     }
 }
 
-/// Plays a plan. Logs of the mixers go to that folder.
+/// Runs a soak by its plan and returns the history and the result. The logs of the mixers go to `folder`.
 pub fn run_plan(plan: &Plan, folder: &Path) -> io::Result<(History, Outcome)> {
     std::fs::create_dir_all(folder)?;
     let soak = Arc::new(SoakRun::new(plan, folder)?);
@@ -195,7 +200,7 @@
     }
 }
 
-/// When a fault is over (seconds).
+/// Returns the end of a fault (seconds since the start of the soak).
 fn fault_ends_at(planned: &PlannedFault) -> f64 {
     let duration_s = match &planned.fault {
         InjectedFault::Kill { down_s, .. } | InjectedFault::KillMany { down_s, .. } => *down_s,
@@ -284,15 +289,15 @@
         let mixer = &self.mixers[number];
         let address = self.registry.addresses[number][mixer.discovery.load(Ordering::Relaxed)];
         if let Err(error) = mixer.process.start(address, &self.registry.known(number)) {
-            eprintln!("soak: m{number} can't be started: {error}");
+            eprintln!("soak: start of m{number} failed: {error}");
             self.recorder.record_process(number, ProcessEvent::Crashed);
         }
     }
 
-    /// Notes processes that have ended by themselves, and leads clients to those that are ready.
+    /// Records processes that have exited unexpectedly, and puts mixers that have become ready into rotation.
     fn poll_mixers(&self) {
         for (number, mixer) in self.mixers.iter().enumerate() {
-            // One that is just being changed is looked at next time.
+            // A mixer whose process is being changed is checked next time.
             let Ok(_process_lock) = mixer.process_lock.try_lock() else {
                 continue;
             };
@@ -311,7 +316,7 @@
         }
     }
 
-    /// The front sends no new clients there.
+    /// Takes a mixer out of rotation: clients open no new connections to it.
     fn stop_new_clients(&self, number: usize) {
         let routing = &self.client_pool.routing[number];
         routing.is_in_rotation.store(false, Ordering::Relaxed);
@@ -407,7 +412,7 @@
         if !mixer.process.is_running() {
             return;
         }
-        // The front goes on to lead clients there until it has noticed; nobody accepts them.
+        // The mixer stays in rotation until the kill is done, so clients may find no listener.
         mixer.process.kill();
         self.stop_new_clients(number);
         self.sleep(down_s.min(self.duration_s - self.recorder.now() - 1.0));
@@ -418,7 +423,7 @@
         let mixer = &self.mixers[number];
         let _process_lock = mixer.lock_process();
         let routing = &self.client_pool.routing[number];
-        // Clients go on with what they have, and new connections still come for a while.
+        // Clients keep using their open connections, and open new ones for a while.
         std::thread::scope(|scope| {
             scope.spawn(|| {
                 self.sleep(NEW_CONNECTIONS_AFTER_SIGTERM_S);
@@ -432,7 +437,7 @@
                 .map(|(signal, after_s)| (*signal, Duration::from_secs_f64(*after_s)))
                 .collect();
             if let Err(error) = mixer.process.terminate(&series) {
-                eprintln!("soak: m{number}: {error}");
+                eprintln!("soak: termination of m{number} failed: {error}");
             }
         });
         self.start(number);
@@ -451,7 +456,7 @@
             .record_process(number, ProcessEvent::Continued);
         let continued = mixer.process.signal(Signal::Continue);
         if let Err(error) = stopped.and(continued) {
-            eprintln!("soak: m{number}: {error}");
+            eprintln!("soak: stop of m{number} failed: {error}");
         }
     }
 
@@ -460,19 +465,21 @@
         let _process_lock = mixer.lock_process();
         let index = (mixer.discovery.load(Ordering::Relaxed) + 1) % ADDRESSES_PER_MIXER;
         mixer.discovery.store(index, Ordering::Relaxed);
-        // Before its first instruction a process has no handler, and SIGHUP would end it, as any other.
+        // SIGHUP would end a process that has just been started and has not yet installed its handler.
         if mixer.process.is_running() && mixer.process.await_listener() {
             let known = self.registry.known(number);
             if let Err(error) = mixer
                 .process
                 .reconfigure(self.registry.addresses[number][index], &known)
             {
-                eprintln!("soak: m{number}: {error}");
+                eprintln!(
+                    "soak: move of m{number} to another address of discovery failed: {error}"
+                );
             }
         }
     }
 
-    /// The same configuration, some times in a row.
+    /// Makes a mixer reload its unchanged configuration several times in a row.
     fn reread(&self, number: usize, times: usize, every_s: f64) {
         let mixer = &self.mixers[number];
         let _process_lock = mixer.lock_process();
@@ -485,7 +492,7 @@
                 .process
                 .reconfigure(address, &self.registry.known(number))
             {
-                eprintln!("soak: m{number}: {error}");
+                eprintln!("soak: reload of m{number} failed: {error}");
             }
             self.sleep(every_s);
         }
--- a/crates/wharfhub-testbed/src/soak/servers.rs
+++ b/crates/wharfhub-testbed/src/soak/servers.rs
@@ -1,6 +1,7 @@
-//! The leaf servers of a soak: they read at once and note what comes, answer after some milliseconds, and fail as told.
+//! The leaf servers of a soak: they record each part as soon as it arrives, answer after some milliseconds, and behave as
+//! `run.rs` sets.
 //!
-//! A thread for each connection reads, one for each server answers. This file must never decide which fault comes when.
+//! One thread reads from each connection, and one thread for each server writes the answers.
 
 use super::history::{PartCall, Recorder};
 use crate::standin::lock;
@@ -12,30 +13,30 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// Time that a part takes, at least and at most (milliseconds).
+/// Shortest and longest service time of a part (milliseconds).
 const SERVICE_MS: (u64, u64) = (2, 25);
-/// Odds that a call on a server that resets connections meets a reset.
+/// Probability that a server that resets connections closes the connection on a call.
 const RESET_PROBABILITY: f64 = 0.3;
-/// Odds that a server that is full turns a part away.
+/// Probability that an overloaded server rejects a part.
 const REJECT_PROBABILITY: f64 = 0.5;
-/// How often the listener looks whether its server is alive.
+/// Interval at which the listener accepts connections and checks whether its server is down.
 const ACCEPT_POLL_INTERVAL: Duration = Duration::from_millis(2);
 const MAX_FRAME_BYTES: usize = 1 << 20;
 
-/// How a server behaves.
+/// The faults of a server that are in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Behavior {
-    /// Its process does not run.
+    /// The server neither accepts nor keeps connections, as if its process did not run.
     pub is_down: bool,
-    /// It answers nothing.
+    /// The server records parts and does not answer them.
     pub hangs: bool,
-    /// It resets connections under its calls.
+    /// The server closes connections on some of its calls.
     pub resets: bool,
-    /// It turns work away.
+    /// The server rejects some parts.
     pub is_overloaded: bool,
 }
 
-/// An answer that is due, in order of time.
+/// An answer with the time at which it is due. Answers are ordered by that time.
 struct Answer {
     due: Instant,
     bytes: Vec<u8>,
@@ -73,15 +74,15 @@
     recorder: Arc<Recorder>,
 }
 
-/// A server. Its threads end with the process.
+/// A running leaf server. Its threads run until the process ends.
 pub struct LeafServer {
-    /// Where it listens.
+    /// Address at which the server listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl LeafServer {
-    /// Starts one.
+    /// Starts a server.
     pub fn start(number: usize, recorder: &Arc<Recorder>) -> io::Result<LeafServer> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -98,7 +99,7 @@
         Ok(LeafServer { address, shared })
     }
 
-    /// Behaves otherwise from now on.
+    /// Changes the behavior. A server that is down loses its connections and pending answers.
     pub fn update_behavior(&self, change: impl FnOnce(&mut Behavior)) {
         let mut state = lock(&self.shared.state);
         change(&mut state.behavior);
@@ -113,7 +114,7 @@
 }
 
 impl Shared {
-    /// Accepts while the server is alive; its port is closed meanwhile.
+    /// Accepts connections, and closes the port while the server is down.
     fn accept_connections(self: Arc<Shared>, listener: TcpListener, address: SocketAddr) {
         let mut listener = Some(listener);
         loop {
@@ -127,7 +128,7 @@
                 let _ = open.set_nonblocking(true);
                 while let Ok((stream, _)) = open.accept() {
                     let shared = self.clone();
-                    // What can't be used ends its connection.
+                    // An error ends only the connection that it occurs on.
                     std::thread::spawn(move || shared.read_calls(stream));
                 }
             }
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Notes each part of a call and puts its answer off until it is due.
+    /// Records each part of a call and queues the answer for the time at which it is due.
     fn receive_call(&self, frame: &[u8], writer: &Arc<Mutex<TcpStream>>) -> io::Result<()> {
         let at = self.recorder.now();
         let behavior = lock(&self.state).behavior;
@@ -212,7 +213,7 @@
             match state.answers.peek().map(|Reverse(first)| first.due) {
                 Some(due) if due <= now => {
                     if let Some(Reverse(answer)) = state.answers.pop() {
-                        // Whoever asked may have gone.
+                        // The mixer may have closed the connection.
                         let _ = lock(&answer.stream).write_all(&answer.bytes);
                     }
                 }
@@ -235,14 +236,14 @@
     }
 }
 
-/// A part as its line in a call says.
+/// A part as described by its line in a call.
 struct PartLine {
     request: String,
     shard: u32,
     sent_timeout_s: f64,
 }
 
-/// Takes a call apart: for each part a line, and so many bytes of text as it says.
+/// Parses a call, which has a line for each part, followed by as many bytes of text as the line says.
 fn parse_call(mut rest: &[u8]) -> Option<Vec<PartLine>> {
     let mut found = Vec::new();
     while !rest.is_empty() {
@@ -269,7 +270,7 @@
     Some(found)
 }
 
-/// Requests bear the number of their mixer in their names: `m7-...`.
+/// Returns the number of the mixer from the ID of a request, which has the form `m7-...`.
 fn mixer_number(request: &str) -> Option<usize> {
     request.strip_prefix('m')?.split('-').next()?.parse().ok()
 }
--- a/crates/wharfhub-testbed/src/soak/timeline.rs
+++ b/crates/wharfhub-testbed/src/soak/timeline.rs
@@ -1,7 +1,5 @@
-//! What is known of a mixer's past: when it counts as notified of each version, when it could reach discovery, and when its
-//! processes stood still or were gone.
-//!
-//! This file owns those spans of time. It must never look at anything but the history, and names no broken rule.
+//! Derives from the history of a soak when each mixer counts as notified of each version of the list, when discovery was
+//! reachable for the mixer, and when the mixer's processes were stopped or killed.
 
 use super::history::{
     DiscoveryAnswer, DiscoveryFailure, History, ProcessEvent, ProcessRecord, ServerPhase,
@@ -9,14 +7,15 @@
 };
 use super::plan::Terms;
 
-/// A change counts as told so long after discovery had it and could be reached (seconds).
+/// A mixer counts as notified of a change this long after discovery had the change and could be reached (seconds).
 const NOTIFIED_AFTER_S: f64 = 6.0;
-/// After a new configuration what an agent has counts as told so much later (seconds).
+/// After a new configuration, a mixer counts as notified of what its agent has this much later (seconds).
 const NOTIFIED_AFTER_MOVE_S: f64 = 4.0;
-/// A process that can't reach discovery in this time has started while it was away (seconds).
+/// Time from the start of a process in which its first call is made: if discovery is unreachable at any moment of it, the
+/// process counts as started during an outage (seconds).
 const FIRST_CALL_WITHIN_S: f64 = 1.0;
 
-/// A span of time.
+/// A span of time, in seconds since the start of the soak.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Span {
     pub(super) from: f64,
@@ -29,14 +28,14 @@
     }
 }
 
-/// When a process of a mixer counts as told of each version, in order of versions.
+/// Times at which one process of a mixer counts as notified of each version, in order of versions.
 pub(super) struct NotificationTimes {
     pub(super) started_at: f64,
     times: Vec<f64>,
 }
 
 impl NotificationTimes {
-    /// For each process of a mixer.
+    /// Returns the notification times for each process of a mixer.
     pub(super) fn of_processes(
         history: &History,
         terms: &Terms,
@@ -67,14 +66,15 @@
             .iter()
             .map(|version| notified_at(version.at))
             .collect();
-        // A process starts with the list that the one before last had; what was lost on its way to that one it can't have.
+        // A process starts with the list last delivered to an earlier process of its mixer. It can't know of an answer that was
+        // cut off on its way to that process.
         let own = |answer: &&DiscoveryAnswer| {
             answer.mixer == mixer && (answer.at >= started_at || !answer.is_cut)
         };
         for answer in history.discovery_answers.iter().filter(own) {
             notified[answer.version] = notified[answer.version].min(answer.at.max(started_at));
         }
-        // Who knows a version knows what was changed before it.
+        // A version includes all earlier changes.
         for index in (0..notified.len().saturating_sub(1)).rev() {
             notified[index] = notified[index].min(notified[index + 1]);
         }
@@ -84,7 +84,8 @@
         }
     }
 
-    /// Since when the mixer has been told that nothing may go to a server, as of then.
+    /// Returns the time since which the process has counted, at time `at`, as notified that the server is not ready; none if
+    /// the latest version it counts as notified of has the server as ready.
     pub(super) fn unready_since(&self, history: &History, server: usize, at: f64) -> Option<f64> {
         let latest = self.times.iter().rposition(|notified| *notified <= at)?;
         let is_ready = |index: usize| history.versions[index].phases[server] == ServerPhase::Ready;
@@ -99,11 +100,11 @@
     }
 }
 
-/// When a mixer could reach discovery, or its agent.
+/// Availability of discovery, or of its agent, for one mixer.
 struct DiscoveryAccess {
-    /// When it could not, in order of time.
+    /// Spans in which discovery was unreachable, in order of time.
     unreachable: Vec<Span>,
-    /// When its open watches fell silent, and until when nothing could be done about it.
+    /// Spans that start when open watches fell silent and end when a new call could succeed.
     silent_watches: Vec<Span>,
     reconfigured_at: Vec<f64>,
 }
@@ -141,7 +142,7 @@
         }
     }
 
-    /// When discovery could be reached for so long on end, from that time on.
+    /// Returns the end of the first span of `for_s` seconds, at or after `from`, in which discovery was reachable throughout.
     fn continuously_reachable_at(&self, from: f64, for_s: f64) -> f64 {
         let mut from = from;
         for span in &self.unreachable {
@@ -152,13 +153,13 @@
         from + for_s
     }
 
-    /// When it can be reached again, at that time at the earliest.
+    /// Returns the first time, at or after `from`, at which discovery was reachable.
     fn reachable_at(&self, from: f64) -> f64 {
         self.continuously_reachable_at(from, 0.0)
     }
 
-    /// What was told before a process was there counts for it from its start on; where it can't reach discovery then, as
-    /// any change does from its return on.
+    /// Returns the earliest time at which a process counts as notified of versions older than its start: the start itself, or
+    /// 6 s after the return of discovery if discovery was unreachable then.
     fn notified_of_earlier_versions_at(&self, started_at: f64) -> f64 {
         let is_unreachable = self
             .unreachable
@@ -170,8 +171,8 @@
         }
     }
 
-    /// When a change counts as told where lists are pushed: what the agent has counts, but not yet where the watch on it has
-    /// fallen silent, or right after a new configuration.
+    /// Returns the time at which a process counts as notified of a change where lists are pushed: as soon as the agent has the
+    /// change, but later if the watch on the agent had fallen silent or the mixer had just got a new configuration.
     fn notified_through_agent_at(&self, changed_at: f64, started_at: f64) -> f64 {
         let mut notified_at = self.reachable_at(changed_at.max(started_at));
         for span in self
@@ -192,13 +193,14 @@
     }
 }
 
-/// What is known of the processes of one mixer.
+/// Spans in which the processes of one mixer were stopped or down.
 #[derive(Default)]
 pub(super) struct ProcessSpans {
     stopped: Vec<Span>,
-    /// From the kill, or the end, to the next start.
+    /// Spans from the kill or exit of a process to the next start.
     down: Vec<Span>,
-    killed: Vec<Span>, // without having been told to end, until they were gone
+    /// Spans from a kill without a previous SIGTERM, or from a crash, until the process was reaped.
+    killed: Vec<Span>,
 }
 
 impl ProcessSpans {
@@ -251,7 +253,7 @@
         spans
     }
 
-    /// How long it stood still in that time, at most in one piece (seconds).
+    /// Returns the length of the longest single stop between `from` and `to` (seconds).
     pub(super) fn longest_stop_s(&self, from: f64, to: f64) -> f64 {
         let inside = |span: &Span| span.to.min(to) - span.from.max(from);
         self.stopped.iter().map(inside).fold(0.0, f64::max)
