--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -16,9 +16,9 @@
 use crate::net::reload::Reload;
 use crate::net::replica::pool::ReplicaConnections;
 use crate::net::runtime::Runtime;
-use crate::net::standstill::StandstillDetector;
+use crate::net::stall_detector::StallDetector;
 use crate::net::timer_queue::{Deadline, TIMER_TOLERANCE_S};
-use crate::net::tokens::{connection_key, ADMIN, PROTOCOLS, REREAD, SIGNALS, STORE, VRRP};
+use crate::net::tokens::{connection_key, ADMIN, PROTOCOLS, RELOAD, SIGNALS, STORE, VRRP};
 use crate::net::{admin, handover, startup, store_peers, vrrp_socket};
 use crate::requests::coordinator::Command;
 use mio::event::Event;
@@ -29,14 +29,14 @@
 use std::time::Duration;
 
 /// Events that one wait of the poll takes at most; others come with the next.
-const MAX_EVENTS_PER_TURN: usize = 256;
+const MAX_EVENTS_PER_POLL: usize = 256;
 /// Where an accept failed for want of descriptors it is tried again after this time (seconds).
-pub(super) const ACCEPT_AGAIN_S: f64 = 0.02;
+pub(super) const ACCEPT_RETRY_S: f64 = 0.02;
 /// Of the time after which a replica closes an idle connection, the share after which we do.
-pub(super) const IDLE_SHARE: f64 = 0.8;
+pub(super) const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
 
 /// The events of one turn.
-pub(super) struct TurnEvents {
+pub(super) struct PollEvents {
     /// Of the poll that waited.
     waited_for: Events,
     /// Of a second poll right after it. The process may have been stopped after the first one, and what came meanwhile forbids
@@ -44,9 +44,9 @@
     latest: Events,
 }
 
-impl TurnEvents {
-    fn with_capacity(capacity: usize) -> TurnEvents {
-        TurnEvents {
+impl PollEvents {
+    fn with_capacity(capacity: usize) -> PollEvents {
+        PollEvents {
             waited_for: Events::with_capacity(capacity),
             latest: Events::with_capacity(capacity),
         }
@@ -63,14 +63,14 @@
     /// Becomes readable when the process is to end.
     pub stop: std::os::unix::net::UnixStream,
     /// Becomes readable when the configuration is to be read again.
-    pub reread: std::os::unix::net::UnixStream,
+    pub reload: std::os::unix::net::UnixStream,
     /// The configuration's file.
-    pub config: PathBuf,
+    pub config_path: PathBuf,
 }
 
 /// An endpoint list that has come into force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ListInForce {
+pub struct EndpointListInUse {
     /// Its version, where it has one.
     pub revision: Option<u64>,
     /// Leaf servers that are known now.
@@ -78,7 +78,7 @@
 }
 
 /// Called with each endpoint list on the loop's thread; it must not block.
-pub type ListObserver = Box<dyn FnMut(ListInForce)>;
+pub type EndpointListObserver = Box<dyn FnMut(EndpointListInUse)>;
 
 /// The mixer on its sockets: the subsystems, and the loop that leads events to them.
 pub struct Mixer {
@@ -102,105 +102,110 @@
     }
 
     /// Calls the observer for each endpoint list that comes into force from now on.
-    pub fn observe_lists(&mut self, observer: ListObserver) {
+    pub fn observe_lists(&mut self, observer: EndpointListObserver) {
         self.discovery.observe_lists(observer);
     }
 
     /// Runs until the process has been told to end and every accepted request has its answer. An error is one of the poll.
     pub fn run(&mut self) -> Result<(), NetError> {
-        let mut events = TurnEvents::with_capacity(MAX_EVENTS_PER_TURN);
-        let mut standstill = StandstillDetector::default();
+        let mut events = PollEvents::with_capacity(MAX_EVENTS_PER_POLL);
+        let mut stall_detector = StallDetector::default();
         while self.lifecycle.phase() != Phase::Stopped {
-            if let Some(woke_at) = self.await_events(&mut events, &mut standstill)? {
-                self.turn(woke_at, &events, &mut standstill);
+            if let Some(woke_at) = self.await_events(&mut events, &mut stall_detector)? {
+                self.run_iteration(woke_at, &events, &mut stall_detector);
             }
         }
         Ok(())
     }
 
     /// Waits for events until the next deadline. Returns when it was over, none where a signal has ended it. The events include
-    /// all that had come by then, but for the last `HELD_UP_S`: what a turn does by the clock must not be later than what it
+    /// all that had come by then, but for the last `MAX_LOOP_DELAY_S`: what a turn does by the clock must not be later than what it
     /// knows.
     fn await_events(
         &mut self,
-        events: &mut TurnEvents,
-        standstill: &mut StandstillDetector,
+        events: &mut PollEvents,
+        stall_detector: &mut StallDetector,
     ) -> Result<Option<f64>, NetError> {
         let runtime = &mut self.runtime;
         let polled_at = runtime.clock.now();
-        let timeout = if self.replicas.has_held_back() {
+        let timeout = if self.replicas.has_postponed_writes() {
             Some(Duration::ZERO)
         } else {
             runtime.timers.wait(polled_at)
         };
         if let Some(timeout) = timeout {
-            standstill.expect_wake_at(polled_at + timeout.as_secs_f64());
+            stall_detector.expect_wake_at(polled_at + timeout.as_secs_f64());
         }
         events.latest.clear();
         if !poll(runtime, &mut events.waited_for, timeout)? {
             return Ok(None);
         }
         let woke_at = runtime.clock.now();
-        if woke_at > polled_at + lease::HELD_UP_S {
+        if woke_at > polled_at + lease::MAX_LOOP_DELAY_S {
             poll(runtime, &mut events.latest, Some(Duration::ZERO))?;
         }
         Ok(Some(woke_at))
     }
 
     /// One turn: handles the events, then the deadlines that have come.
-    fn turn(&mut self, woke_at: f64, events: &TurnEvents, standstill: &mut StandstillDetector) {
-        self.begin_turn(woke_at, standstill);
+    fn run_iteration(
+        &mut self,
+        woke_at: f64,
+        events: &PollEvents,
+        stall_detector: &mut StallDetector,
+    ) {
+        self.begin_iteration(woke_at, stall_detector);
         // Operators come first: what clients bring must not keep their replies waiting.
         self.handle_admin_events(events);
         self.handle_client_disconnects(events);
         let handled = self.receive_from_discovery(events);
-        if let Some(since) = standstill.take_beginning() {
-            let stood_still_s = self.runtime.now - since;
+        if let Some(since) = stall_detector.take_stall_start() {
+            let stalled_for_s = self.runtime.now - since;
             self.runtime.log(&format!(
-                "loop: the process stood still for up to {stood_still_s:.3} s"
+                "loop: the process was stalled for up to {stalled_for_s:.3} s"
             ));
-            self.confirm_after_standstill(since);
+            self.confirm_list_after_pause(since);
         }
-        self.settle();
-        self.flush_held_back();
+        self.process_commands();
+        self.flush_postponed();
         for event in events.iter() {
             if !handled.contains(&event.token()) {
                 self.handle_event(event);
             }
-            self.settle();
+            self.process_commands();
         }
-        self.advance_to_deadlines(woke_at, standstill);
+        self.advance_to_deadlines(woke_at, stall_detector);
         while let Some(deadline) = self.runtime.timers.next(self.runtime.now) {
             self.handle_deadline(deadline);
-            self.settle();
+            self.process_commands();
         }
         self.check_end();
     }
 
     /// Sets the time of this turn, and notes whether the process stood still during the wait.
-    fn begin_turn(&mut self, woke_at: f64, standstill: &mut StandstillDetector) {
+    fn begin_iteration(&mut self, woke_at: f64, stall_detector: &mut StallDetector) {
         let runtime = &mut self.runtime;
         runtime.now = woke_at;
-        runtime.previous_turn_at = runtime.turn_began_at;
-        runtime.turn_began_at = runtime.now;
-        let overslept_s = standstill.woke(runtime.now, runtime.previous_turn_at);
-        if overslept_s > lease::HELD_UP_S {
+        runtime.previous_iteration_at = runtime.iteration_started_at;
+        runtime.iteration_started_at = runtime.now;
+        let wake_delay_s = stall_detector.record_wake(runtime.now, runtime.previous_iteration_at);
+        if wake_delay_s > lease::MAX_LOOP_DELAY_S {
             // A stop comes at the end of a system call: the poll may have looked before it.
-            runtime.turn_began_at = runtime.previous_turn_at;
+            runtime.iteration_started_at = runtime.previous_iteration_at;
         }
     }
 
     /// Reads the clock for the deadlines of this turn. Where handling the events took long, its deadlines are those that had come
     /// when it began: others wait until the sockets have been looked at again.
-    fn advance_to_deadlines(&mut self, woke_at: f64, standstill: &mut StandstillDetector) {
+    fn advance_to_deadlines(&mut self, woke_at: f64, stall_detector: &mut StallDetector) {
         let now = self.runtime.clock.now();
-        standstill.turn_took(now - woke_at, self.runtime.turn_began_at);
-        if now <= woke_at + lease::HELD_UP_S {
+        stall_detector.record_iteration(now - woke_at, self.runtime.iteration_started_at);
+        if now <= woke_at + lease::MAX_LOOP_DELAY_S {
             self.runtime.now = now;
         }
     }
 
-    fn handle_admin_events(&mut self, events: &TurnEvents) {
+    fn handle_admin_events(&mut self, events: &PollEvents) {
         for event in events.iter() {
             match event.token() {
                 ADMIN => self.admin_accept(),
@@ -214,7 +219,7 @@
         match event.token() {
             Token(protocol) if protocol < PROTOCOLS.len() => self.accept(PROTOCOLS[protocol]),
             SIGNALS => self.stop_requested(),
-            REREAD => self.reload_requested(),
+            RELOAD => self.reload_requested(),
             STORE => self.store_accept(),
             VRRP => self.vrrp_event(),
             ADMIN => {}
@@ -230,7 +235,7 @@
     }
 
     /// Carries out the coordinator's commands, and what they lead to, until none is left.
-    pub(super) fn settle(&mut self) {
+    pub(super) fn process_commands(&mut self) {
         while !self.runtime.commands.is_empty() || self.clients.has_resumed() {
             for key in self.clients.take_resumed() {
                 self.read_client(key);
@@ -242,12 +247,12 @@
                     Command::Withdraw { attempt } => self.withdraw_unsent(attempt),
                     Command::Reply {
                         caller,
-                        last,
+                        answer,
                         query_request,
                         took_s,
                     } => {
                         let key = ConnectionKey::from(KeyData::from_ffi(caller));
-                        self.reply(key, &query_request, last, took_s);
+                        self.reply(key, &query_request, answer, took_s);
                     }
                     Command::WakeAt { at, wake } => {
                         self.runtime.timers.add(at, Deadline::Coordinator(wake))
@@ -279,11 +284,11 @@
             Deadline::DiscoveryRetry => self.discovery_retry_due(),
             Deadline::Heartbeat => self.heartbeat_due(),
             Deadline::ListLease => self.lease_due(),
-            Deadline::Settings => self.apply_pending_settings(),
-            Deadline::Listen => self.open_listeners(),
-            Deadline::Vrrp => self.handle_vrrp_event(crate::vrrp::Event::Timer),
-            Deadline::Refresh => self.refresh(),
-            Deadline::Operation(id) => self.operation_due(id),
+            Deadline::ApplySettings => self.apply_pending_settings(),
+            Deadline::OpenListeners => self.open_listeners(),
+            Deadline::VrrpTimer => self.handle_vrrp_event(crate::vrrp::Event::Timer),
+            Deadline::StoreRefresh => self.refresh(),
+            Deadline::StoreOperation(id) => self.operation_due(id),
             Deadline::Phase => self.phase_due(),
         }
     }
--- a/src/net/store_peers.rs
+++ b/src/net/store_peers.rs
@@ -148,7 +148,7 @@
             listener.local_addr()?
         );
         runtime.log(&line);
-        runtime.timers.add(runtime.now, Deadline::Refresh);
+        runtime.timers.add(runtime.now, Deadline::StoreRefresh);
         Ok(StorePeers {
             setup,
             listener,
@@ -188,7 +188,7 @@
         }
         runtime
             .timers
-            .add(runtime.now + REFRESH_INTERVAL_S, Deadline::Refresh);
+            .add(runtime.now + REFRESH_INTERVAL_S, Deadline::StoreRefresh);
     }
 
     /// Queues a client's request: GET reads a key, PUT writes it. [`StorePeers::begin_next`] is to follow.
@@ -232,7 +232,7 @@
             id: self.last_operation,
             node: self.setup.node,
             node_count: self.setup.peers.len() + 1,
-            min_counter: runtime.clock.wall_now_ms(runtime.now),
+            min_counter: runtime.clock.unix_ms(runtime.now),
         };
         let (operation, message) = Operation::begin(setup, &next.key, next.value);
         self.running = Some(RunningOperation {
@@ -241,7 +241,7 @@
         });
         runtime.timers.add(
             runtime.now + OPERATION_TIMEOUT_S,
-            Deadline::Operation(self.last_operation),
+            Deadline::StoreOperation(self.last_operation),
         );
         self.send(&message);
     }
@@ -389,8 +389,8 @@
             };
             let bytes = answer.map(|answer| answer.encode()).unwrap_or_default();
             peer.queue_answer(bytes);
-            let is_overfull = peer.is_overfull();
-            if peer.exchange(&mut Vec::new()).is_err() || is_overfull {
+            let is_write_buffer_full = peer.is_write_buffer_full();
+            if peer.exchange(&mut Vec::new()).is_err() || is_write_buffer_full {
                 return self.drop_connection(runtime, key);
             }
         }
