--- a/src/connections/backoff.rs
+++ b/src/connections/backoff.rs
@@ -1,16 +1,16 @@
-//! A delay that doubles with each failure in a row, up to a bound.
+//! Exponential backoff without jitter.
 //!
-//! This file owns when a call that failed may be made again. It is for calls that cost discovery and this machine much each
-//! time and can't succeed for a while, as with a list over the limit. It must never read a clock.
+//! Used for calls that are expensive for discovery and this machine and that will not succeed for a while, such as requests for
+//! a list that exceeds the size limit.
 
-/// The first delay (seconds).
+/// First delay (seconds).
 const FIRST_DELAY_S: f64 = 1.0;
-/// The longest delay (seconds).
+/// Maximum delay (seconds).
 const MAX_DELAY_S: f64 = 60.0;
-/// More doublings than this change nothing.
+/// Bound of the exponent. The maximum delay is reached with fewer doublings.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// How often a call has failed in a row, and until when it is not made again.
+/// Backoff state: the number of consecutive failures, and the time before which the call is not retried.
 #[derive(Clone, Debug, Default)]
 pub struct Backoff {
     failures: u32,
@@ -18,7 +18,7 @@
 }
 
 impl Backoff {
-    /// The call failed. Gives the delay (seconds).
+    /// Records a failed call and returns the delay before the retry (seconds).
     pub fn failed(&mut self, now: f64) -> f64 {
         let doublings = self.failures.min(MAX_DOUBLINGS);
         let delay_s = (FIRST_DELAY_S * f64::from(doublings).exp2()).min(MAX_DELAY_S);
@@ -27,12 +27,12 @@
         delay_s
     }
 
-    /// The call succeeded.
+    /// Records a successful call, which resets the delay.
     pub fn succeeded(&mut self) {
         *self = Backoff::default();
     }
 
-    /// When the call may be made again, if that is later than now.
+    /// Returns the time before which the call must not be retried, if that time is after `now`.
     pub fn blocked_until(&self, now: f64) -> Option<f64> {
         Some(self.until).filter(|until| now < *until)
     }
--- a/src/connections/backoff/tests.rs
+++ b/src/connections/backoff/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of backoff.rs that use its private items.
+//! Unit tests of backoff.rs.
 
 use super::*;
 
 #[test]
-fn delays_double_up_to_a_minute_and_start_again_after_a_success() {
+fn delays_double_up_to_a_minute_and_are_reset_by_a_success() {
     let mut backoff = Backoff::default();
     assert_eq!(backoff.blocked_until(0.0), None);
     let delays: Vec<f64> = (0..9).map(|_| backoff.failed(100.0)).collect();
--- a/src/connections/idle.rs
+++ b/src/connections/idle.rs
@@ -1,37 +1,38 @@
-//! Many idle client connections: how many each group may have, which are closed first, and how many are read in a turn.
+//! Management of large numbers of idle client connections: the number that each group may have, the order in which idle
+//! connections are closed, and the number that is read in one iteration of the event loop.
 //!
-//! This file owns the settings of these rules; `capacity.rs` owns the counts by group and the decisions from them, `table.rs`
-//! the order of the connections. Nothing here may hold a socket, look at an address (the caller gives the group) or read a
-//! clock.
+//! This module defines the settings. `capacity.rs` keeps the counts of each group and decides on admission and eviction;
+//! `table.rs` keeps the order of the connections.
 //!
-//! Groups are numbered as the settings name them; the last one has all connections that no address set names.
+//! The caller assigns each connection to a group. Groups are numbered in the order of the settings; the last group contains all
+//! connections whose address is in none of the configured address sets.
 
 mod capacity;
 mod table;
 
 pub use capacity::{Admission, Capacity};
-pub use table::{IdleTable, Portion, Stage};
+pub use table::{IdleTable, SlotBatch, Stage};
 
 use thiserror::Error;
 
-/// The operators' settings.
+/// Settings for idle client connections.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IdleSettings {
-    /// Connections that may be open at once, idle or not.
+    /// Maximum number of open connections, idle or busy.
     pub max_connections: usize,
-    /// How long a connection may stay idle (seconds).
+    /// Time after which an idle connection is closed (seconds).
     pub idle_s: f64,
-    /// Times of idle connections are kept in steps of this length (seconds).
+    /// Resolution of the times that are recorded for connections (seconds).
     pub step_s: f64,
-    /// Shares of the connections by group; the rest up to 1 is the share of the last group, of all others.
+    /// Shares of the connections for each group except the last, which has the remainder up to 1.
     pub shares: Vec<f64>,
-    /// Connections read in one turn, at most.
-    pub max_reads_per_turn: usize,
-    /// The shortest time after which a rejected client is to try again (seconds).
+    /// Maximum number of connections that are read in one iteration of the event loop.
+    pub max_reads_per_iteration: usize,
+    /// Minimum Retry-After sent to a rejected client (seconds).
     pub min_retry_after_s: f64,
-    /// The longest such time (seconds).
+    /// Maximum Retry-After sent to a rejected client (seconds).
     pub max_retry_after_s: f64,
-    /// New connections that can be accepted in a second.
+    /// Number of new connections that can be accepted per second.
     pub accepts_per_s: f64,
 }
 
@@ -42,7 +43,7 @@
             idle_s: 3600.0,
             step_s: 1.0,
             shares: Vec::new(),
-            max_reads_per_turn: 64,
+            max_reads_per_iteration: 64,
             min_retry_after_s: 0.1,
             max_retry_after_s: 2.0,
             accepts_per_s: 1000.0,
@@ -50,33 +51,33 @@
     }
 }
 
-/// Why settings can't be used.
+/// Reason for which the settings are rejected.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum IdleSettingsError {
-    /// A number of connections is 0.
-    #[error("no connection could be held or read")]
+    /// The maximum number of connections, or of reads in an iteration, is 0.
+    #[error("no connection could be kept open or read")]
     NoConnections,
-    /// A value has to be above 0.
+    /// A value is not finite or not above 0.
     #[error("{value} is not above 0")]
     NotPositive {
-        /// The key of the value.
+        /// Key of the value.
         key: &'static str,
         /// The value.
         value: f64,
     },
-    /// The longest Retry-After is shorter than the shortest, or not finite.
-    #[error("the longest is shorter than the shortest")]
+    /// The maximum Retry-After is below the minimum, or not finite.
+    #[error("the maximum is below the minimum or not finite")]
     RetryAfterBounds,
-    /// Shares are not within 0 and 1, or are more than 1 together.
-    #[error("they are not within 0 and 1, or add up to {sum}, beyond 1")]
+    /// A share is not between 0 and 1, or the sum of the shares exceeds 1.
+    #[error("a share is not between 0 and 1, or the sum {sum} of the shares exceeds 1")]
     Shares {
-        /// The sum of the shares.
+        /// Sum of the shares.
         sum: f64,
     },
 }
 
 impl IdleSettingsError {
-    /// The key of the setting that is wrong.
+    /// Returns the key of the invalid setting.
     pub fn key(&self) -> &'static str {
         match self {
             IdleSettingsError::NoConnections => "most",
@@ -88,9 +89,9 @@
 }
 
 impl IdleSettings {
-    /// Checks all values.
+    /// Returns an error if a value is invalid.
     pub fn check(&self) -> Result<(), IdleSettingsError> {
-        if self.max_connections == 0 || self.max_reads_per_turn == 0 {
+        if self.max_connections == 0 || self.max_reads_per_iteration == 0 {
             return Err(IdleSettingsError::NoConnections);
         }
         check_positive("idleS", self.idle_s)?;
@@ -107,7 +108,7 @@
         Ok(())
     }
 
-    /// How many groups there are, the last one of all others included.
+    /// Returns the number of groups, including the last group.
     fn group_count(&self) -> usize {
         self.shares.len() + 1
     }
--- a/src/connections/idle/capacity/tests.rs
+++ b/src/connections/idle/capacity/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of capacity.rs that use its private items.
+//! Unit tests of capacity.rs.
 
 use super::*;
 
@@ -17,22 +17,23 @@
     }
 }
 
-/// One network may use what others leave free, and loses it as soon as they connect.
+/// A group may use connections that other groups do not use, until the other groups need their shares.
 #[test]
-fn connections_beyond_a_share_are_replaced_by_those_within_theirs() {
+fn connections_above_a_share_are_replaced_by_connections_within_a_share() {
     let mut capacity = capacity(100, &[0.5, 0.25]);
     fill(&mut capacity, 0, 98);
-    let mut given = [0, 0];
+    let mut replaced = [0, 0];
     for _ in 0..200 {
         let Admission::Replace(other) = capacity.admit(1.0, 1, 0.5) else {
-            panic!("there are idle ones")
+            panic!("an idle connection must be replaced")
         };
         capacity.closed(other, true);
         fill(&mut capacity, 1, 1);
-        given[other] += 1;
+        replaced[other] += 1;
     }
-    // The second network gains until both have the same excess; from then on its own longest idle connections are closed.
-    assert!(given[0] >= 35 && given[1] >= 100, "{given:?}");
+    // The second group gains connections until both groups have the same excess. From then on, its own longest idle connections
+    // are closed.
+    assert!(replaced[0] >= 35 && replaced[1] >= 100, "{replaced:?}");
     assert!(
         capacity.groups[1].open >= capacity.share(1)
             && capacity.groups[0].open >= capacity.share(0),
@@ -41,9 +42,9 @@
     );
 }
 
-/// If all groups are within their shares and busy, a new connection is rejected with a Retry-After; no busy one is closed.
+/// If all connections are busy, a new connection is rejected with a Retry-After, and no busy connection is closed.
 #[test]
-fn busy_connections_stay_and_new_ones_retry_within_the_bounds() {
+fn busy_connections_stay_open_and_new_ones_are_rejected_with_a_bounded_retry_after() {
     let mut capacity = capacity(100, &[0.5]);
     (0..50).for_each(|_| capacity.opened(0));
     (0..48).for_each(|_| capacity.opened(1));
@@ -58,7 +59,7 @@
     assert_eq!(capacity.group_to_shrink(10), None, "no connection is idle");
 }
 
-/// Ten thousand clients rejected at once retry spread, never all in one second if accepting them takes longer.
+/// The retries of 10,000 clients that are rejected together are spread over the time that accepting them takes.
 #[test]
 fn retries_are_spread_over_the_time_it_takes_to_accept_them() {
     let settings = IdleSettings {
@@ -81,28 +82,29 @@
     );
     assert!(
         capacity.retry_after_s(60.0, 1.0) < 0.3,
-        "earlier rejections do not count any more"
+        "earlier rejections must not count any more"
     );
-    // More than fit into the longest Retry-After: still no second gets them all.
+    // More clients than can be accepted within the maximum Retry-After: their retries are still spread.
     let more = (0..40_000).map(|_| capacity.retry_after_s(60.0, rng.rand_float()));
     assert!(more.filter(|after_s| *after_s > 19.0).count() < 4000);
 }
 
 #[test]
-fn fewer_are_read_the_more_is_in_flight_but_none_waits_too_long() {
+fn reads_decrease_with_requests_in_flight_but_the_wait_is_bounded() {
     let capacity = capacity(1000, &[]);
-    assert_eq!(capacity.reads_in_turn(10_000, 0.0, 0, 200), 64);
-    assert_eq!(capacity.reads_in_turn(10_000, 0.0, 90, 200), 32);
-    assert_eq!(capacity.reads_in_turn(10_000, 0.0, 200, 200), 0);
+    assert_eq!(capacity.reads_in_iteration(10_000, 0.0, 0, 200), 64);
+    assert_eq!(capacity.reads_in_iteration(10_000, 0.0, 90, 200), 32);
+    assert_eq!(capacity.reads_in_iteration(10_000, 0.0, 200, 200), 0);
     assert_eq!(
-        capacity.reads_in_turn(10_000, 0.3, 200, 200),
+        capacity.reads_in_iteration(10_000, 0.3, 200, 200),
         64,
-        "then they are read, and rejected"
+        "after the maximum wait the connections are read, and their requests rejected"
     );
-    assert_eq!(capacity.reads_in_turn(3, 0.0, 0, 200), 3);
+    assert_eq!(capacity.reads_in_iteration(3, 0.0, 0, 200), 3);
 }
 
-/// A limit that is lowered below the open connections: the groups with the largest excess shrink first, idle ones alone.
+/// If the limit is lowered below the number of open connections, idle connections are closed in the group with the largest
+/// excess first.
 #[test]
 fn a_lowered_limit_closes_idle_connections_by_share() {
     let mut capacity = capacity(1000, &[0.5]);
@@ -113,10 +115,10 @@
         shares: vec![0.5],
         ..IdleSettings::default()
     });
-    let mut gone = [0, 0];
+    let mut closed = [0, 0];
     while let Some(group) = capacity.group_to_shrink(0) {
         capacity.closed(group, true);
-        gone[group] += 1;
+        closed[group] += 1;
     }
-    assert_eq!((capacity.open_count(), gone), (400, [100, 400]));
+    assert_eq!((capacity.open_count(), closed), (400, [100, 400]));
 }
--- a/src/connections/idle/table.rs
+++ b/src/connections/idle/table.rs
@@ -1,96 +1,97 @@
-//! The connections by numbered slots, and the order in which idle ones are closed and readable ones are read.
+//! A table of connection slots, with the order in which idle connections are closed and readable connections are read.
 //!
-//! This file owns the slots and their lists. It must never hold a connection. Idle connections have no deadline of their own:
-//! all may stay idle equally long, so that the list of each group is in the order of its ends, and only its first is checked.
+//! All connections may stay idle for the same time, so the list of each group is ordered by expiry, and only its first entry has
+//! to be checked.
 
 use super::{Capacity, IdleSettings};
 
-/// No slot.
-const NONE: u32 = u32::MAX;
+/// Marks the absence of a slot in a link.
+const NO_SLOT: u32 = u32::MAX;
 
-/// What a connection in the table is doing, as far as idling is concerned.
+/// State of a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// The slot is free.
     Free,
-    /// Its request is awaited, read or answered.
+    /// The connection's first request is awaited, or a request is being read or answered.
     Busy,
-    /// Nothing is awaited of it.
+    /// No request is in progress on the connection.
     Idle,
-    /// It has become readable and waits to be read.
-    Woken,
+    /// The connection has become readable and waits to be read.
+    Readable,
 }
 
-/// One connection: in the list of its group while idle, in the queue while woken. Small, because there are many.
+/// A connection, which is in the list of its group while idle and in the read queue while readable. The size is kept small,
+/// because there are many.
 #[derive(Clone, Copy, Debug)]
 struct Slot {
-    before: u32,
-    after: u32,
-    /// The step in which its stage began.
+    previous: u32,
+    next: u32,
+    /// Time at which the stage began, in steps of [`IdleSettings::step_s`].
     since: u32,
     group: u16,
     stage: Stage,
 }
 
-/// A list through the slots, the oldest first.
+/// A linked list of slots, the oldest first.
 #[derive(Clone, Copy, Debug)]
 struct SlotList {
     first: u32,
     last: u32,
 }
 
-const EMPTY: SlotList = SlotList {
-    first: NONE,
-    last: NONE,
+const EMPTY_LIST: SlotList = SlotList {
+    first: NO_SLOT,
+    last: NO_SLOT,
 };
 
-/// Some of the slots in use, for what is done to every connection by portions.
+/// A batch of slots in use, for iterating over all connections in bounded steps.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Portion {
-    /// The slots.
+pub struct SlotBatch {
+    /// Slots of the batch.
     pub slots: Vec<u32>,
-    /// The slot to go on from; none at the end.
+    /// Slot at which the next batch starts; `None` at the end of the table.
     pub next: Option<u32>,
 }
 
-/// All connections by numbered slots.
+/// Table of all connections, addressed by slot number.
 #[derive(Clone, Debug)]
 pub struct IdleTable {
     capacity: Capacity,
     slots: Vec<Slot>,
-    /// First of the free slots, which are linked by `after`.
-    free: u32,
-    /// By group.
+    /// First free slot; the free slots are linked by `next`.
+    first_free: u32,
+    /// Idle connections by group.
     idle: Vec<SlotList>,
-    woken: SlotList,
-    woken_count: usize,
+    readable: SlotList,
+    readable_count: usize,
 }
 
 impl IdleTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(settings: IdleSettings) -> IdleTable {
         let groups = settings.group_count();
         IdleTable {
             capacity: Capacity::new(settings),
             slots: Vec::new(),
-            free: NONE,
-            idle: vec![EMPTY; groups],
-            woken: EMPTY,
-            woken_count: 0,
+            first_free: NO_SLOT,
+            idle: vec![EMPTY_LIST; groups],
+            readable: EMPTY_LIST,
+            readable_count: 0,
         }
     }
 
-    /// The counts by group.
+    /// Returns the connection counts by group.
     pub fn capacity(&mut self) -> &mut Capacity {
         &mut self.capacity
     }
 
-    /// Bytes of one slot.
+    /// Returns the size of a slot (bytes).
     pub const fn bytes_per_slot() -> usize {
         std::mem::size_of::<Slot>()
     }
 
-    /// What the connection of a slot is doing.
+    /// Returns the stage of a slot.
     pub fn stage(&self, slot: u32) -> Stage {
         self.slots
             .get(slot as usize)
@@ -109,27 +110,27 @@
         let Slot { stage, group, .. } = self.slots[slot as usize];
         match stage {
             Stage::Idle => Some(&mut self.idle[usize::from(group)]),
-            Stage::Woken => Some(&mut self.woken),
+            Stage::Readable => Some(&mut self.readable),
             Stage::Free | Stage::Busy => None,
         }
     }
 
     fn unlink(&mut self, slot: u32) {
-        let Slot { before, after, .. } = self.slots[slot as usize];
+        let Slot { previous, next, .. } = self.slots[slot as usize];
         let Some(list) = self.list_of(slot) else {
             return;
         };
         if list.first == slot {
-            list.first = after;
+            list.first = next;
         }
         if list.last == slot {
-            list.last = before;
+            list.last = previous;
         }
-        if before != NONE {
-            self.slot_mut(before).after = after;
+        if previous != NO_SLOT {
+            self.slot_mut(previous).next = next;
         }
-        if after != NONE {
-            self.slot_mut(after).before = before;
+        if next != NO_SLOT {
+            self.slot_mut(next).previous = previous;
         }
     }
 
@@ -138,19 +139,19 @@
             return;
         };
         let last = std::mem::replace(&mut list.last, slot);
-        if last == NONE {
+        if last == NO_SLOT {
             list.first = slot;
         } else {
-            self.slot_mut(last).after = slot;
+            self.slot_mut(last).next = slot;
         }
         let slot = self.slot_mut(slot);
-        slot.before = last;
-        slot.after = NONE;
+        slot.previous = last;
+        slot.next = NO_SLOT;
     }
 
     fn set_stage(&mut self, slot: u32, stage: Stage, now: f64) {
         let Slot {
-            stage: before,
+            stage: old_stage,
             group,
             ..
         } = self.slots[slot as usize];
@@ -160,38 +161,38 @@
         entry.stage = stage;
         entry.since = since;
         self.append(slot);
-        match (before == Stage::Idle, stage == Stage::Idle) {
+        match (old_stage == Stage::Idle, stage == Stage::Idle) {
             (false, true) => self.capacity.set_idle(usize::from(group), true),
             (true, false) if stage != Stage::Free => {
                 self.capacity.set_idle(usize::from(group), false);
             }
             _ => {}
         }
-        self.woken_count += usize::from(stage == Stage::Woken);
-        self.woken_count -= usize::from(before == Stage::Woken);
+        self.readable_count += usize::from(stage == Stage::Readable);
+        self.readable_count -= usize::from(old_stage == Stage::Readable);
     }
 
-    /// A connection of a group was accepted; gives its slot. Free slots are used again before new ones.
+    /// Adds an accepted connection of a group and returns its slot. Free slots are reused before new ones are added.
     pub fn opened(&mut self, group: usize, now: f64) -> u32 {
         self.capacity.opened(group);
         let new = Slot {
-            before: NONE,
-            after: NONE,
+            previous: NO_SLOT,
+            next: NO_SLOT,
             since: self.step(now),
             group: group as u16,
             stage: Stage::Busy,
         };
-        if self.free == NONE {
+        if self.first_free == NO_SLOT {
             self.slots.push(new);
             return self.slots.len() as u32 - 1;
         }
-        let slot = self.free;
-        self.free = self.slots[slot as usize].after;
+        let slot = self.first_free;
+        self.first_free = self.slots[slot as usize].next;
         *self.slot_mut(slot) = new;
         slot
     }
 
-    /// A connection was closed.
+    /// Frees the slot of a closed connection.
     pub fn closed(&mut self, slot: u32, now: f64) {
         let Slot { stage, group, .. } = self.slots[slot as usize];
         if stage == Stage::Free {
@@ -200,98 +201,102 @@
         self.capacity
             .closed(usize::from(group), stage == Stage::Idle);
         self.set_stage(slot, Stage::Free, now);
-        let next_free = self.free;
-        self.slot_mut(slot).after = next_free;
-        self.free = slot;
+        let next_free = self.first_free;
+        self.slot_mut(slot).next = next_free;
+        self.first_free = slot;
     }
 
-    /// The answer was written on a busy connection, and nothing more has been received.
+    /// Marks a busy connection as idle, because the answer was written and nothing more was received.
     pub fn became_idle(&mut self, slot: u32, now: f64) {
         if self.stage(slot) == Stage::Busy {
             self.set_stage(slot, Stage::Idle, now);
         }
     }
 
-    /// An idle connection has become readable: it waits to be read. Has no effect on others.
+    /// Queues an idle connection that has become readable for reading. Has no effect on connections that are not idle.
     pub fn became_readable(&mut self, slot: u32, now: f64) {
         if self.stage(slot) == Stage::Idle {
-            self.set_stage(slot, Stage::Woken, now);
+            self.set_stage(slot, Stage::Readable, now);
         }
     }
 
-    /// The connections that are read in this turn, in the order in which they became readable; they are busy from now on.
+    /// Takes the connections to read in this iteration of the event loop, in the order in which they became readable, and marks
+    /// them as busy.
     pub fn take_reads(&mut self, now: f64, in_flight: usize, max_in_flight: usize) -> Vec<u32> {
-        let waited_s = match self.woken.first {
-            NONE => return Vec::new(),
+        let waited_s = match self.readable.first {
+            NO_SLOT => return Vec::new(),
             first => {
                 now - f64::from(self.slots[first as usize].since) * self.capacity.settings.step_s
             }
         };
-        let count =
-            self.capacity
-                .reads_in_turn(self.woken_count, waited_s, in_flight, max_in_flight);
+        let count = self.capacity.reads_in_iteration(
+            self.readable_count,
+            waited_s,
+            in_flight,
+            max_in_flight,
+        );
         let mut read = Vec::with_capacity(count);
         for _ in 0..count {
-            let first = self.woken.first;
+            let first = self.readable.first;
             self.set_stage(first, Stage::Busy, now);
             read.push(first);
         }
         read
     }
 
-    /// How many wait to be read.
-    pub fn woken_count(&self) -> usize {
-        self.woken_count
+    /// Returns the number of connections that wait to be read.
+    pub fn readable_count(&self) -> usize {
+        self.readable_count
     }
 
-    /// The longest idle one of a group.
+    /// Returns the longest idle connection of a group.
     pub fn longest_idle(&self, group: usize) -> Option<u32> {
         self.idle
             .get(group)
             .map(|list| list.first)
-            .filter(|first| *first != NONE)
+            .filter(|first| *first != NO_SLOT)
     }
 
-    /// When a slot whose stage began in that step has been idle for the longest time allowed. A step later, because it may have
-    /// begun at the end of its own.
-    fn idle_ends_at(&self, since: u32) -> f64 {
+    /// Returns the time at which an idle connection whose stage began in step `since` expires. One step is added, because the stage
+    /// may have begun at the end of the step.
+    fn expires_at(&self, since: u32) -> f64 {
         let settings = &self.capacity.settings;
         f64::from(since + 1) * settings.step_s + settings.idle_s
     }
 
-    /// When the next idle time ends, to the step; none while no connection is idle.
-    pub fn next_idle_end(&self) -> Option<f64> {
+    /// Returns the next expiry time of an idle connection, rounded up to steps; `None` while no connection is idle.
+    pub fn next_expiry(&self) -> Option<f64> {
         let since = self
             .idle
             .iter()
             .map(|list| list.first)
-            .filter(|first| *first != NONE)
+            .filter(|first| *first != NO_SLOT)
             .map(|first| self.slots[first as usize].since)
             .min()?;
-        Some(self.idle_ends_at(since))
+        Some(self.expires_at(since))
     }
 
-    /// Connections whose idle time has ended, `max_count` at most: the rest is due at once again.
-    pub fn idle_ended(&self, now: f64, max_count: usize) -> Vec<u32> {
-        let has_ended = |slot: u32| now >= self.idle_ends_at(self.slots[slot as usize].since);
-        let mut found = Vec::new();
+    /// Returns up to `max_count` expired idle connections. If there are more, [`IdleTable::next_expiry`] is due immediately.
+    pub fn expired(&self, now: f64, max_count: usize) -> Vec<u32> {
+        let has_expired = |slot: u32| now >= self.expires_at(self.slots[slot as usize].since);
+        let mut expired = Vec::new();
         for list in &self.idle {
             let mut slot = list.first;
-            while slot != NONE && found.len() < max_count && has_ended(slot) {
-                found.push(slot);
-                slot = self.slots[slot as usize].after;
+            while slot != NO_SLOT && expired.len() < max_count && has_expired(slot) {
+                expired.push(slot);
+                slot = self.slots[slot as usize].next;
             }
         }
-        found
+        expired
     }
 
-    /// The slots in use among the next `max_count` from a slot on, for what is done to every connection by portions.
-    pub fn portion(&self, from: u32, max_count: usize) -> Portion {
+    /// Returns the slots in use among the `max_count` slots that start at `from`.
+    pub fn batch(&self, from: u32, max_count: usize) -> SlotBatch {
         let end = (from as usize + max_count).min(self.slots.len());
         let slots = (from..end as u32)
             .filter(|slot| self.stage(*slot) != Stage::Free)
             .collect();
-        Portion {
+        SlotBatch {
             slots,
             next: (end < self.slots.len()).then_some(end as u32),
         }
--- a/src/connections/idle/tests.rs
+++ b/src/connections/idle/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of idle.rs that use its private items.
+//! Unit tests of idle.rs.
 
 use super::*;
 
@@ -7,7 +7,7 @@
 #[case(IdleSettings { idle_s: f64::NAN, ..IdleSettings::default() }, "idleS")]
 #[case(IdleSettings { shares: vec![0.7, 0.7], ..IdleSettings::default() }, "shares")]
 #[case(IdleSettings { min_retry_after_s: 2.0, max_retry_after_s: 1.0, ..IdleSettings::default() }, "comeBackS")]
-fn invalid_settings_name_their_key(#[case] settings: IdleSettings, #[case] key: &str) {
+fn errors_of_invalid_settings_name_the_key(#[case] settings: IdleSettings, #[case] key: &str) {
     assert_eq!(settings.check().unwrap_err().key(), key);
     assert!(IdleSettings::default().check().is_ok());
 }
--- a/src/connections/mod.rs
+++ b/src/connections/mod.rs
@@ -1,6 +1,6 @@
-//! Rules of connections: sizes of pools, eviction of idle connections, and backoff.
+//! Connection policies: sizes of connection pools, eviction of idle connections, and backoff.
 //!
-//! Nothing here holds a socket or reads a clock: time is passed in.
+//! The modules hold no sockets and read no clock; callers pass in the time.
 
 pub mod backoff;
 pub mod idle;
--- a/src/connections/pool/tests.rs
+++ b/src/connections/pool/tests.rs
@@ -1,8 +1,9 @@
-//! Tests of pool.rs that use its private items.
+//! Unit tests of pool.rs.
 
 use super::*;
 
-/// Found in a fleet of 300: with connections for 160 of 179 replicas each mixer closed 60 that it needed again.
+/// Observed in a fleet of 300 mixers: with connections for 160 of 179 replicas, each mixer closed 60 connections that it needed
+/// again.
 #[test]
 fn each_listed_replica_may_have_a_connection() {
     for (max_connections, replicas) in [(480, 179), (350, 200), (1000, 200)] {
@@ -16,7 +17,7 @@
 }
 
 #[test]
-fn neither_clients_nor_replicas_take_all_connections() {
+fn neither_clients_nor_replicas_get_all_connections() {
     for replicas in [0, 3, 5000, usize::MAX] {
         let shares = shares(480, replicas);
         assert!(
@@ -29,13 +30,13 @@
     assert!(shares(8, 200).replicas >= 4);
 }
 
-/// Found in a fleet of 100 mixers: after 75 ms of silence each opened another connection to slow replicas.
+/// Observed in a fleet of 100 mixers: after 75 ms of silence each mixer opened another connection to slow replicas.
 #[test]
-fn a_connection_as_late_as_nearly_all_answers_is_not_doubted() {
+fn a_connection_as_slow_as_nearly_all_answers_is_not_suspected() {
     assert!(suspect_after_s(0.3, 0.6) > 0.6);
     assert!(
         suspect_after_s(0.3, 0.6) < 1.2,
-        "a lost connection is detected all the same"
+        "a lost connection must still be detected"
     );
 }
 
@@ -45,9 +46,10 @@
     assert_eq!(suspect_after_s(0.4, f64::INFINITY), 0.1);
 }
 
-/// A replica for a thousand connections has capacity for all mixers; few mixers may use more of it.
+/// A replica that accepts 1,000 connections has capacity for the connections of all mixers. In a small fleet each mixer may open
+/// more of them.
 #[test]
-fn all_mixers_together_leave_a_replica_capacity() {
+fn all_mixers_together_do_not_exhaust_a_replica() {
     assert_eq!(max_connections_to_replica(2), 8);
     for mixers in [25, 48, 100, 300] {
         assert!(
@@ -57,14 +59,14 @@
         );
         assert!(
             max_connections_to_replica(mixers) >= 2,
-            "one may be doubted"
+            "one connection may be suspect"
         );
     }
     assert_eq!(max_connections_to_replica(0), 8);
 }
 
-/// Of calls to servers drawn evenly, the share that finds a connection open, where the one unused for the longest is closed
-/// for a new one.
+/// Returns the share of calls that find an open connection to their server. Servers are drawn uniformly, and the least recently
+/// used connection is closed to open another one.
 fn share_on_open_connections(sockets: usize, servers: usize) -> f64 {
     let max_open = shares(sockets, servers).replicas;
     let mut random = oorandom::Rand64::new(1);
@@ -92,8 +94,8 @@
     found as f64 / (calls - warm_up) as f64
 }
 
-/// A known limit, not an objective: with the usual 1,024 descriptors and 5,300 servers seven of eight calls open a connection
-/// and close another one. With a connection for each server none does; the descriptors must allow for that.
+/// Documents a known limit: with the usual 1,024 descriptors and 5,300 servers, seven of eight calls open a connection and close
+/// another one. To avoid this, the limit on descriptors must allow a connection to each server.
 #[test]
 fn with_few_descriptors_for_many_servers_most_calls_open_a_connection() {
     let expected = ConnectionShares {
@@ -101,8 +103,8 @@
         replicas: 658,
     };
     assert_eq!(shares(1024 - 38, 5300), expected);
-    let few = share_on_open_connections(1024 - 38, 5300);
-    assert!((0.08..0.17).contains(&few), "{few}");
+    let found_share = share_on_open_connections(1024 - 38, 5300);
+    assert!((0.08..0.17).contains(&found_share), "{found_share}");
     assert!(share_on_open_connections(9_000, 5300) > 0.95);
     assert!(share_on_open_connections(1024 - 38, 200) > 0.95);
 }
--- a/src/endpoints/directory.rs
+++ b/src/endpoints/directory.rs
@@ -1,69 +1,68 @@
-//! The directory of replicas: under which names and ids they are known, where they listen, and what the list says of them.
+//! The directory of replicas: their names, ids, addresses, connections, list entries, and the drain marks set by operators.
 //!
-//! This file owns the names, ids, addresses and connections of replicas, and the operators' drain marks. The form of a list is
-//! `list_format.rs`'s. It must never make a call, and never judge the health of a replica.
+//! The format of a list is implemented in `list_format.rs`. The health of replicas is not tracked here.
 
 use crate::decisions::api::{Lifecycle, ReplicaEntry, ReplicaId};
-use crate::endpoints::list_format::{self, LineJson, ParsedLine};
+use crate::endpoints::list_format::{self, EntryJson, ParsedEntry};
 use miniserde::json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The zone of a replica whose zone is not named in the settings.
+/// Zone index of a replica whose zone is missing or not listed in the settings.
 const ZONE_UNKNOWN: u8 = u8::MAX;
 
 slotmap::new_key_type! {
-    /// A connection in the loop's table.
+    /// Key of a connection in the event loop's table.
     pub struct ConnectionKey;
 }
 
-/// The protocol that a replica speaks.
+/// Protocol that a replica uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WireFormat {
-    /// The platform's frames.
+    /// The frames of the platform's protocol.
     #[default]
     Frames,
     /// The search API over HTTP/1.1.
     Search,
 }
 
-/// A server's state in the endpoint list.
+/// State of a server according to the endpoint list and the drain marks.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServerState {
-    /// It takes new calls.
+    /// The server accepts new calls.
     Ready,
-    /// It is draining.
+    /// The server is draining.
     Draining {
-        /// When the mixer was notified.
+        /// Time at which the mixer was notified.
         since: f64,
     },
-    /// No list names it.
+    /// The server is not in the list, or is listed in an unknown phase.
     Removed,
 }
 
-/// A replica as this mixer reaches it.
+/// A replica with its address and connections.
 #[derive(Debug, Default)]
 pub struct Endpoint {
-    /// Its name in the list.
+    /// Name of the replica in the list.
     pub name: String,
-    /// Where it listens, if that is known.
+    /// Listen address of the replica, if it is known.
     pub address: Option<SocketAddr>,
-    /// The protocol that it speaks.
+    /// Protocol that the replica uses.
     pub wire_format: WireFormat,
-    /// Whether new requests may be sent to it.
+    /// Whether new requests may be sent to the replica.
     pub ready: bool,
-    /// The last load report, as the replica sent it.
+    /// Last load report, as the replica sent it.
     pub load: Option<String>,
-    /// Since when no new requests may be sent to it.
+    /// Time since which no new requests may be sent to the replica.
     unready_since: Option<f64>,
-    /// What the list last said of it.
+    /// Last entry of the replica in the list; `None` once a complete list does not contain it.
     listed: Option<ReplicaEntry>,
-    /// The connections to it.
+    /// Connections to the replica.
     pub connections: Vec<ConnectionKey>,
 }
 
 impl Endpoint {
-    /// Its state, for the check before anything is sent to it.
+    /// Returns the state that is checked before anything is sent to the replica.
     pub fn state(&self) -> ServerState {
         match self.unready_since {
             _ if self.is_removed() => ServerState::Removed,
@@ -74,53 +73,53 @@
         }
     }
 
-    /// Whether it was removed from the list.
+    /// Returns whether the replica was removed from the list or is listed in an unknown phase.
     pub fn is_removed(&self) -> bool {
         self.listed
             .is_none_or(|entry| entry.lifecycle == Lifecycle::Gone)
     }
 
-    /// Takes over what a line of the list says of how to reach it; what the line leaves out stays.
-    fn update_address(&mut self, line: &ParsedLine) {
-        if let Some(address) = line.address {
+    /// Updates the address and the protocol from a list entry. Values that the entry does not contain are kept.
+    fn update_address(&mut self, parsed: &ParsedEntry) {
+        if let Some(address) = parsed.address {
             self.address = address.parse().ok();
         }
-        if let Some(wire_format) = line.wire_format {
+        if let Some(wire_format) = parsed.wire_format {
             self.wire_format = wire_format;
         }
     }
 }
 
-/// The replicas that there are. An id is never used twice: a replica that was removed and comes back gets another one.
+/// All known replicas. Ids are not reused: a replica that was removed and is listed again gets a new id.
 ///
-/// What a change of the list concerns is found by index, so that its cost does not grow with the list.
+/// Indexes of the unready and removed replicas keep the cost of a list change independent of the length of the list.
 #[derive(Debug, Default)]
 pub struct Directory {
     endpoints: BTreeMap<ReplicaId, Endpoint>,
     names: BTreeMap<String, ReplicaId>,
-    /// Index of the replicas to which no new requests may be sent.
+    /// Ids of the replicas to which no new requests may be sent.
     unready: BTreeSet<ReplicaId>,
-    /// Index of the replicas that were removed from the list; all of them are unready.
-    gone: BTreeSet<ReplicaId>,
+    /// Ids of the replicas that were removed from the list, all of which are unready.
+    removed: BTreeSet<ReplicaId>,
     last_id: u32,
-    /// Names that the operators marked as draining.
+    /// Names that operators marked as draining.
     drain_marks: BTreeSet<String>,
     zones: Vec<String>,
 }
 
-/// A list, or the changes of one.
+/// A complete list, or the changes of a list.
 #[derive(Debug, Default, PartialEq)]
 pub struct List {
-    /// Its version, if it has one.
+    /// Revision of the list, if it has one.
     pub revision: Option<u64>,
-    /// Whether it names all replicas there are.
+    /// Whether the list is complete. Otherwise it contains only changes.
     pub is_full: bool,
-    /// Its lines, for the decision module.
+    /// Entries in the form that the decision module uses.
     pub entries: Vec<ReplicaEntry>,
 }
 
 impl Directory {
-    /// An empty directory; `zones` are those of the settings.
+    /// Creates an empty directory; `zones` are the zones in the settings.
     pub fn new(zones: Vec<String>) -> Directory {
         Directory {
             zones,
@@ -128,48 +127,48 @@
         }
     }
 
-    /// Sets the zones of new settings. They apply to lines read from now on.
+    /// Sets the zones after a change of settings. They apply to entries that are read later.
     pub fn set_zones(&mut self, zones: Vec<String>) {
         self.zones = zones;
     }
 
-    /// The replica of that id.
+    /// Returns the replica with this id.
     pub fn endpoint(&mut self, id: ReplicaId) -> Option<&mut Endpoint> {
         self.endpoints.get_mut(&id)
     }
 
-    /// The id of the replica of that name.
+    /// Returns the id of the replica with this name.
     pub fn id(&self, name: &str) -> Option<ReplicaId> {
         self.names.get(name).copied()
     }
 
-    /// The name of the replica of that id.
+    /// Returns the name of the replica with this id.
     pub fn name(&self, id: ReplicaId) -> Option<&str> {
         self.endpoints
             .get(&id)
             .map(|endpoint| endpoint.name.as_str())
     }
 
-    /// All names with their ids, in the order of the names.
+    /// Returns all names with their ids, ordered by name.
     pub fn ids(&self) -> impl Iterator<Item = (&String, ReplicaId)> {
         self.names.iter().map(|(name, id)| (name, *id))
     }
 
-    /// The list as it stands, in discovery's form.
+    /// Returns the current list as JSON in discovery's format.
     pub fn to_json(&self, revision: Option<u64>) -> String {
-        let lines = self
+        let entries = self
             .endpoints
             .values()
-            .filter_map(|endpoint| self.line_json(endpoint))
+            .filter_map(|endpoint| self.entry_json(endpoint))
             .collect();
-        list_format::write(revision, lines)
+        list_format::write(revision, entries)
     }
 
-    fn line_json(&self, endpoint: &Endpoint) -> Option<LineJson> {
+    fn entry_json(&self, endpoint: &Endpoint) -> Option<EntryJson> {
         let entry = endpoint
             .listed
             .filter(|entry| entry.lifecycle != Lifecycle::Gone)?;
-        Some(LineJson {
+        Some(EntryJson {
             name: endpoint.name.clone(),
             address: endpoint.address.map(|address| address.to_string()),
             zone: self.zones.get(usize::from(entry.zone)).cloned(),
@@ -181,50 +180,50 @@
         })
     }
 
-    /// All replicas, in the order of their ids.
+    /// Returns all replicas, ordered by id.
     pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
         self.endpoints.values()
     }
 
-    /// Number of replicas, including those that were removed from the list and still have connections.
+    /// Returns the number of replicas, including removed ones that were not dropped yet.
     pub fn count(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// The replicas to which no new requests may be sent: they are draining or were removed.
+    /// Returns the replicas to which no new requests may be sent, because they are draining or were removed.
     pub fn unready(&self) -> impl Iterator<Item = &Endpoint> {
         self.unready.iter().filter_map(|id| self.endpoints.get(id))
     }
 
-    /// Whether there is a replica to which new requests may be sent.
+    /// Returns whether new requests may be sent to at least one replica.
     pub fn has_ready(&self) -> bool {
         self.endpoints.len() > self.unready.len()
     }
 
-    /// Number of replicas that the list names.
+    /// Returns the number of replicas in the list.
     pub fn listed_count(&self) -> usize {
-        self.endpoints.len() - self.gone.len()
+        self.endpoints.len() - self.removed.len()
     }
 
-    /// Forgets the removed replicas that have no connection left. Machines are replaced without end, each by one of another
-    /// name, so that memory would grow otherwise.
+    /// Drops the removed replicas that have no connection left. Without this, memory would grow without bound, because machines
+    /// are continually replaced by machines with other names.
     pub fn drop_removed(&mut self) {
         let is_unused = |id: &&ReplicaId| {
             self.endpoints
                 .get(id)
                 .is_none_or(|endpoint| endpoint.connections.is_empty())
         };
-        let forgotten: Vec<ReplicaId> = self.gone.iter().filter(is_unused).copied().collect();
-        for id in forgotten {
+        let dropped: Vec<ReplicaId> = self.removed.iter().filter(is_unused).copied().collect();
+        for id in dropped {
             if let Some(endpoint) = self.endpoints.remove(&id) {
                 self.names.remove(&endpoint.name);
             }
             self.unready.remove(&id);
-            self.gone.remove(&id);
+            self.removed.remove(&id);
         }
     }
 
-    /// Sets the time since when replicas are unready for those that the last list or drain marks made so.
+    /// Sets `since` as the start of unreadiness for all replicas that became unready with the last list or drain marks.
     pub fn set_unready_since(&mut self, since: f64) {
         for id in &self.unready {
             if let Some(endpoint) = self.endpoints.get_mut(id) {
@@ -233,25 +232,25 @@
         }
     }
 
-    /// Updates the indexes with the state of a replica.
+    /// Updates the indexes to the state of a replica.
     fn update_indexes(&mut self, id: ReplicaId) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else {
             return;
         };
         endpoint.unready_since = endpoint.unready_since.filter(|_| !endpoint.ready);
         set_membership(&mut self.unready, id, !endpoint.ready);
-        set_membership(&mut self.gone, id, endpoint.is_removed());
+        set_membership(&mut self.removed, id, endpoint.is_removed());
     }
 
-    /// Takes over a list in discovery's form; none if it is not one. Lines that make no sense are skipped.
+    /// Applies a list in discovery's format. Returns `None` if the JSON is not a list. Invalid entries are skipped.
     pub fn read(&mut self, list: &Value) -> Option<List> {
         let parsed = list_format::parse(list)?;
         let mut entries = Vec::new();
-        for line in parsed.lines() {
-            entries.extend(self.update(&line));
+        for entry in parsed.entries() {
+            entries.extend(self.update(&entry));
         }
         if parsed.is_full {
-            self.withdraw_unnamed(&entries);
+            self.remove_unlisted(&entries);
         }
         Some(List {
             revision: parsed.revision,
@@ -260,16 +259,16 @@
         })
     }
 
-    /// Removes from the list whatever has no line in a complete one.
-    fn withdraw_unnamed(&mut self, entries: &[ReplicaEntry]) {
-        let named: BTreeSet<ReplicaId> = entries.iter().map(|entry| entry.id).collect();
-        let unnamed: Vec<ReplicaId> = self
+    /// Marks all replicas without an entry in a complete list as removed.
+    fn remove_unlisted(&mut self, entries: &[ReplicaEntry]) {
+        let listed: BTreeSet<ReplicaId> = entries.iter().map(|entry| entry.id).collect();
+        let unlisted: Vec<ReplicaId> = self
             .endpoints
             .keys()
-            .filter(|id| !named.contains(id))
+            .filter(|id| !listed.contains(id))
             .copied()
             .collect();
-        for id in unnamed {
+        for id in unlisted {
             if let Some(endpoint) = self.endpoints.get_mut(&id) {
                 endpoint.ready = false;
                 endpoint.listed = None;
@@ -278,19 +277,19 @@
         }
     }
 
-    /// Takes over a line of a list; none once all ids are used up.
-    fn update(&mut self, line: &ParsedLine) -> Option<ReplicaEntry> {
-        let zone = self.zone_index(line.zone);
-        let id = self.id_or_new(line.name)?;
+    /// Applies a list entry. Returns `None` once all ids are used up.
+    fn update(&mut self, parsed: &ParsedEntry) -> Option<ReplicaEntry> {
+        let zone = self.zone_index(parsed.zone);
+        let id = self.id_or_new(parsed.name)?;
         let endpoint = self.endpoints.get_mut(&id)?;
-        endpoint.update_address(line);
+        endpoint.update_address(parsed);
         endpoint.listed = Some(ReplicaEntry {
             id,
             zone,
-            cell: line.cell,
-            lifecycle: line.lifecycle,
-            started_at: line.started_at,
-            pre_check: line.pre_check,
+            cell: parsed.cell,
+            lifecycle: parsed.lifecycle,
+            started_at: parsed.started_at,
+            pre_check: parsed.pre_check,
         });
         self.update_readiness(id)
     }
@@ -316,8 +315,8 @@
         Some(id)
     }
 
-    /// Works out whether new requests may be sent to a listed replica, and gives its line with that: what the list says, unless
-    /// the operators marked it as draining.
+    /// Updates whether new requests may be sent to a replica, and returns its entry. The entry has the state in the list, or
+    /// `Draining` if operators marked a ready replica as draining.
     fn update_readiness(&mut self, id: ReplicaId) -> Option<ReplicaEntry> {
         let endpoint = self.endpoints.get_mut(&id)?;
         let mut entry = endpoint.listed?;
@@ -329,7 +328,7 @@
         Some(entry)
     }
 
-    /// Sets the names that the operators marked as draining, all of them; gives the lines that have changed by it.
+    /// Replaces the set of names that operators marked as draining. Returns the entries whose mark changed.
     pub fn set_drain_marks(&mut self, names: Vec<String>) -> Vec<ReplicaEntry> {
         let before = std::mem::replace(&mut self.drain_marks, names.into_iter().collect());
         let changed: Vec<ReplicaId> = before
--- a/src/endpoints/directory/tests.rs
+++ b/src/endpoints/directory/tests.rs
@@ -36,11 +36,14 @@
         .filter(|(_, endpoint)| !endpoint.ready)
         .map(|(id, _)| *id)
         .collect();
-    let gone: BTreeSet<ReplicaId> = endpoints()
+    let removed: BTreeSet<ReplicaId> = endpoints()
         .filter(|(_, endpoint)| endpoint.is_removed())
         .map(|(id, _)| *id)
         .collect();
-    assert_eq!((&directory.unready, &directory.gone), (&unready, &gone));
+    assert_eq!(
+        (&directory.unready, &directory.removed),
+        (&unready, &removed)
+    );
     assert_eq!(
         directory.has_ready(),
         endpoints().any(|(_, endpoint)| endpoint.ready)
--- a/src/endpoints/lease.rs
+++ b/src/endpoints/lease.rs
@@ -1,160 +1,159 @@
-//! How long the endpoint list may be acted on: a lease that each answer of discovery renews.
+//! The lease on the endpoint list, which limits how long the list may be used and which each answer of discovery renews.
 //!
-//! A list is true at the moment discovery writes it. A change that a mixer missed counts as notified 6 s after discovery had
-//! it and could be reached; anything sent after that to a server that is draining or removed is wrong. The list may
-//! therefore be acted on for that time after it was confirmed. While calls fail, discovery counts as unreachable, and the lease
-//! runs from the start of each such call; it ends where no call is made, in a process that was stopped, and on a list from
-//! before the start of the process. Where an answer is missing that discovery may have written, the lease ends with the drain
-//! grace (`missing_answers.rs`).
+//! A list is correct at the moment at which discovery writes it. The mixer counts as notified of a change 6 s after discovery
+//! had the change and was reachable; sending to a draining or removed server after that violates the rules. The list may
+//! therefore be used for 6 s after it was confirmed. While calls fail, discovery counts as unreachable, and the lease is
+//! extended from the start of each failed call. The lease expires if no call is made, for example because the process was
+//! paused, and a list from before the start of the process has no lease until it is confirmed or discovery is found
+//! unreachable. If an answer that discovery may have written was not received, the lease expires with the drain grace
+//! (`missing_answers.rs`).
 //!
-//! This file owns whether an answer of discovery is missing, until when the list may be acted on, and when a call has to be
-//! made for either reason. Each call ends in one [`CallOutcome`], passed once to [`ListLease::call_ended`]. It must never make
-//! a call, judge a server or read a clock.
+//! Each call ends in one [`CallOutcome`], which must be passed to [`ListLease::call_ended`] exactly once.
 
 use super::missing_answers::{CallEnd, MissingAnswerHandover, MissingAnswers};
 use crate::decisions::draining;
 use miniserde::{Deserialize, Serialize};
 
-/// A change counts as notified this long after discovery had it and could be reached (seconds).
+/// Time after which the mixer counts as notified of a change that a reachable discovery had (seconds).
 const LEASE_S: f64 = 6.0;
-/// What a silent watch missed counts as notified this long after the end of its wait, if that is later (seconds). Less than
-/// the 2 s of the terms, because the next call has to be answered by then.
+/// The lease lasts at least until this time after the end of the wait of an open watch (seconds). The rules allow 2 s; less is
+/// used, because the next call has to be answered by then.
 const AFTER_WATCH_S: f64 = 1.5;
-/// After a change to another discovery its list counts as notified this much later (seconds).
-const MOVED_LEASE_S: f64 = 4.0;
-/// A call is made this long before the end of a lease in use (seconds): it may take 2 s to fail, and begins at a periodic
-/// check.
+/// Time after a switch to another discovery at which the mixer counts as notified of the new list (seconds).
+const CHANGED_DISCOVERY_LEASE_S: f64 = 4.0;
+/// Time before the expiry of a lease in use at which a call is made (seconds): the call may take 2 s to fail, and is made only
+/// at a periodic check.
 const RENEW_BEFORE_S: f64 = 2.5;
-/// A list from before the start is acted on unconfirmed only after this many failed calls: servers may have been removed while
-/// the mixer was down, and single calls fail by chance.
+/// Number of failed calls after which a list from before the start is used unconfirmed. Servers may have been removed while the
+/// mixer was down, and single calls may fail although discovery is up.
 const MIN_FAILED_CALLS: u32 = 3;
-/// A call that took this long to fail counts as that many (seconds).
+/// A call that fails after at least this time counts as [`MIN_FAILED_CALLS`] failed calls (seconds).
 const SLOW_CALL_S: f64 = 1.2;
-/// A list from before the start is not acted on unconfirmed sooner than this after the start (seconds). A restarted mixer has
-/// to be ready within 6 s.
-const START_HOLD_S: f64 = 1.5;
-/// A failed call is retried within 1.4 s by a schedule that spreads a fleet's retries. The lease requires a call only after a
-/// longer pause (seconds).
+/// Minimum time after the start before a list from before the start is used unconfirmed (seconds). A restarted mixer has to be
+/// ready within 6 s.
+const MIN_UNCONFIRMED_WAIT_S: f64 = 1.5;
+/// Minimum time after a failed call before the lease requires another one (seconds). The watch schedule, which spreads the
+/// retries of a fleet, retries a failed call within 1.4 s, so the lease leaves the retry to the schedule.
 const MIN_PAUSE_S: f64 = 1.5;
-/// A lease in force is checked at most this often (seconds).
+/// Minimum interval between checks of a lease in force (seconds).
 const CHECK_INTERVAL_S: f64 = 1.0;
-/// A lease that is not in force yet is checked at most this often (seconds).
+/// Minimum interval between checks of a lease that is not in force yet (seconds).
 const MIN_CHECK_INTERVAL_S: f64 = 0.05;
-/// The list is in use if a request was received within this time (seconds).
+/// The list counts as in use for this time after a request (seconds).
 const IN_USE_S: f64 = 6.0;
 
-/// What the lease is based on.
+/// Reason for which the lease is or is not in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Basis {
-    /// There is no discovery: the list is the operators' own.
+    /// No discovery is configured: operators provide the list.
     NoDiscovery,
-    /// Nothing yet: the list is from before the start.
+    /// The list is from before the start and was not confirmed yet.
     Unconfirmed,
-    /// Discovery confirmed the list.
+    /// Discovery confirmed the list, and no later call failed.
     Confirmed,
-    /// Discovery is unreachable.
+    /// The last call failed.
     Unreachable,
-    /// An answer is missing that discovery may have written.
+    /// An answer that discovery may have written was not received.
     AnswerMissing,
 }
 
 impl Basis {
-    /// The text for the log.
+    /// Returns the text for the log.
     pub fn label(self) -> &'static str {
         match self {
-            Basis::NoDiscovery => "no discovery",
-            Basis::Unconfirmed => "not confirmed yet",
+            Basis::NoDiscovery => "no discovery is configured",
+            Basis::Unconfirmed => "not confirmed by discovery yet",
             Basis::Confirmed => "confirmed by discovery",
-            Basis::Unreachable => "discovery can't be reached",
-            Basis::AnswerMissing => "an answer of discovery is missing",
+            Basis::Unreachable => "discovery is unreachable",
+            Basis::AnswerMissing => "an answer of discovery may be missing",
         }
     }
 }
 
-/// How a call to discovery ended. Times are of the caller's clock (seconds).
+/// Outcome of a call to discovery. Times are on the caller's clock (seconds).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CallOutcome {
-    /// A complete answer confirms the list in use.
+    /// A complete answer was received; it confirms the list in use.
     Confirmed {
-        /// When the call was made.
+        /// Time at which the call was made.
         made_at: f64,
-        /// The answer was written at this time at the earliest.
+        /// Earliest time at which the answer can have been written.
         answer_not_before: f64,
     },
     /// The call, or the connection of the watch, failed.
     Failed {
-        /// When the call was made, or now where none was in flight.
+        /// Time at which the call was made, or now if none was in flight.
         began_at: f64,
-        /// What is known of its answer.
+        /// How the call ended, which determines whether an answer may have been written.
         end: CallEnd,
-        /// An answer, if any, was written at this time at the earliest.
+        /// Earliest time at which an answer, if any, can have been written.
         answer_not_before: f64,
     },
-    /// No connection could be opened for the call, so that nothing was sent.
+    /// The connection for the call could not be opened, so nothing was sent.
     NotOpened,
     /// The mixer closed the connection while an answer was arriving.
     Abandoned {
-        /// Since when the answer had been arriving.
+        /// Time since which the answer had been arriving.
         answer_arriving_since: f64,
     },
 }
 
-/// When the call after one that ended is made.
+/// Timing of the call that follows one that ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextCall {
-    /// When the watch schedule says.
+    /// At the time set by the watch schedule.
     AsScheduled,
     /// After [`ListLease::early_retry_delay_s`], because an answer is or may be missing.
     Early,
 }
 
-/// A lease as it is handed to the successor process, in ages, because the two processes share no clock. The field names are
-/// part of the handover.
+/// State of a lease in the handover to the successor process. Times are sent as ages, because the two processes share no clock.
+/// The field names are part of the handover format.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseHandover {
-    /// Time since the list was last known to be true (seconds).
+    /// Time since the list was last known to be correct (seconds).
     pub confirmed_age_s: Option<f64>,
     /// Time since the last call began, if it failed (seconds).
     pub failed_call_age_s: Option<f64>,
     /// Time since the start of the process (seconds).
     pub began_age_s: f64,
-    /// Calls in a row that failed; a slow one counts as several.
+    /// Number of consecutive failed calls; a slow failure counts as several.
     pub failed_calls: u32,
-    /// The missing answer, if any; older versions send none.
+    /// The missing answer, if any. Older versions do not send this field.
     pub missing_answer: Option<MissingAnswerHandover>,
 }
 
-/// The lease on the list in use. Times are of the caller's clock (seconds).
+/// The lease on the list in use. Times are on the caller's clock (seconds).
 #[derive(Clone, Copy, Debug)]
 pub struct ListLease {
     has_discovery: bool,
     drain_grace_s: f64,
     missing_answers: MissingAnswers,
-    began_at: f64,
+    started_at: f64,
     confirmed_at: Option<f64>,
-    /// When the last call began, if it failed.
+    /// Start of the last call, if it failed.
     failed_call_at: Option<f64>,
-    /// Calls in a row that failed; a slow one counts as several.
+    /// Number of consecutive failed calls; a slow failure counts as several.
     failed_calls: u32,
-    /// When the last call failed.
+    /// Time at which the last call failed.
     failed_at: f64,
-    /// When the oldest call in flight was made, as long as nothing was confirmed.
+    /// Start of the oldest call in flight. Set only while the list was never confirmed.
     first_call_at: Option<f64>,
     last_request_at: f64,
     suspended_until: f64,
-    /// When the wait of the open watch is over.
+    /// Time at which the wait of the open watch ends.
     watch_until: f64,
 }
 
 impl ListLease {
-    /// A lease on a list from before the start; nothing may be sent to a draining server `drain_grace_s` (seconds) after the
-    /// mixer was notified of it.
+    /// Creates the lease on a list from before the start. `drain_grace_s` is the time after the notification that a server is
+    /// draining after which nothing may be sent to that server (seconds).
     pub fn new(has_discovery: bool, drain_grace_s: f64, now: f64) -> ListLease {
         ListLease {
             has_discovery,
             drain_grace_s,
             missing_answers: MissingAnswers::default(),
-            began_at: now,
+            started_at: now,
             confirmed_at: None,
             failed_call_at: None,
             failed_calls: 0,
@@ -166,36 +165,36 @@
         }
     }
 
-    /// Sets the drain grace of new settings (seconds).
+    /// Sets the drain grace after a change of settings (seconds).
     pub fn set_drain_grace(&mut self, drain_grace_s: f64) {
         self.drain_grace_s = drain_grace_s;
     }
 
-    /// Another discovery is called from now on. Where there was none before, the list was true until now.
+    /// Records a switch to another discovery. If there was none before, the list was correct until now.
     pub fn discovery_changed(&mut self, now: f64) {
         if !self.has_discovery {
             self.has_discovery = true;
             self.confirmed_at = Some(now);
         }
-        let latest = now + MOVED_LEASE_S - LEASE_S;
+        let latest = now + CHANGED_DISCOVERY_LEASE_S - LEASE_S;
         self.confirmed_at = self.confirmed_at.map(|at| at.min(latest));
         self.failed_call_at = self.failed_call_at.map(|at| at.min(latest));
         self.watch_until = f64::NEG_INFINITY;
     }
 
-    /// A watch was opened that discovery answers at that time at the latest.
+    /// Records that a watch was opened, which discovery answers by `wait_over_at`.
     pub fn watch_opened(&mut self, wait_over_at: f64) {
         self.watch_until = wait_over_at;
     }
 
-    /// A call was made now.
+    /// Records that a call was made.
     pub fn call_made(&mut self, now: f64) {
         if self.confirmed_at.is_none() {
             self.first_call_at.get_or_insert(now);
         }
     }
 
-    /// A call ended now. Gives when the next one is made.
+    /// Records the outcome of a call that ended now, and returns the timing of the next call.
     #[must_use]
     pub fn call_ended(&mut self, outcome: CallOutcome, now: f64) -> NextCall {
         match outcome {
@@ -215,7 +214,7 @@
                 self.missing_answers.call_ended(end, answer_not_before, now);
                 self.record_failure(began_at, now);
                 if end != CallEnd::TimedOut {
-                    self.first_call_at = None; // one that was given up may still be answered
+                    self.first_call_at = None; // a call that timed out stays open and may still be answered
                 }
                 self.next_call(end, now)
             }
@@ -242,7 +241,7 @@
         }
     }
 
-    /// The list was true at that time.
+    /// Records that the list was correct at that time.
     fn confirm(&mut self, at: f64) {
         self.confirmed_at = Some(self.confirmed_at.map_or(at, |before| before.max(at)));
         self.failed_call_at = None;
@@ -252,7 +251,7 @@
         self.watch_until = f64::NEG_INFINITY;
     }
 
-    /// A call that was made at `began_at` failed now.
+    /// Records that a call made at `began_at` failed now.
     fn record_failure(&mut self, began_at: f64, now: f64) {
         let latest = self
             .failed_call_at
@@ -267,58 +266,59 @@
         self.failed_at = now;
     }
 
-    /// No call is made before then, because discovery's list is longer than what is read.
+    /// Extends the lease while calls are suspended because discovery's list exceeds the maximum length.
     pub fn suspend_calls(&mut self, until: f64) {
         self.suspended_until = until;
     }
 
-    /// Sets since when an incomplete answer has been arriving, if one is.
+    /// Sets the time since which an incomplete answer has been arriving, or `None`.
     pub fn set_answer_arriving(&mut self, since: Option<f64>) {
         self.missing_answers.set_answer_arriving(since);
     }
 
-    /// Records that a change counts as notified since then that nobody received.
+    /// Records that a change, which counts as notified since `since`, was not received.
     pub fn change_missed(&mut self, since: f64, now: f64) {
         self.missing_answers.change_missed(since, now);
     }
 
-    /// Whether a call has to be made because an answer of discovery may be missing.
+    /// Returns whether a call has to be made because an answer of discovery may be missing.
     pub fn is_answer_missing(&self, now: f64) -> bool {
         self.missing_answers.needs_call(now)
     }
 
-    /// Delay of an early retry (seconds), among `mixers` that call the same discovery; `was_prompt` is whether the call before
-    /// it ended as soon as it was made, `jitter` is from 0 to 1.
+    /// Returns the delay of an early retry (seconds). `mixers` is the number of mixers that call the same discovery,
+    /// `was_prompt` is whether the previous call ended as soon as it was made, `jitter` is from 0 to 1.
     pub fn early_retry_delay_s(&self, mixers: u32, was_prompt: bool, jitter: f64) -> f64 {
         self.missing_answers
             .retry_delay_s(mixers, was_prompt, jitter)
     }
 
-    /// Number of answers that were or may have been lost since the start of the process.
+    /// Returns the number of answers that were or may have been lost since the start of the process.
     pub fn lost_answers(&self) -> u64 {
         self.missing_answers.lost_count()
     }
 
-    /// Since when discovery may have notified what a list read now says; `looked_at` is when the loop read its sockets before.
-    pub fn notified_since(&self, now: f64, looked_at: f64) -> f64 {
+    /// Returns the earliest time at which discovery may have notified the mixer of the contents of a list that is read now.
+    /// `last_poll_at` is the time of the previous poll of the sockets.
+    pub fn notified_since(&self, now: f64, last_poll_at: f64) -> f64 {
         self.missing_answers
             .since(now)
-            .map_or(looked_at, |since| since.min(looked_at))
+            .map_or(last_poll_at, |since| since.min(last_poll_at))
     }
 
-    /// What the successor process inherits.
+    /// Returns the state that is handed over to the successor process.
     pub fn hand_over(&self, now: f64) -> LeaseHandover {
         let age_s = |at: f64| (now - at).max(0.0);
         LeaseHandover {
             confirmed_age_s: self.confirmed_at.map(age_s),
             failed_call_age_s: self.failed_call_at.map(age_s),
-            began_age_s: age_s(self.began_at),
+            began_age_s: age_s(self.started_at),
             failed_calls: self.failed_calls,
             missing_answer: self.missing_answers.hand_over(now),
         }
     }
 
-    /// Takes over from the predecessor process, whose list, or a newer one, is in use here.
+    /// Merges the state of the predecessor process, whose list, or a newer one, is in use in this process.
     pub fn inherit(&mut self, now: f64, handed: LeaseHandover) {
         let at = |age_s: f64| now - age_s.max(0.0);
         let later =
@@ -330,7 +330,8 @@
             self.failed_calls = self.failed_calls.saturating_add(handed.failed_calls);
         }
         self.confirmed_at = confirmed_at;
-        // What discovery notifies to the predecessor from now on counts for this process too, which only its own calls see.
+        // From now on, a change of which discovery notifies the predecessor counts as notified to this process too, which
+        // receives only the answers to its own calls.
         let is_predecessor_watching =
             handed.confirmed_age_s.is_some() && handed.failed_call_age_s.is_none();
         if is_own_unconfirmed && is_predecessor_watching {
@@ -339,15 +340,15 @@
         if let Some(missing) = handed.missing_answer {
             self.missing_answers.inherit(now, missing);
         }
-        self.began_at = self.began_at.min(at(handed.began_age_s));
+        self.started_at = self.started_at.min(at(handed.began_age_s));
     }
 
-    /// A request was received that needs the list.
+    /// Records that a request that needs the list was received.
     pub fn request_received(&mut self, now: f64) {
         self.last_request_at = now;
     }
 
-    /// Until when the list may be acted on if no call ends before; infinite without a discovery.
+    /// Returns the time until which the list may be used, unless a call ends earlier; infinite without a discovery.
     pub fn expires_at(&self, now: f64) -> f64 {
         if !self.has_discovery {
             return f64::INFINITY;
@@ -359,12 +360,12 @@
         self.expiry_if_none_missing(now).min(latest)
     }
 
-    /// The same if no answer is missing.
+    /// Returns the expiry time, assuming that no answer is missing.
     fn expiry_if_none_missing(&self, now: f64) -> f64 {
-        // Calls that may have been answered do not show that discovery is down.
+        // Calls that may have been answered are no evidence that discovery is unreachable.
         let is_unconfirmed = self.confirmed_at.is_none();
-        let is_usable =
-            !is_unconfirmed || (self.is_hold_over(now) && !self.missing_answers.needs_call(now));
+        let is_usable = !is_unconfirmed
+            || (self.is_usable_unconfirmed(now) && !self.missing_answers.needs_call(now));
         let unanswered = self.first_call_at.filter(|at| now >= at + SLOW_CALL_S);
         let unreachable = self
             .failed_call_at
@@ -383,12 +384,12 @@
         (latest.max(self.suspended_until) + LEASE_S).max(self.watch_until + AFTER_WATCH_S)
     }
 
-    /// Whether the list may be acted on now.
+    /// Returns whether the list may be used now.
     pub fn is_in_force(&self, now: f64) -> bool {
         now < self.expires_at(now)
     }
 
-    /// What the lease is based on now.
+    /// Returns the reason for which the lease is or is not in force now.
     pub fn basis(&self, now: f64) -> Basis {
         match (self.has_discovery, self.failed_call_at, self.confirmed_at) {
             (false, _, _) => Basis::NoDiscovery,
@@ -399,7 +400,7 @@
         }
     }
 
-    /// When to check next whether a call is needed, if no call ends before.
+    /// Returns the time of the next check whether a call is needed, unless a call ends earlier.
     pub fn next_check_at(&self, now: f64) -> f64 {
         let expires_at = self.expires_at(now);
         if expires_at.is_finite() {
@@ -409,27 +410,28 @@
             .first_call_at
             .map_or(now + CHECK_INTERVAL_S, |at| at + SLOW_CALL_S);
         slow_at
-            .max(self.hold_ends_at())
+            .max(self.unconfirmed_wait_ends_at())
             .max(now + MIN_CHECK_INTERVAL_S)
     }
 
-    /// When the list was last known to be true.
+    /// Returns the time at which the list was last known to be correct.
     pub fn confirmed_at(&self) -> Option<f64> {
         self.confirmed_at
     }
 
-    /// Whether a list from before the start may be acted on, since discovery is unreachable.
-    fn is_hold_over(&self, now: f64) -> bool {
+    /// Returns whether a list from before the start may be used because discovery is unreachable.
+    fn is_usable_unconfirmed(&self, now: f64) -> bool {
         let is_unanswered = self.first_call_at.is_some_and(|at| now >= at + SLOW_CALL_S);
-        (self.failed_calls >= MIN_FAILED_CALLS || is_unanswered) && now >= self.hold_ends_at()
+        (self.failed_calls >= MIN_FAILED_CALLS || is_unanswered)
+            && now >= self.unconfirmed_wait_ends_at()
     }
 
-    /// From when on a list from before the start may be acted on if calls fail.
-    fn hold_ends_at(&self) -> f64 {
-        self.began_at + START_HOLD_S
+    /// Returns the time from which a list from before the start may be used if calls fail.
+    fn unconfirmed_wait_ends_at(&self) -> f64 {
+        self.started_at + MIN_UNCONFIRMED_WAIT_S
     }
 
-    /// Whether a call should be made now, if none is in flight: a lease in use is about to end, or has ended.
+    /// Returns whether a call should be made now, if none is in flight, because a lease in use is about to expire or has expired.
     pub fn needs_call(&self, now: f64) -> bool {
         let is_in_use = now < self.last_request_at + IN_USE_S;
         let is_spaced = now >= self.failed_at + MIN_PAUSE_S;
--- a/src/endpoints/lease/tests.rs
+++ b/src/endpoints/lease/tests.rs
@@ -347,5 +347,5 @@
     assert_eq!(next, NextCall::AsScheduled);
     lease.call_made(STARTED_AT + 0.4);
     assert!(!lease.is_in_force(STARTED_AT + 1.4));
-    assert!(lease.is_in_force(STARTED_AT + START_HOLD_S));
+    assert!(lease.is_in_force(STARTED_AT + MIN_UNCONFIRMED_WAIT_S));
 }
--- a/src/endpoints/list_format.rs
+++ b/src/endpoints/list_format.rs
@@ -1,62 +1,61 @@
-//! The form of an endpoint list, as discovery sends it and as it is cached and handed over.
+//! The JSON format of an endpoint list, as sent by discovery, cached, and handed over.
 //!
-//! This file owns the JSON of a list and of its lines. It must never know which endpoints there are, and never reject a list
-//! for one line: a line that makes no sense is skipped, and the others count.
+//! An invalid entry is skipped and does not invalidate the rest of the list.
 
 use crate::decisions::api::Lifecycle;
 use crate::endpoints::directory::WireFormat;
 use miniserde::json::{self, Number, Object, Value};
 use miniserde::Serialize;
 
-/// The name of [`WireFormat::Search`] in a list.
+/// Name of [`WireFormat::Search`] in a list.
 const SEARCH_FORMAT: &str = "opensearch";
 
-/// A list that was read; it borrows from the JSON.
+/// A parsed list that borrows from the JSON.
 pub(super) struct ParsedList<'a> {
-    /// Its version, if it has one.
+    /// Revision of the list, if it has one.
     pub(super) revision: Option<u64>,
-    /// Whether it names all replicas there are, or changes only.
+    /// Whether the list is complete. Otherwise it contains only changes.
     pub(super) is_full: bool,
-    lines: &'a [Value],
+    entries: &'a [Value],
 }
 
 impl<'a> ParsedList<'a> {
-    /// The lines that make sense.
-    pub(super) fn lines(&self) -> impl Iterator<Item = ParsedLine<'a>> {
-        self.lines.iter().filter_map(|line| match line {
-            Value::Object(line) => parse_line(line),
+    /// Returns the valid entries.
+    pub(super) fn entries(&self) -> impl Iterator<Item = ParsedEntry<'a>> {
+        self.entries.iter().filter_map(|entry| match entry {
+            Value::Object(entry) => parse_entry(entry),
             _ => None,
         })
     }
 }
 
-/// A line of a list.
-pub(super) struct ParsedLine<'a> {
+/// A parsed entry of a list.
+pub(super) struct ParsedEntry<'a> {
     pub(super) name: &'a str,
     pub(super) lifecycle: Lifecycle,
     pub(super) cell: u32,
-    /// The name of its zone.
+    /// Name of the zone.
     pub(super) zone: Option<&'a str>,
-    /// Unix time (seconds); 0 if it is not known.
+    /// Start of the replica as Unix time (seconds); 0 if it is not known.
     pub(super) started_at: f64,
-    /// Where it listens, as text.
+    /// Listen address as text.
     pub(super) address: Option<&'a str>,
     pub(super) wire_format: Option<WireFormat>,
     pub(super) pre_check: bool,
 }
 
-/// A complete list that is written.
+/// JSON form of a complete list.
 #[derive(Serialize)]
 pub(super) struct ListJson {
     pub(super) revision: Option<u64>,
     pub(super) complete: bool,
     #[serde(rename = "members")]
-    pub(super) endpoints: Vec<LineJson>,
+    pub(super) endpoints: Vec<EntryJson>,
 }
 
-/// A line of a list that is written.
+/// JSON form of a list entry.
 #[derive(Serialize)]
-pub(super) struct LineJson {
+pub(super) struct EntryJson {
     #[serde(rename = "id")]
     pub(super) name: String,
     #[serde(rename = "host_port")]
@@ -73,8 +72,8 @@
     pub(super) pre_check: bool,
 }
 
-/// The JSON of a complete list.
-pub(super) fn write(revision: Option<u64>, endpoints: Vec<LineJson>) -> String {
+/// Returns a complete list as JSON.
+pub(super) fn write(revision: Option<u64>, endpoints: Vec<EntryJson>) -> String {
     json::to_string(&ListJson {
         revision,
         complete: true,
@@ -82,7 +81,7 @@
     })
 }
 
-/// The name of the phase of a listed replica.
+/// Returns the name of a listed replica's phase in a list.
 pub(super) fn phase_name(lifecycle: Lifecycle) -> &'static str {
     if lifecycle == Lifecycle::Draining {
         "Terminating"
@@ -91,7 +90,7 @@
     }
 }
 
-/// The name of a wire format.
+/// Returns the name of a wire format in a list.
 pub(super) fn wire_format_name(wire_format: WireFormat) -> &'static str {
     match wire_format {
         WireFormat::Search => SEARCH_FORMAT,
@@ -99,7 +98,7 @@
     }
 }
 
-/// The version of a list, if it has one.
+/// Returns the revision of a list, if it has one.
 pub fn revision(list: &Value) -> Option<u64> {
     match list {
         Value::Object(list) => match list.get("revision") {
@@ -110,44 +109,44 @@
     }
 }
 
-/// Reads a list; none if it has no lines at all. Unknown keys are ignored.
+/// Parses a list. Returns `None` if the JSON has no array of entries. Unknown keys are ignored.
 pub(super) fn parse(list: &Value) -> Option<ParsedList<'_>> {
     let revision = revision(list);
     let Value::Object(list) = list else {
         return None;
     };
-    let Some(Value::Array(lines)) = list.get("members") else {
+    let Some(Value::Array(entries)) = list.get("members") else {
         return None;
     };
     Some(ParsedList {
         revision,
         is_full: !matches!(list.get("complete"), Some(Value::Bool(false))),
-        lines,
+        entries,
     })
 }
 
-fn parse_line(line: &Object) -> Option<ParsedLine<'_>> {
-    let name = text(line, "id")?;
-    let lifecycle = match text(line, "phase")? {
+fn parse_entry(entry: &Object) -> Option<ParsedEntry<'_>> {
+    let name = text(entry, "id")?;
+    let lifecycle = match text(entry, "phase")? {
         "Ready" => Lifecycle::Ready,
         "Terminating" => Lifecycle::Draining,
         // Nothing may be sent to a replica in an unknown phase.
         _ => Lifecycle::Gone,
     };
-    let cell = match cell(line) {
+    let cell = match cell(entry) {
         Some(cell) => cell,
         None if lifecycle == Lifecycle::Gone => 0,
         None => return None,
     };
-    Some(ParsedLine {
+    Some(ParsedEntry {
         name,
         lifecycle,
         cell,
-        zone: text(line, "locality"),
-        started_at: number(line, "up_since_ms").map_or(0.0, from_wall_ms),
-        address: text(line, "host_port"),
-        wire_format: text(line, "speaks").map(parse_wire_format),
-        pre_check: matches!(line.get("prefilter"), Some(Value::Bool(true))),
+        zone: text(entry, "locality"),
+        started_at: number(entry, "up_since_ms").map_or(0.0, unix_ms_to_s),
+        address: text(entry, "host_port"),
+        wire_format: text(entry, "speaks").map(parse_wire_format),
+        pre_check: matches!(entry.get("prefilter"), Some(Value::Bool(true))),
     })
 }
 
@@ -159,14 +158,14 @@
     }
 }
 
-fn cell(line: &Object) -> Option<u32> {
-    number(line, "cell")
+fn cell(entry: &Object) -> Option<u32> {
+    number(entry, "cell")
         .filter(|cell| *cell >= 0.0 && *cell <= f64::from(u32::MAX))
         .map(|cell| cell as u32)
 }
 
-/// A Unix time in milliseconds in seconds; 0 if it is unset.
-fn from_wall_ms(at_ms: f64) -> f64 {
+/// Converts a Unix time from milliseconds to seconds. Returns 0 if the time is not set.
+fn unix_ms_to_s(at_ms: f64) -> f64 {
     if at_ms <= 0.0 || !at_ms.is_finite() {
         return 0.0;
     }
--- a/src/endpoints/mod.rs
+++ b/src/endpoints/mod.rs
@@ -1,6 +1,7 @@
-//! The endpoint list: what it says, how it is kept up to date, and how long it may be acted on.
+//! The endpoint list: its format and contents, the schedule of calls to discovery that keep it current, and the lease that
+//! limits how long it may be used.
 //!
-//! Nothing here makes a call or reads a clock: time is passed in.
+//! The modules do no I/O and read no clock; callers pass in the time.
 
 pub mod directory;
 pub mod heartbeat;
--- a/src/endpoints/watch_schedule.rs
+++ b/src/endpoints/watch_schedule.rs
@@ -1,49 +1,49 @@
-//! When a mixer calls discovery while it has no watch there: the first call, and the next one after a call that failed.
+//! The schedule of a mixer's calls to discovery while no watch is open: the first call, and the retries of failed calls.
 //!
-//! This file owns the rate at which a mixer calls, so that a fleet of mixers never makes more calls than the one discovery
-//! can answer. It must never make a call, read a list or read a clock.
-//!
-//! Discovery answers calls in turn. One that waited too long has timed out, and may have taken its turn all the same: if all
-//! mixers start together, and each retries after a second or two without end, discovery may do nothing but fail calls. A
-//! discovery that is down fails calls in the same way and after the same time, and has to be called again soon: a change
-//! counts as notified 6 s after it could be reached. So first calls are spread over a time that grows with the fleet, retries
-//! come within 1.4 s, and only after many in a row do fleets that could overload discovery back off.
+//! The schedule limits the call rate, so that a fleet of mixers does not overload the one discovery that it shares. Discovery
+//! answers calls one after the other, and a call that has timed out may still take its time. If all mixers started together and
+//! retried every second or two, discovery could be busy with timed-out calls only. A discovery that is down fails calls in the
+//! same way and after the same time, but has to be called again soon: a change counts as notified 6 s after discovery is
+//! reachable. Therefore first calls are spread over a time that grows with the fleet, failed calls are retried within 1.4 s, and
+//! only after many consecutive failures do the mixers of a large fleet back off.
 
-/// First calls of a fleet that starts together are spread over this time for each mixer (seconds). A mixer serves no one before
-/// its first call is answered, so that this call has to come soon.
-const FIRST_CALL_EACH_S: f64 = 0.02;
-/// First calls are spread over this time at most (seconds): discovery answers 1,000 calls for changes made within it before
+/// Spread of the first calls of a fleet that starts together, for each mixer (seconds). A mixer serves no client before its first
+/// call is answered, so the spread must be short.
+const FIRST_CALL_SPREAD_PER_MIXER_S: f64 = 0.02;
+/// Maximum spread of the first calls (seconds): discovery answers 1,000 calls for changes that are made within this time before
 /// they time out.
 const MAX_FIRST_CALL_SPREAD_S: f64 = 2.0;
-/// Time that discovery takes to answer with a complete list, for each mixer (seconds).
-const WHOLE_LIST_EACH_S: f64 = 0.05;
-/// The first call after the end of a watch comes within this time, and within `REOPEN_EACH_S` more for each mixer (seconds).
-const REOPEN_WITHIN_S: f64 = 0.1;
-const REOPEN_EACH_S: f64 = 0.003;
-/// Bounds of the random delay after a failed call (seconds). A call may take 2 s to fail, and the next one as long to be
-/// answered: together less than the 6 s within which a change has to be received once discovery can be reached.
+/// Time that discovery takes to answer one call with a complete list (seconds).
+const COMPLETE_LIST_SERVICE_S: f64 = 0.05;
+/// Spread of the first calls after the end of a watch: this time, plus `REOPEN_SPREAD_PER_MIXER_S` for each mixer (seconds).
+const MIN_REOPEN_SPREAD_S: f64 = 0.1;
+const REOPEN_SPREAD_PER_MIXER_S: f64 = 0.003;
+/// Bounds of the random delay after a failed call (seconds). A call may take 2 s to fail, and the next call 2 s to be answered;
+/// with the delay this is less than the 6 s within which a change has to be received once discovery is reachable.
 const MIN_RETRY_S: f64 = 0.2;
 const MAX_RETRY_S: f64 = 1.4;
-/// After this many failures in a row, some 25 s, discovery is presumed overloaded by a large fleet: with every second failure
-/// more the delay doubles.
-const OVERLOADED_FAILURES: u32 = 8;
-/// A fleet is large if discovery takes longer than this to answer each mixer once (seconds).
-const OVERLOADING_TURN_S: f64 = 2.0;
-/// The doubled delay is at most this many times as long as discovery takes to answer each mixer once.
-const MAX_RELIEF_TURNS: f64 = 4.0;
-/// Timeout of a call that opens a watch and is answered without waiting (seconds).
+/// Number of consecutive failures (about 25 s) after which discovery is presumed to be overloaded by a large fleet. With every
+/// two further failures the additional delay doubles.
+const MAX_FAILURES_BEFORE_BACKOFF: u32 = 8;
+/// Minimum time that discovery takes to answer each mixer once for the fleet to count as large (seconds).
+const MIN_LARGE_FLEET_SERVICE_S: f64 = 2.0;
+/// Maximum of the additional delay, as a multiple of the time that discovery takes to answer each mixer once.
+const MAX_BACKOFF_FACTOR: f64 = 4.0;
+/// Timeout of a call that opens a watch and that discovery answers immediately (seconds).
 pub const OPEN_TIMEOUT_S: f64 = 2.0;
-/// Timeout of the first such calls after a watch that worked (seconds): a lost watch, the calls that failed and the delays
-/// between them have to fit into the 6 s within which a change counts as notified.
+/// Timeout of the first such calls after the end of a working watch (seconds). The lost watch, the failed calls and the delays
+/// between them have to fit into the 6 s after which a change counts as notified.
 const REOPEN_TIMEOUT_S: f64 = 0.5;
+/// Number of failures up to which the short timeout applies.
 const MAX_QUICK_REOPENS: u32 = 2;
-/// In a small fleet a call is overdue after this time, so that the answer to the next one comes within the drain grace (seconds).
+/// Time after which a call of a small fleet is overdue (seconds): the answer to the next call then arrives within the drain grace.
 const MIN_OVERDUE_S: f64 = 0.3;
-/// The same for each mixer of the fleet: discovery answers all of them in less, also where each call gets the complete list.
-const OVERDUE_EACH_S: f64 = 0.1;
+/// Time after which a call is overdue, for each mixer of the fleet (seconds). Discovery answers all mixers in less time, even if
+/// each gets the complete list.
+const OVERDUE_PER_MIXER_S: f64 = 0.1;
 
-/// Timeout of a call that opens a watch and is answered without waiting (seconds), after that many failures in a row, the end
-/// of the watch before included; `has_worked` is whether there was a watch before.
+/// Returns the timeout of a call that opens a watch and that discovery answers immediately (seconds). `failures` is the number of
+/// consecutive failures, including the end of the previous watch; `has_worked` is whether there was a previous watch.
 pub fn open_timeout_s(has_worked: bool, failures: u32) -> f64 {
     if has_worked && failures <= MAX_QUICK_REOPENS {
         REOPEN_TIMEOUT_S
@@ -52,64 +52,67 @@
     }
 }
 
-/// When a call that opens a watch is overdue, so that another one is made beside it (seconds), among `mixers` that call the same
-/// discovery, while `overdue_calls` are open already. Discovery may have written the answer to a call that it seems to leave
-/// open, and a change in it counts as notified. A small fleet soon calls again, less often the more calls are open.
+/// Returns the time after which a call that opens a watch is overdue and another call is made in parallel (seconds). `mixers` is
+/// the number of mixers that call the same discovery, `overdue_calls` the number of overdue calls that are already open.
+/// Discovery may have written an answer that was not received, and a change in it counts as notified. A small fleet therefore calls
+/// again soon, but less often the more calls are open.
 pub fn overdue_after_s(mixers: u32, overdue_calls: usize) -> f64 {
-    let overdue_s = (f64::from(mixers) * OVERDUE_EACH_S).max(MIN_OVERDUE_S);
+    let overdue_s = (f64::from(mixers) * OVERDUE_PER_MIXER_S).max(MIN_OVERDUE_S);
     (overdue_s * (overdue_calls as f64).exp2()).min(OPEN_TIMEOUT_S)
 }
 
-/// Delay before the call after one that failed while an overdue call is open (seconds), among `mixers` that call the same
-/// discovery; none where these are too many to call more often than the watch schedule says.
+/// Returns the delay after a failed call while an overdue call is open (seconds), or `None` if the `mixers` that call the same
+/// discovery are too many to call more often than the watch schedule allows.
 pub fn retry_while_overdue_s(mixers: u32) -> Option<f64> {
     let delay_s = overdue_after_s(mixers, 0);
     (delay_s < OPEN_TIMEOUT_S).then_some(delay_s)
 }
 
-/// When a mixer calls discovery next. Times are of the caller's clock (seconds).
+/// Time of a mixer's next call to discovery. Times are on the caller's clock (seconds).
 #[derive(Clone, Debug)]
 pub struct WatchSchedule {
     first_call_spread_s: f64,
-    /// How long discovery takes to answer each mixer of the fleet once.
-    fleet_turn_s: f64,
-    /// The settings' limit on the age of a list.
+    /// Time that discovery takes to answer each mixer of the fleet once.
+    fleet_service_s: f64,
+    /// Maximum age of a list in the settings.
     max_list_age_s: f64,
-    /// Over how long a fleet's first calls are spread after their watches ended.
+    /// Time over which the first calls after the end of all watches are spread.
     reopen_spread_s: f64,
     next_at: Option<f64>,
     has_called: bool,
-    /// Since the last list.
+    /// Number of failures since the last list was received.
     failures: u32,
 }
 
 impl WatchSchedule {
-    /// The schedule of one of `mixers` that call the same discovery; `max_list_age_s` is the settings' limit on the age of a
-    /// list (seconds). The first call is due now.
+    /// Creates the schedule of one of `mixers` that call the same discovery; `max_list_age_s` is the maximum age of a list in the
+    /// settings (seconds). The first call is due now.
     pub fn new(mixers: u32, max_list_age_s: f64, now: f64) -> WatchSchedule {
-        let for_all_mixers_s = |each_s: f64| each_s * f64::from(mixers);
-        let first_call_spread_s = for_all_mixers_s(FIRST_CALL_EACH_S)
+        let for_all_mixers_s = |per_mixer_s: f64| per_mixer_s * f64::from(mixers);
+        let first_call_spread_s = for_all_mixers_s(FIRST_CALL_SPREAD_PER_MIXER_S)
             .min(MAX_FIRST_CALL_SPREAD_S)
             .min(max_list_age_s / 2.0);
         WatchSchedule {
             first_call_spread_s,
-            fleet_turn_s: for_all_mixers_s(WHOLE_LIST_EACH_S).min(max_list_age_s / 2.0),
+            fleet_service_s: for_all_mixers_s(COMPLETE_LIST_SERVICE_S).min(max_list_age_s / 2.0),
             max_list_age_s,
-            reopen_spread_s: (REOPEN_WITHIN_S + REOPEN_EACH_S * f64::from(mixers)).min(MAX_RETRY_S),
+            reopen_spread_s: (MIN_REOPEN_SPREAD_S + REOPEN_SPREAD_PER_MIXER_S * f64::from(mixers))
+                .min(MAX_RETRY_S),
             next_at: Some(now),
             has_called: false,
             failures: 0,
         }
     }
 
-    /// Whether to call now. True once for each call that is due.
+    /// Returns whether to call now; true once for each call that is due.
     pub fn take_due(&mut self, now: f64) -> bool {
         let is_due = self.next_at.take_if(|at| *at <= now).is_some();
         self.has_called |= is_due;
         is_due
     }
 
-    /// A list was received. If it was cached from before the start, the first call is spread; `jitter` is from 0 to 1.
+    /// Records that a list was received. If the list was cached before the start, the first call is delayed; `jitter` is from 0
+    /// to 1.
     pub fn list_received(&mut self, now: f64, jitter: f64) {
         self.failures = 0;
         if !self.has_called {
@@ -117,24 +120,26 @@
         }
     }
 
-    /// A call failed, or the watch ended; `jitter` is from 0 to 1.
+    /// Records that a call failed or the watch ended, and schedules the next call; `jitter` is from 0 to 1.
     pub fn call_failed(&mut self, now: f64, jitter: f64) {
         self.failures += 1;
         let delay_s = match self.failures {
             1 => jitter * self.reopen_spread_s,
             _ => MIN_RETRY_S + jitter * (MAX_RETRY_S - MIN_RETRY_S),
         };
-        self.next_at = Some(now + delay_s + (0.5 + jitter) * self.relief_s());
+        self.next_at = Some(now + delay_s + (0.5 + jitter) * self.backoff_s());
     }
 
-    /// The additional delay of a fleet that may be overloading discovery (seconds).
-    fn relief_s(&self) -> f64 {
-        if self.failures <= OVERLOADED_FAILURES || self.fleet_turn_s < OVERLOADING_TURN_S {
+    /// Returns the additional delay of a fleet that may be overloading discovery, before jitter (seconds).
+    fn backoff_s(&self) -> f64 {
+        if self.failures <= MAX_FAILURES_BEFORE_BACKOFF
+            || self.fleet_service_s < MIN_LARGE_FLEET_SERVICE_S
+        {
             return 0.0;
         }
-        let doubled_s = (f64::from(self.failures - OVERLOADED_FAILURES) / 2.0).exp2();
+        let doubled_s = (f64::from(self.failures - MAX_FAILURES_BEFORE_BACKOFF) / 2.0).exp2();
         doubled_s
-            .min(MAX_RELIEF_TURNS * self.fleet_turn_s)
+            .min(MAX_BACKOFF_FACTOR * self.fleet_service_s)
             .min(self.max_list_age_s * 2.0)
     }
 }
--- a/src/store.rs
+++ b/src/store.rs
@@ -1,10 +1,9 @@
-//! The replicated store of configuration and operators' state: quorum registers on the listed nodes.
+//! The replicated store of configuration and operators' state, implemented as quorum registers on the configured nodes.
 //!
-//! This module owns the registers of one node (each key with a value and a version), their file where a data folder is set,
-//! the messages between nodes, and the operations of the ABD algorithm: a write queries a majority for its versions and stores
-//! a higher one at a majority; a read takes the highest version of a majority and writes it back to one. It must never hold a
-//! socket or read a clock, never acknowledge what is not yet durable where it has to be, and never complete an operation
-//! without a majority.
+//! A register holds the value and version of a key, in memory and, if a data folder is set, in a file. Operations follow the ABD
+//! algorithm: a write queries the versions of a majority and stores a higher version at a majority; a read takes the highest
+//! version of a majority and writes it back to a majority. An operation completes only with a majority, and a node with a data
+//! folder acknowledges a value only once the value is durable. The module does no network I/O and reads no clock.
 
 mod message;
 mod operation;
@@ -18,29 +17,29 @@
 use std::io;
 use thiserror::Error;
 
-/// Longest key (bytes).
+/// Maximum length of a key (bytes).
 pub const MAX_KEY_BYTES: usize = 200;
-/// Longest value (bytes): a list of 10,000 servers, indented, takes 2.3 MB.
+/// Maximum length of a value (bytes): an indented list of 10,000 servers takes 2.3 MB.
 pub const MAX_VALUE_BYTES: usize = 4 * 1024 * 1024;
 
-/// Why something could not be stored or read.
+/// Error of a read or write.
 #[derive(Debug, Error)]
 pub enum StoreError {
     /// Fewer than a majority of the nodes answered in time. A write may or may not have taken place.
     #[error("no majority of the store's nodes answered")]
     NoMajority,
-    /// The key or the value is too long, or there are too many keys.
+    /// The key or the value is too long, all values together are too long, or there are too many keys.
     #[error("beyond the store's limits")]
     Limits,
-    /// The data folder failed.
+    /// Reading or writing the data folder failed.
     #[error("the data folder failed: {0}")]
     Disk(#[from] io::Error),
-    /// The file in the data folder is not what was written there.
+    /// The file in the data folder is truncated or was modified.
     #[error("the file in the data folder is damaged")]
     Damaged,
 }
 
-/// Orders the values of a register: the higher counter is the newer one, and between equal counters the higher node.
+/// Version of a value, which orders the values of a register by counter and then by node.
 #[derive(
     Clone,
     Copy,
@@ -54,13 +53,13 @@
     miniserde::Deserialize,
 )]
 pub struct Version {
-    /// Grows with each write; zero where the key was never written.
+    /// Counter that increases with each write; 0 if the key was never written.
     pub counter: u64,
-    /// The node that wrote.
+    /// Id of the node that wrote the value.
     pub node: u32,
 }
 
-/// Whether a key and its value are within the limits of the store, and of a message between nodes.
+/// Returns whether a key and its value are within the limits of the store and of a message between nodes.
 pub fn is_storable(key: &str, value: &str) -> bool {
     let escaped_bytes = || json::to_string(value).len() + json::to_string(key).len();
     let is_within_limits =
--- a/src/store/message.rs
+++ b/src/store/message.rs
@@ -1,49 +1,47 @@
-//! The messages between the store's nodes, and their bytes.
-//!
-//! This file owns the encoding: names of fields are names on the wire. It must never hold a socket.
+//! The messages between the store's nodes and their encoding. The field names are part of the wire format.
 
 use crate::store::{Version, MAX_VALUE_BYTES};
 use miniserde::json;
 use thiserror::Error;
 
-/// What a message has beside its key and value, at most (bytes).
+/// Maximum length of a message without its key and value (bytes).
 pub(super) const OVERHEAD_BYTES: usize = 4096;
-/// Longest message, as it goes over a connection (bytes): in a list of servers a quote, a backslash or a line end takes two
-/// bytes, and nothing takes more.
+/// Maximum length of an encoded message without its length field (bytes). In a list of servers, a quote, a backslash or a line
+/// end takes two bytes, and no other character takes more.
 pub const MAX_MESSAGE_BYTES: usize = 2 * MAX_VALUE_BYTES + OVERHEAD_BYTES;
-/// Bytes of a message's length.
+/// Length of the length field (bytes).
 const LENGTH_BYTES: usize = 4;
 
-/// Why bytes are no message. The connection is to be closed.
+/// Reason for which bytes cannot be decoded. The caller has to close the connection.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum MessageError {
-    /// Its length is beyond [`MAX_MESSAGE_BYTES`].
+    /// The length exceeds [`MAX_MESSAGE_BYTES`].
     #[error("a message of the store that is too long")]
     TooLong,
-    /// It is not JSON, or lacks a field.
+    /// The body is not JSON, or lacks a field.
     #[error("a malformed message of the store")]
     Malformed,
 }
 
-/// A message between nodes. A request with a value stores it; one without reads the register.
+/// A message between nodes. A request with a value stores the value; a request without a value reads the register.
 #[derive(Clone, Debug, Default, PartialEq, miniserde::Serialize, miniserde::Deserialize)]
 pub struct Message {
-    /// The operation that this belongs to, by the number that the requesting node gave it.
+    /// Id of the operation, assigned by the requesting node.
     pub operation: u64,
-    /// The step of the operation: 1 queries versions, 2 stores.
+    /// Step of the operation: 1 queries versions, 2 stores the value.
     pub step: u32,
-    /// Whether it is an answer.
+    /// Whether the message is an answer.
     pub answer: bool,
-    /// The key.
+    /// Key of the register.
     pub key: String,
-    /// The version that is stored or was read.
+    /// Version that is stored or was read.
     pub version: Version,
-    /// The value that is stored or was read.
+    /// Value that is stored or was read.
     pub value: Option<String>,
 }
 
 impl Message {
-    /// Its bytes: a length of four bytes, most significant first, and JSON.
+    /// Encodes the message as a length field of four bytes in big-endian order, followed by JSON.
     pub fn encode(&self) -> Vec<u8> {
         let text = json::to_string(self);
         let mut out = (text.len() as u32).to_be_bytes().to_vec();
@@ -51,7 +49,7 @@
         out
     }
 
-    /// Takes the next message from the front of a buffer; none where it has not arrived completely.
+    /// Removes the next message from the front of the buffer. Returns `None` if the message is not complete yet.
     pub fn decode(buffer: &mut Vec<u8>) -> Result<Option<Message>, MessageError> {
         let length_field = buffer
             .get(..LENGTH_BYTES)
--- a/src/store/operation.rs
+++ b/src/store/operation.rs
@@ -1,48 +1,45 @@
-//! One read or write over a majority of the store's nodes.
-//!
-//! This file owns the steps of the ABD algorithm. It must never hold a socket or read a clock, and never complete without a
-//! majority.
+//! The steps of one read or write in the ABD algorithm, each of which needs a majority of the store's nodes.
 
 use crate::store::{Message, Version};
 use std::collections::BTreeSet;
 
-/// How an operation ended: the version and value that a majority has now.
+/// Result of an operation: the version and value that a majority now has.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Completed {
-    /// The key.
+    /// Key of the register.
     pub key: String,
-    /// The version.
+    /// Version of the value.
     pub version: Version,
-    /// The value; none where the key was never written.
+    /// The value; `None` if the key was never written.
     pub value: Option<String>,
 }
 
-/// What an answer has brought.
+/// Effect of an answer on an operation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Progress {
-    /// More answers are needed, or the answer does not count.
+    /// More answers are needed, or the answer was ignored.
     Waiting,
-    /// The next step has begun: this goes to all nodes.
+    /// The next step has begun, and this message is to be sent to all nodes.
     Send(Message),
     /// The operation is complete.
     Completed(Completed),
 }
 
-/// What an operation is begun with.
+/// Parameters of an operation.
 #[derive(Clone, Copy, Debug)]
 pub struct OperationSetup {
-    /// The operation's number, which this node gives to no other.
+    /// Id of the operation, unique on this node.
     pub id: u64,
-    /// This node.
+    /// Id of this node.
     pub node: u32,
-    /// How many nodes there are, this one included.
+    /// Number of nodes, including this one.
     pub node_count: usize,
-    /// The lowest counter of a write, the wall time (ms): a node that restarted with nothing must not use a version again
-    /// that it left at a minority before.
+    /// Minimum counter of a write: the wall clock time (milliseconds). A node that restarted without its registers must not reuse
+    /// a version that it stored only at a minority before.
     pub min_counter: u64,
 }
 
-/// The steps of an operation.
+/// Step of an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
     QueryVersions,
@@ -51,7 +48,7 @@
 }
 
 impl Step {
-    /// Its number in messages; no message belongs to a completed operation.
+    /// Returns the number of the step in messages. No message has the number of `Completed`.
     fn number(self) -> u32 {
         match self {
             Step::QueryVersions => 1,
@@ -61,24 +58,25 @@
     }
 }
 
-/// An operation in progress: what it sends goes to all nodes, this one included.
+/// An operation in progress. Its messages are sent to all nodes, including this one.
 #[derive(Debug)]
 pub struct Operation {
     setup: OperationSetup,
     key: String,
-    /// The value to write, until the operation has given it a version.
+    /// Value to write, until a version is assigned to it.
     write: Option<String>,
     step: Step,
-    /// Nodes that have answered in this step.
+    /// Ids of the nodes that have answered in this step.
     answered: BTreeSet<u32>,
-    /// The highest version that was read, or the one that is stored.
+    /// Highest version that was read, or the version that is being stored.
     version: Version,
-    /// The value of that version.
+    /// Value of that version.
     value: Option<String>,
 }
 
 impl Operation {
-    /// Begins a read, or with a value a write; gives the first message. One node has one operation on a key at a time.
+    /// Begins a write if a value is given, otherwise a read, and returns the first message. The caller must not run more than one
+    /// operation of this node on the same key at the same time.
     pub fn begin(setup: OperationSetup, key: &str, write: Option<String>) -> (Operation, Message) {
         let operation = Operation {
             setup,
@@ -104,9 +102,9 @@
         }
     }
 
-    /// Takes the answer of a node.
+    /// Handles the answer of a node.
     pub fn handle_answer(&mut self, from: u32, answer: Message) -> Progress {
-        // A late answer to the first step, or a second one of a node, must not count towards a majority.
+        // A late answer to the first step, or a second answer of the same node, must not count towards the majority.
         if !answer.answer
             || answer.operation != self.setup.id
             || answer.step != self.step.number()
@@ -137,7 +135,7 @@
         })
     }
 
-    /// Gives the value to write, if there is one, a version above all that were read.
+    /// Assigns a version above all versions that were read to the value to write, if there is one.
     fn assign_version(&mut self) {
         let Some(value) = self.write.take() else {
             return;
--- a/src/store/registers.rs
+++ b/src/store/registers.rs
@@ -1,7 +1,6 @@
-//! The registers of one node, in memory or kept in a data folder.
+//! The registers of one node, in memory or persisted in a data folder. The field names are part of the file format.
 //!
-//! This file owns the registers and the file that holds them: names of its fields are names in stored data. It must never
-//! report a value that is not durable where it has to be.
+//! With a data folder, a value can be read only once it is durable.
 
 use crate::store::{is_storable, Message, StoreError, Version, MAX_KEY_BYTES};
 use miniserde::json;
@@ -10,11 +9,11 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// All keys and values of a node together (bytes): each value may be long, not all of them.
+/// Maximum total length of all keys and values of a node (bytes). This is less than the sum of the limits on single values.
 const MAX_TOTAL_BYTES: usize = 16 * 1024 * 1024;
-/// Most keys.
+/// Maximum number of keys.
 const MAX_KEYS: usize = 256;
-/// The file in the data folder.
+/// Name of the file in the data folder.
 pub(super) const FILE_NAME: &str = "registers.json";
 
 #[derive(Clone, Debug, PartialEq, miniserde::Serialize, miniserde::Deserialize)]
@@ -24,11 +23,11 @@
     value: String,
 }
 
-/// What the file holds.
+/// Contents of the file.
 #[derive(miniserde::Serialize, miniserde::Deserialize)]
 struct Contents {
     checksum: u32,
-    /// JSON of the registers, over which the checksum is.
+    /// JSON of the registers, which the checksum covers.
     registers: String,
 }
 
@@ -36,17 +35,17 @@
 #[derive(Debug, Default)]
 pub struct Registers {
     registers: BTreeMap<String, Register>,
-    /// The data folder, where there is one.
+    /// Data folder, if the registers are persisted.
     pub(super) folder: Option<PathBuf>,
 }
 
 impl Registers {
-    /// Registers in memory only.
+    /// Creates empty registers that are kept in memory only.
     pub fn in_memory() -> Registers {
         Registers::default()
     }
 
-    /// Registers kept in a data folder; a file that is there already is read. It is an error if that is damaged.
+    /// Opens registers that are persisted in a data folder, and loads an existing file. A damaged file is an error.
     pub fn open(folder: &Path) -> Result<Registers, StoreError> {
         let text = match fs::read_to_string(folder.join(FILE_NAME)) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => None,
@@ -55,7 +54,7 @@
         let mut registers = BTreeMap::new();
         if let Some(text) = text {
             let contents: Contents = json::from_str(&text).map_err(|_| StoreError::Damaged)?;
-            // A file that was cut off or changed is not used in part: half a state is worse than none.
+            // A truncated or modified file is rejected completely, because partial state is worse than none.
             if crc32fast::hash(contents.registers.as_bytes()) != contents.checksum {
                 return Err(StoreError::Damaged);
             }
@@ -72,7 +71,7 @@
         })
     }
 
-    /// A register's version and value; version 0 where it was never written.
+    /// Returns the version and value of a register; the version is zero if the key was never written.
     pub fn get(&self, key: &str) -> (Version, Option<&str>) {
         match self.registers.get(key) {
             Some(register) => (register.version, Some(&register.value)),
@@ -80,7 +79,8 @@
         }
     }
 
-    /// Stores a value if its version is newer. It is durable, where there is a data folder, once this returns.
+    /// Stores a value if its version is newer than the stored one. With a data folder, the value is durable once this function
+    /// returns.
     pub fn put(&mut self, key: &str, version: Version, value: &str) -> Result<(), StoreError> {
         if self.get(key).0 >= version {
             return Ok(());
@@ -96,7 +96,7 @@
         let old = self.registers.insert(key.to_string(), register);
         let saved = self.save();
         if saved.is_err() {
-            // What is not on disk must not be read by anybody.
+            // A value that is not on disk must not be readable.
             match old {
                 Some(old) => drop(self.registers.insert(key.to_string(), old)),
                 None => drop(self.registers.remove(key)),
@@ -105,7 +105,7 @@
         saved
     }
 
-    /// Whether a value still fits beside all others.
+    /// Returns whether the value fits into the limits together with all other registers.
     fn has_capacity_for(&self, key: &str, value: &str) -> bool {
         let others = || {
             self.registers
@@ -118,7 +118,8 @@
         others().count() < MAX_KEYS && bytes + key.len() + value.len() <= MAX_TOTAL_BYTES
     }
 
-    /// Writes all registers to the file, if there is a data folder: a crash leaves the file of before or the new one.
+    /// Writes all registers to the file, if there is a data folder. The file is replaced atomically, so that a crash leaves either the
+    /// old or the new file.
     fn save(&self) -> Result<(), StoreError> {
         let Some(folder) = &self.folder else {
             return Ok(());
@@ -138,7 +139,8 @@
         Ok(())
     }
 
-    /// The answer of this node to a request of a peer, or of itself; none where it can't store or the message is no request.
+    /// Handles a request of a peer or of this node, and returns the answer. Returns `None` if the message is not a valid request or
+    /// the value cannot be stored.
     pub fn serve(&mut self, request: &Message) -> Option<Message> {
         if request.answer || request.key.len() > MAX_KEY_BYTES {
             return None;
@@ -153,7 +155,7 @@
                 answer.version = version;
                 answer.value = value.map(String::from);
             }
-            // What could not be stored is not acknowledged.
+            // A value that could not be stored is not acknowledged.
             Some(value) => {
                 self.put(&request.key, request.version, value).ok()?;
                 answer.value = None;
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -4,18 +4,18 @@
 use super::*;
 use std::fs;
 
-/// Carries out an operation of a node among those that can be reached; none where it can't complete.
-fn play(
+/// Runs an operation of a node against the reachable nodes. Returns `None` if the operation cannot complete.
+fn run_operation(
     nodes: &mut [Registers],
     node: u32,
     write: Option<&str>,
-    reach: &[usize],
+    reachable: &[usize],
 ) -> Option<Completed> {
     let (mut operation, mut message) =
         Operation::begin(setup(9, node, nodes.len()), "k", write.map(String::from));
     loop {
         let mut next = None;
-        for at in reach {
+        for at in reachable {
             let Some(answer) = nodes[*at].serve(&message) else {
                 continue;
             };
@@ -38,30 +38,31 @@
     }
 }
 
-fn three() -> Vec<Registers> {
+fn three_nodes() -> Vec<Registers> {
     (0..3).map(|_| Registers::in_memory()).collect()
 }
 
 #[test]
-fn a_read_after_a_write_sees_it_over_any_majority() {
-    let mut nodes = three();
+fn a_read_after_a_write_returns_its_value_with_any_majority() {
+    let mut nodes = three_nodes();
     assert_eq!(
-        play(&mut nodes, 0, None, &[0, 2]).map(|completed| completed.value),
+        run_operation(&mut nodes, 0, None, &[0, 2]).map(|completed| completed.value),
         Some(None)
     );
-    assert!(play(&mut nodes, 0, Some("one"), &[0, 1]).is_some());
-    assert!(play(&mut nodes, 2, Some("two"), &[2, 1])
+    assert!(run_operation(&mut nodes, 0, Some("one"), &[0, 1]).is_some());
+    assert!(run_operation(&mut nodes, 2, Some("two"), &[2, 1])
         .is_some_and(|completed| completed.version.counter == 2));
-    for reach in [[0, 1], [0, 2], [1, 2]] {
-        let read = play(&mut nodes, 0, None, &reach).and_then(|completed| completed.value);
-        assert_eq!(read.as_deref(), Some("two"), "{reach:?}");
+    for reachable in [[0, 1], [0, 2], [1, 2]] {
+        let read =
+            run_operation(&mut nodes, 0, None, &reachable).and_then(|completed| completed.value);
+        assert_eq!(read.as_deref(), Some("two"), "{reachable:?}");
     }
 }
 
-/// A write that reached one node only: once a read has returned it, no later read may miss it.
+/// A value that was written to one node only: once a read has returned the value, later reads must return it too.
 #[test]
 fn a_read_writes_back_what_it_returns() {
-    let mut nodes = three();
+    let mut nodes = three_nodes();
     assert!(nodes[2]
         .put(
             "k",
@@ -73,13 +74,13 @@
         )
         .is_ok());
     assert_eq!(
-        play(&mut nodes, 0, None, &[1, 2])
+        run_operation(&mut nodes, 0, None, &[1, 2])
             .and_then(|completed| completed.value)
             .as_deref(),
         Some("half")
     );
     assert_eq!(
-        play(&mut nodes, 0, None, &[0, 1])
+        run_operation(&mut nodes, 0, None, &[0, 1])
             .and_then(|completed| completed.value)
             .as_deref(),
         Some("half")
@@ -88,9 +89,9 @@
 
 #[test]
 fn without_a_majority_nothing_completes_and_equal_counters_are_ordered_by_node() {
-    let mut nodes = three();
-    assert_eq!(play(&mut nodes, 0, Some("one"), &[0]), None);
-    assert_eq!(play(&mut nodes, 0, None, &[1]), None);
+    let mut nodes = three_nodes();
+    assert_eq!(run_operation(&mut nodes, 0, Some("one"), &[0]), None);
+    assert_eq!(run_operation(&mut nodes, 0, None, &[1]), None);
     let mut register = Registers::in_memory();
     for (node, value) in [(1, "b"), (0, "a"), (1, "c")] {
         assert!(register
@@ -100,7 +101,7 @@
     assert_eq!(
         register.get("k").1,
         Some("b"),
-        "neither a lower node nor the same version again"
+        "a lower node and an equal version must not replace the value"
     );
 }
 
@@ -118,7 +119,7 @@
     assert_eq!(
         operation.handle_answer(0, answer.clone()),
         Progress::Waiting,
-        "the same node twice is no majority"
+        "two answers of one node are not a majority"
     );
     assert!(matches!(
         operation.handle_answer(1, answer.clone()),
@@ -127,7 +128,7 @@
     assert_eq!(
         operation.handle_answer(2, answer.clone()),
         Progress::Waiting,
-        "of the first step, in the second"
+        "the answer is of the first step, and the operation is in the second"
     );
     let other = Message {
         operation: 2,
@@ -137,7 +138,7 @@
     assert_eq!(
         operation.handle_answer(2, other),
         Progress::Waiting,
-        "of another operation"
+        "the answer is of another operation"
     );
 }
 
@@ -174,7 +175,11 @@
         registers.put("k", version, "v"),
         Err(StoreError::Disk(_))
     ));
-    assert_eq!(registers.get("k").1, None, "not on disk, so not readable");
+    assert_eq!(
+        registers.get("k").1,
+        None,
+        "a value that is not on disk must not be readable"
+    );
 }
 
 #[test]
@@ -197,12 +202,12 @@
     assert!(Message::decode(&mut vec![0, 0, 0, 1, b'x']).is_err());
 }
 
-/// The list is one value, and goes to other nodes in one message.
+/// A list is stored as one value and sent to other nodes in one message.
 #[rstest::rstest]
 #[case(1025)]
 #[case(5300)]
 #[case(10_000)]
-fn an_endpoint_list_of_a_whole_fleet_can_be_stored(#[case] servers: usize) {
+fn an_endpoint_list_of_a_large_fleet_can_be_stored(#[case] servers: usize) {
     let line = |number: usize| {
         format!(
             "    {{\n      \"id\": \"server-{number:08}\",\n      \"host_port\": \"10.200.{}.{}:18080\",\n      \"locality\": \"cardiff-bay\",\n      \
@@ -216,8 +221,8 @@
         lines.join(",\n")
     );
     assert!(is_storable("members", &value), "{} bytes", value.len());
-    let mut nodes = three();
-    assert!(play(&mut nodes, 0, Some(&value), &[0, 1]).is_some());
+    let mut nodes = three_nodes();
+    assert!(run_operation(&mut nodes, 0, Some(&value), &[0, 1]).is_some());
     assert_eq!(nodes[1].get("k").1, Some(value.as_str()));
     let message = Message {
         key: "members".into(),
@@ -225,14 +230,14 @@
         ..Message::default()
     };
     assert_eq!(
-        Message::decode(&mut message.encode()).expect("within bounds"),
+        Message::decode(&mut message.encode()).expect("the message is within the maximum length"),
         Some(message)
     );
 }
 
-/// The limits on a value by itself, on its message, and on all values of a node together.
+/// The limits on a single value, on its message, and on all values of a node together are enforced.
 #[test]
-fn a_value_beyond_the_limits_is_an_error_and_changes_nothing() {
+fn a_value_that_exceeds_a_limit_is_rejected_without_effect() {
     let version = |counter| Version { counter, node: 1 };
     let mut registers = Registers::in_memory();
     let longest = "v".repeat(MAX_VALUE_BYTES);
@@ -249,28 +254,28 @@
     for key in ["a", "b", "c"] {
         registers
             .put(key, version(1), &longest)
-            .expect("there is room");
+            .expect("the value fits");
     }
     assert!(
         matches!(
             registers.put("d", version(1), &longest),
             Err(StoreError::Limits)
         ),
-        "no room beside the others"
+        "the total length of all values is exceeded"
     );
     assert_eq!(registers.get("d").1, None);
     registers
         .put("a", version(2), &longest)
-        .expect("in place of another one there is room");
+        .expect("a value that replaces another one fits");
     registers
         .put("d", version(1), "short")
-        .expect("what is short still fits");
+        .expect("a short value still fits");
     let length = (MAX_MESSAGE_BYTES as u32 + 1).to_be_bytes().to_vec();
     assert!(
         matches!(
             Message::decode(&mut length.clone()),
             Err(MessageError::TooLong)
         ),
-        "rejected by its length"
+        "the message must be rejected because of its length field"
     );
 }
--- a/src/vrrp.rs
+++ b/src/vrrp.rs
@@ -1,65 +1,64 @@
-//! The state machine of VRRP version 3 (RFC 9568), for IPv4 addresses.
+//! The state machine of VRRP version 3 (RFC 9568) for IPv4 addresses: the states and timers of one virtual router, and the
+//! encoding of its advertisements.
 //!
-//! This file owns the states of one virtual router, its two timers and the form of its advertisements. It must never hold a
-//! socket or read a clock: events and times are passed in, and what is to be sent is returned. The messages are carried in UDP
-//! between the operators' listed peers, so the checks that belong to IP (protocol number, TTL, multicast) are left out; the
-//! checksum covers the VRRP message, as for IPv4.
+//! Callers pass in events and times, and send the advertisements that are returned. Messages are sent over UDP between the
+//! configured peers, so the checks of IP headers in the RFC (protocol number, TTL, multicast address) do not apply. The checksum
+//! covers only the VRRP message, without a pseudo-header.
 
 use std::net::Ipv4Addr;
 use thiserror::Error;
 
-/// Version 3, type 1.
+/// First byte of an advertisement: version 3, type 1.
 const VERSION_AND_TYPE: u8 = 0x31;
-/// Longest interval between advertisements (hundredths of a second): the field has 12 bits.
+/// Maximum interval between advertisements (hundredths of a second): the field has 12 bits.
 const MAX_INTERVAL_CS: u16 = 0x0fff;
-/// Bytes of an advertisement before its addresses.
+/// Length of an advertisement before its addresses (bytes).
 const HEADER_BYTES: usize = 8;
-/// Bytes of an address.
+/// Length of an address (bytes).
 const ADDRESS_BYTES: usize = 4;
-/// Most addresses in an advertisement.
+/// Maximum number of addresses in an advertisement.
 const MAX_ADDRESSES: usize = 255;
-/// The priority of the owner of the addresses.
+/// Priority of the address owner.
 const OWNER_PRIORITY: u8 = 255;
-/// The priority in an advertisement of an Active router that stops.
+/// Priority that an Active router advertises when it stops.
 const STOPPING_PRIORITY: u8 = 0;
-/// A Backup router takes over after so many intervals without an advertisement, and the skew time.
+/// Number of intervals without an advertisement after which, plus the skew time, a Backup router takes over.
 const MISSED_INTERVALS: f64 = 3.0;
 
-/// An advertisement.
+/// A VRRP advertisement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Advertisement {
-    /// The number of the virtual router.
+    /// Virtual router id (VRID).
     pub router: u8,
-    /// The sender's priority; 0 where it stops being Active.
+    /// Priority of the sender; 0 if the sender stops being Active.
     pub priority: u8,
-    /// The sender's interval between advertisements (hundredths of a second).
+    /// Advertisement interval of the sender (hundredths of a second).
     pub interval_cs: u16,
-    /// The addresses of the virtual router.
+    /// Addresses of the virtual router.
     pub addresses: Vec<Ipv4Addr>,
 }
 
-/// Why bytes are no advertisement.
+/// Reason for which a message cannot be decoded.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum AdvertisementError {
-    /// Too short, or not as long as its count of addresses says.
+    /// The message is too short, or its length does not match its number of addresses.
     #[error("the length does not fit")]
     Length,
-    /// Not version 3, or not an advertisement.
+    /// The message has another version or type.
     #[error("not an advertisement of version 3")]
     Kind,
-    /// The checksum is wrong.
+    /// The checksum is invalid.
     #[error("the checksum is wrong")]
     Checksum,
-    /// It contains no address or no interval.
+    /// The message contains no address, or the interval is 0.
     #[error("no address or no interval")]
     Empty,
 }
 
-/// The ones' complement of the ones' complement sum of 16-bit words (RFC 1071).
+/// Returns the Internet checksum (RFC 1071): the ones' complement of the ones' complement sum of the 16-bit words.
 fn checksum(bytes: &[u8]) -> u16 {
-    let sixteen_bits =
-        |pair: &[u8]| u32::from(pair[0]) << 8 | u32::from(*pair.get(1).unwrap_or(&0));
-    let mut sum: u32 = bytes.chunks(2).map(sixteen_bits).sum();
+    let word = |pair: &[u8]| u32::from(pair[0]) << 8 | u32::from(*pair.get(1).unwrap_or(&0));
+    let mut sum: u32 = bytes.chunks(2).map(word).sum();
     while sum > 0xffff {
         sum = (sum & 0xffff) + (sum >> 16);
     }
@@ -67,7 +66,7 @@
 }
 
 impl Advertisement {
-    /// Its bytes. At most 255 addresses are included.
+    /// Encodes the advertisement. Addresses beyond the first 255 are left out.
     pub fn encode(&self) -> Vec<u8> {
         let count = self.addresses.len().min(MAX_ADDRESSES);
         let mut out = vec![VERSION_AND_TYPE, self.router, self.priority, count as u8];
@@ -82,7 +81,7 @@
         out
     }
 
-    /// Decodes a message.
+    /// Decodes and validates a message.
     pub fn decode(bytes: &[u8]) -> Result<Advertisement, AdvertisementError> {
         if bytes.len() < HEADER_BYTES
             || bytes.len() != HEADER_BYTES + ADDRESS_BYTES * usize::from(bytes[3])
@@ -113,65 +112,65 @@
     }
 }
 
-/// The state of a virtual router here.
+/// State of a virtual router on this host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Not started, or shut down.
+    /// The router is not started, or was shut down.
     Initialize,
-    /// Another router is Active; this one takes over when its advertisements stop.
+    /// Another router is Active; this router takes over if the advertisements stop.
     Backup,
     /// This router serves the addresses.
     Active,
 }
 
-/// An event for a virtual router.
+/// Input event of the state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Start.
+    /// The router is started.
     Startup,
-    /// Stop.
+    /// The router is stopped.
     Shutdown,
-    /// The time given by [`Router::timer_at`] has come.
+    /// The time returned by [`Router::timer_at`] was reached.
     Timer,
     /// An advertisement was received.
     Received {
-        /// The sender's primary address.
+        /// Primary address of the sender.
         from: Ipv4Addr,
-        /// What it says.
+        /// The decoded advertisement.
         advertisement: Advertisement,
     },
 }
 
-/// The configuration of a virtual router.
+/// Configuration of a virtual router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Setup {
-    /// The number of the virtual router.
+    /// Virtual router id (VRID).
     pub router: u8,
-    /// Our priority, 1 to 254; 255 for the owner of the addresses.
+    /// Priority of this router: 1 to 254, or 255 for the address owner.
     pub priority: u8,
-    /// Our interval between advertisements (hundredths of a second).
+    /// Advertisement interval of this router (hundredths of a second).
     pub interval_cs: u16,
-    /// Whether a higher priority takes over from a lower one that is Active.
+    /// Whether this router takes over from an Active router with a lower priority.
     pub preempt: bool,
-    /// Our own primary address, which breaks ties.
+    /// Primary address of this router, which breaks ties between equal priorities.
     pub primary: Ipv4Addr,
-    /// The addresses of the virtual router.
+    /// Addresses of the virtual router.
     pub addresses: Vec<Ipv4Addr>,
 }
 
-/// The state machine of one virtual router. Times are of the loop's clock (seconds).
+/// State machine of one virtual router. Times are on the caller's clock (seconds).
 #[derive(Clone, Debug)]
 pub struct Router {
     setup: Setup,
     state: State,
-    /// The interval of the Active router (hundredths of a second).
+    /// Advertisement interval of the Active router (hundredths of a second).
     active_interval_cs: u16,
-    /// The Active_Down_Timer in Backup, the Adver_Timer when Active.
+    /// Expiry of the Active_Down_Timer in state Backup, or of the Adver_Timer in state Active.
     timer_at: Option<f64>,
 }
 
 impl Router {
-    /// A router that has not started.
+    /// Creates a router in state Initialize.
     pub fn new(mut setup: Setup) -> Router {
         setup.interval_cs = setup.interval_cs.clamp(1, MAX_INTERVAL_CS);
         setup.priority = setup.priority.max(1);
@@ -183,23 +182,23 @@
         }
     }
 
-    /// Its state.
+    /// Returns the current state.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// When it needs [`Event::Timer`], if it does.
+    /// Returns the time at which the caller has to pass [`Event::Timer`], if a timer is running.
     pub fn timer_at(&self) -> Option<f64> {
         self.timer_at
     }
 
-    /// The skew time (seconds): the lower the priority, the longer.
+    /// Returns the skew time (seconds), which is longer for a lower priority.
     fn skew_s(&self) -> f64 {
         let interval_s = f64::from(self.active_interval_cs) / 100.0;
         (256.0 - f64::from(self.setup.priority)) * interval_s / 256.0
     }
 
-    /// A Backup router takes over after so long without an advertisement (seconds).
+    /// Returns the time without an advertisement after which a Backup router takes over (seconds).
     fn active_down_s(&self) -> f64 {
         MISSED_INTERVALS * f64::from(self.active_interval_cs) / 100.0 + self.skew_s()
     }
@@ -213,21 +212,21 @@
         }
     }
 
-    /// Becomes or stays Active: advertises, and does so again after one interval.
+    /// Enters or stays in state Active: returns an advertisement, and starts the timer of the next one.
     fn advertise(&mut self, now: f64) -> Option<Advertisement> {
         self.state = State::Active;
         self.timer_at = Some(now + f64::from(self.setup.interval_cs) / 100.0);
         Some(self.advertisement(self.setup.priority))
     }
 
-    /// Becomes or stays Backup, to an Active router of that interval.
-    fn back_up(&mut self, now: f64, interval_cs: u16) {
+    /// Enters or stays in state Backup, and restarts the timer with the interval of the Active router.
+    fn become_backup(&mut self, now: f64, interval_cs: u16) {
         self.state = State::Backup;
         self.active_interval_cs = interval_cs;
         self.timer_at = Some(now + self.active_down_s());
     }
 
-    /// Handles an event; gives what is to be sent to all peers.
+    /// Handles an event, and returns the advertisement to send to all peers, if any.
     pub fn handle(&mut self, now: f64, event: Event) -> Option<Advertisement> {
         match (self.state, event) {
             (State::Initialize, Event::Startup) => self.start(now),
@@ -253,7 +252,7 @@
         if self.setup.priority == OWNER_PRIORITY {
             return self.advertise(now);
         }
-        self.back_up(now, self.setup.interval_cs);
+        self.become_backup(now, self.setup.interval_cs);
         None
     }
 
@@ -271,17 +270,17 @@
             if received.priority == STOPPING_PRIORITY {
                 self.timer_at = Some(now + self.skew_s());
             } else if !self.setup.preempt || received.priority >= self.setup.priority {
-                self.back_up(now, received.interval_cs);
+                self.become_backup(now, received.interval_cs);
             }
             return None;
         }
         let theirs = (received.priority, from);
         let ours = (self.setup.priority, self.setup.primary);
         if received.priority != STOPPING_PRIORITY && theirs > ours {
-            self.back_up(now, received.interval_cs);
+            self.become_backup(now, received.interval_cs);
             None
         } else {
-            // A router that stops, or is Active with a lower priority, is notified at once that this one is Active.
+            // Advertises immediately to inform a router that stops, or is Active with a lower priority, that this router is Active.
             self.advertise(now)
         }
     }
--- a/src/vrrp/tests.rs
+++ b/src/vrrp/tests.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn an_advertisement_has_the_bytes_of_the_standard() {
+fn an_advertisement_is_encoded_as_the_standard_requires() {
     let sent = router(100, LOW, true).advertisement(100);
     let bytes = sent.encode();
     assert_eq!(bytes, [0x31, 7, 100, 1, 0, 100, 0xeb, 0x89, 127, 0, 0, 9]);
@@ -56,7 +56,7 @@
     assert_eq!(
         low.handle(due - 0.01, Event::Timer),
         None,
-        "not before its time"
+        "a timer event before the expiry has no effect"
     );
     assert!(low
         .handle(due, Event::Timer)
@@ -65,7 +65,7 @@
         (low.state(), low.timer_at()),
         (State::Active, Some(due + 1.0))
     );
-    // The higher the priority, the shorter the skew.
+    // A higher priority has a shorter skew time.
     let mut high = router(200, HIGH, true);
     high.handle(10.0, Event::Startup);
     assert!(high.timer_at() < Some(due));
@@ -87,12 +87,12 @@
     assert_eq!(
         backup.handle(1.5, Event::Shutdown),
         None,
-        "a backup has nothing to resign"
+        "a Backup router advertises no shutdown"
     );
 }
 
 #[test]
-fn preemption_ties_and_advertisements_of_other_routers() {
+fn preemption_ties_and_foreign_advertisements_are_handled() {
     for (preempt, kept) in [(true, true), (false, false)] {
         let mut backup = router(100, LOW, preempt);
         backup.handle(0.0, Event::Startup);
@@ -101,7 +101,7 @@
         assert_eq!(
             backup.timer_at() == due,
             kept,
-            "a lower priority keeps it Backup only without preemption"
+            "an advertisement of a lower priority restarts the timer only without preemption"
         );
     }
     let active = |event| {
