--- a/src/endpoints/directory/tests.rs
+++ b/src/endpoints/directory/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of directory.rs that use its private items.
+//! Unit tests of directory.rs.
 
 use super::*;
 use miniserde::json;
 
-/// A line of a list, in discovery's form.
-fn line(number: usize, phase: &str) -> String {
+/// Returns a list entry in discovery's format.
+fn entry_json(number: usize, phase: &str) -> String {
     format!(
         r#"{{"id":"server-{number}","host_port":"127.0.0.1:{}","cell":{},"phase":"{phase}","up_since_ms":0}}"#,
         1 + number % 60_000,
@@ -12,25 +12,25 @@
     )
 }
 
-fn list(is_full: bool, lines: &[String]) -> Value {
+fn list(is_full: bool, entries: &[String]) -> Value {
     let text = format!(
         r#"{{"revision":1,"complete":{is_full},"members":[{}]}}"#,
-        lines.join(",")
+        entries.join(",")
     );
-    json::from_str(&text).expect("a list")
+    json::from_str(&text).expect("the list is valid JSON")
 }
 
-fn complete(count: usize) -> Value {
+fn complete_list(count: usize) -> Value {
     list(
         true,
         &(0..count)
-            .map(|number| line(number, "Ready"))
+            .map(|number| entry_json(number, "Ready"))
             .collect::<Vec<_>>(),
     )
 }
 
-/// The indexes agree with the state of every endpoint.
-fn check_indexes(directory: &Directory) {
+/// Checks that the indexes agree with the state of every endpoint.
+fn assert_indexes_match(directory: &Directory) {
     let endpoints = || directory.endpoints.iter();
     let unready: BTreeSet<ReplicaId> = endpoints()
         .filter(|(_, endpoint)| !endpoint.ready)
@@ -59,20 +59,20 @@
     assert_eq!(directory.names.len(), directory.endpoints.len());
 }
 
-/// Changes, complete lists, drain marks and connections in any order: the indexes never differ from the endpoints.
+/// Applies changes, complete lists, drain marks and connections in random order; the indexes always match the endpoints.
 #[test]
-fn indexes_follow_any_sequence_of_lists() {
+fn indexes_match_the_endpoints_after_any_sequence_of_changes() {
     let mut random = oorandom::Rand64::new(7);
     let mut draw = |below: usize| random.rand_range(0..below as u64) as usize;
     let mut directory = Directory::new(vec!["a".into()]);
     let mut connections = slotmap::SlotMap::<ConnectionKey, ()>::with_key();
     for _ in 0..2000 {
         let phases = ["Ready", "Ready", "Terminating", "Gone", "Unheard-of"];
-        let mut lines: Vec<String> = (0..1 + draw(6))
-            .map(|_| line(draw(30), phases[draw(phases.len())]))
+        let mut entries: Vec<String> = (0..1 + draw(6))
+            .map(|_| entry_json(draw(30), phases[draw(phases.len())]))
             .collect();
         match draw(10) {
-            0 => drop(directory.read(&list(true, &lines))),
+            0 => drop(directory.read(&list(true, &entries))),
             1 => drop(
                 directory.set_drain_marks(
                     (0..draw(5))
@@ -91,26 +91,26 @@
             }
             3 => directory.drop_removed(),
             _ => {
-                lines.push(r#"{"id":"server-1","phase":"Ready"}"#.into()); // skipped, for it has no cell
-                directory.read(&list(false, &lines));
+                entries.push(r#"{"id":"server-1","phase":"Ready"}"#.into()); // skipped, because the entry has no cell
+                directory.read(&list(false, &entries));
             }
         }
-        check_indexes(&directory);
+        assert_indexes_match(&directory);
     }
 }
 
-/// Lists as long as those of a fleet, and longer than any former limit: all lines are there, one change gives one line, drain
-/// marks of all give a line for each, and a complete list without the last one forgets it.
+/// Lists that exceed former limits on their length: all entries are read, one change returns one entry, drain marks on all
+/// replicas return an entry for each, and a complete list without the last replica drops that replica.
 #[rstest::rstest]
 #[case(1025)]
 #[case(5300)]
 #[case(10_000)]
-fn a_list_of_a_fleets_size_is_read_completely(#[case] count: usize) {
+fn a_list_of_a_large_fleet_is_read_completely(#[case] count: usize) {
     let mut directory = Directory::new(Vec::new());
     assert_eq!(
         directory
-            .read(&complete(count))
-            .expect("a list")
+            .read(&complete_list(count))
+            .expect("the list is valid")
             .entries
             .len(),
         count
@@ -120,8 +120,8 @@
         (count, 0)
     );
     let change = directory
-        .read(&list(false, &[line(count - 1, "Terminating")]))
-        .expect("a change");
+        .read(&list(false, &[entry_json(count - 1, "Terminating")]))
+        .expect("the change is valid");
     assert_eq!(change.entries.len(), 1);
     assert_eq!(directory.unready().count(), 1);
     let marks = directory.set_drain_marks(
@@ -134,7 +134,7 @@
         .iter()
         .all(|entry| entry.lifecycle == Lifecycle::Draining));
     assert_eq!(directory.set_drain_marks(Vec::new()).len(), count);
-    directory.read(&complete(count - 1));
+    directory.read(&complete_list(count - 1));
     directory.drop_removed();
     assert_eq!(
         (
@@ -143,5 +143,5 @@
         ),
         (count - 1, None)
     );
-    check_indexes(&directory);
+    assert_indexes_match(&directory);
 }
--- a/src/endpoints/heartbeat/tests.rs
+++ b/src/endpoints/heartbeat/tests.rs
@@ -1,17 +1,17 @@
-//! Tests of heartbeat.rs that use its private items.
+//! Unit tests of heartbeat.rs.
 
 use super::*;
 use crate::endpoints::watch_schedule::{open_timeout_s, WatchSchedule};
 use oorandom::Rand64;
 use std::collections::VecDeque;
 
-/// What a silent watch misses counts as known so long after it fell silent (seconds).
-const TERM_S: f64 = 6.0;
-/// What a call costs discovery (seconds).
-const CALL_S: f64 = 0.004;
+/// Time after which a change that a silent watch missed counts as known (seconds).
+const NOTIFICATION_LIMIT_S: f64 = 6.0;
+/// Time that discovery takes to answer a call (seconds).
+const CALL_SERVICE_S: f64 = 0.004;
 const STEP_S: f64 = 0.002;
 
-/// How a call fails.
+/// Way in which a call fails.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     Refused,
@@ -21,7 +21,7 @@
 }
 
 impl Fault {
-    /// After which time it fails, unless it times out before (seconds).
+    /// Returns the time after which the call fails, unless it times out earlier (seconds).
     fn fails_after_s(self) -> f64 {
         match self {
             Fault::Refused => 0.005,
@@ -34,7 +34,7 @@
 
 const FAULTS: [Fault; 4] = [Fault::Refused, Fault::Reset, Fault::Silent, Fault::NeverUp];
 
-/// None, one, and two failed calls of each kind.
+/// Returns all sequences of none, one and two failed calls.
 fn failure_sequences() -> Vec<Vec<Fault>> {
     let single = FAULTS.iter().map(|fault| vec![*fault]);
     let pairs = FAULTS
@@ -46,9 +46,9 @@
         .collect()
 }
 
-/// Every instant of silence, on a healthy discovery: the calls up to the first that is answered.
+/// A watch becomes silent at any instant and up to two checks fail in any way; the next check is made in time.
 #[test]
-fn a_silent_watch_is_detected_within_the_term_whatever_calls_fail() {
+fn a_silent_watch_is_detected_in_time_whatever_calls_fail() {
     for (is_pushed, jitter) in [(false, 0.0), (false, 0.37), (false, 1.0), (true, 0.5)] {
         for faults in failure_sequences() {
             for instant in 0..900 {
@@ -72,7 +72,7 @@
                     }
                     assert!(
                         !heartbeat.take_due(answered_at),
-                        "a watch in time is not checked"
+                        "no check is made if the watch is answered in time"
                     );
                     now = heartbeat.watch_made(answered_at);
                     made_at = answered_at;
@@ -83,16 +83,16 @@
                         .failed(now + fault.fails_after_s().min(heartbeat.check_timeout_s()));
                 }
                 assert!(heartbeat.take_due(now) && heartbeat.check_timeout_s() >= CHECK_TIMEOUT_S);
-                let term = silent_at + TERM_S - 0.3;
-                assert!(now < term, "{is_pushed} {faults:?} {silent_at}: {now}");
+                let limit = silent_at + NOTIFICATION_LIMIT_S - 0.3;
+                assert!(now < limit, "{is_pushed} {faults:?} {silent_at}: {now}");
             }
         }
     }
 }
 
-/// The same where the watch was seen to end and is reopened, in fleets of all sizes.
+/// A watch ends and up to two calls to reopen it fail in any way; the next call is made in time, in fleets of all sizes.
 #[test]
-fn a_lost_watch_is_reopened_within_the_term_whatever_calls_fail() {
+fn a_lost_watch_is_reopened_in_time_whatever_calls_fail() {
     for mixers in [2, 30, 350, 1000, 5000] {
         for jitter in [0.0, 0.5, 1.0] {
             for faults in failure_sequences() {
@@ -106,7 +106,7 @@
                     let at = (0..3000)
                         .map(|step| failed_at + f64::from(step) * STEP_S)
                         .find(due);
-                    let at = at.expect("a call is due");
+                    let at = at.expect("a call is due within 6 s");
                     assert!(schedule.take_due(at));
                     let fails_after_s = faults
                         .get(failed)
@@ -114,7 +114,7 @@
                     failed_at = at + fails_after_s.min(open_timeout_s(true, failed as u32 + 1));
                 }
                 assert!(
-                    failed_at < 100.0 + TERM_S - 0.3,
+                    failed_at < 100.0 + NOTIFICATION_LIMIT_S - 0.3,
                     "{mixers} {jitter} {faults:?}: {failed_at}"
                 );
             }
@@ -137,9 +137,9 @@
 
 struct Mixer {
     heartbeat: Heartbeat,
-    /// When its watch is answered and renewed; never while there is none, or it is silent.
+    /// Time at which the watch is answered and renewed; infinite while there is no watch or the watch is silent.
     watch_until: f64,
-    /// When a watch that was postponed is opened.
+    /// Time at which a postponed watch is opened.
     reopen_at: f64,
     check: Option<Check>,
     failures_left: usize,
@@ -168,35 +168,35 @@
     }
 }
 
-/// What a fleet received and did.
+/// Result of a simulation.
 struct Outcome {
     last_known_at: f64,
     calls_by_second: Vec<usize>,
 }
 
-/// A call that waits for discovery.
+/// A call in discovery's queue.
 struct QueuedCall {
     made_at: f64,
     mixer: usize,
     kind: Kind,
 }
 
-/// A fleet on a discovery that answers calls in turn. At `silent_at` all watches fall silent and there is a change; the next
-/// `lost` calls of each mixer are lost.
+/// A simulation of a fleet and a discovery that answers calls one after the other. At `silent_at` all watches become silent and
+/// the list changes; the next `lost` checks of each mixer are lost.
 struct Simulation {
     rng: Rand64,
     fleet: Vec<Mixer>,
     silent_at: f64,
-    /// What a call that timed out costs discovery, in turns; a renewed watch costs as much as any other call.
-    timed_out_turns: f64,
+    /// Service time of a call that timed out, as a multiple of [`CALL_SERVICE_S`]. A renewed watch costs as much as any other call.
+    timed_out_cost: f64,
     queue: VecDeque<QueuedCall>,
-    /// When discovery has answered all that it has begun to answer.
+    /// Time at which discovery finishes the answer that it is writing.
     free_at: f64,
     calls_by_second: Vec<usize>,
 }
 
 impl Simulation {
-    fn new(mixers: u32, silent_at: f64, lost: usize, timed_out_turns: f64) -> Simulation {
+    fn new(mixers: u32, silent_at: f64, lost: usize, timed_out_cost: f64) -> Simulation {
         let mut rng = Rand64::new(7);
         let fleet = Fleet {
             mixers,
@@ -209,7 +209,7 @@
             rng,
             fleet,
             silent_at,
-            timed_out_turns,
+            timed_out_cost,
             queue: VecDeque::new(),
             free_at: 0.0,
             calls_by_second: vec![0; 31],
@@ -223,7 +223,7 @@
                 .for_each(|mixer| mixer.watch_until = f64::INFINITY);
         }
         let is_answered =
-            |call: &QueuedCall, free_at: f64| free_at.max(call.made_at) + CALL_S <= now;
+            |call: &QueuedCall, free_at: f64| free_at.max(call.made_at) + CALL_SERVICE_S <= now;
         while self
             .queue
             .front()
@@ -241,16 +241,16 @@
 
     fn answer(&mut self, call: &QueuedCall, now: f64) {
         let mixer = &mut self.fleet[call.mixer];
-        let waited_for = mixer
+        let answered_check = mixer
             .check
             .take_if(|check| call.kind == Kind::Check && check.made_at == call.made_at);
-        let turns = if call.kind == Kind::Check && waited_for.is_none() {
-            self.timed_out_turns
+        let cost = if call.kind == Kind::Check && answered_check.is_none() {
+            self.timed_out_cost
         } else {
             1.0
         };
-        self.free_at = self.free_at.max(call.made_at) + turns * CALL_S;
-        if waited_for.is_some() {
+        self.free_at = self.free_at.max(call.made_at) + cost * CALL_SERVICE_S;
+        if answered_check.is_some() {
             mixer.heartbeat.answered(now);
             if call.made_at >= self.silent_at && mixer.known_at.is_infinite() {
                 mixer.known_at = now;
@@ -295,9 +295,9 @@
     }
 }
 
-/// 30 s of a [`Simulation`].
-fn play(mixers: u32, silent_at: f64, lost: usize, timed_out_turns: f64) -> Outcome {
-    let mut simulation = Simulation::new(mixers, silent_at, lost, timed_out_turns);
+/// Runs a [`Simulation`] for 30 s.
+fn simulate(mixers: u32, silent_at: f64, lost: usize, timed_out_cost: f64) -> Outcome {
+    let mut simulation = Simulation::new(mixers, silent_at, lost, timed_out_cost);
     for step in 0..(30.0 / STEP_S) as u32 {
         simulation.step(f64::from(step) * STEP_S);
     }
@@ -308,32 +308,43 @@
     }
 }
 
-/// A fleet of 1,000 makes no more calls than discovery can answer, also while it detects a silence.
+/// A fleet makes no more calls than discovery can answer, even while all its mixers detect that their watches are silent.
 #[rstest::rstest]
-fn a_fleet_is_notified_within_the_term_by_calls_that_discovery_can_answer(
+fn a_fleet_is_notified_in_time_by_calls_that_discovery_can_answer(
     #[values(2, 30, 350, 1000, 1024)] mixers: u32,
     #[values(0, 1, 2)] lost: usize,
-    #[values(0.0, 1.0)] timed_out_turns: f64,
+    #[values(0.0, 1.0)] timed_out_cost: f64,
 ) {
-    let outcome = play(mixers, 9.0, lost, timed_out_turns);
+    let outcome = simulate(mixers, 9.0, lost, timed_out_cost);
     let late_s = outcome.last_known_at - 9.0;
-    assert!(late_s < TERM_S, "{mixers} mixers, {lost} lost: {late_s}");
-    let answered = (1.0 / CALL_S) as usize;
+    assert!(
+        late_s < NOTIFICATION_LIMIT_S,
+        "{mixers} mixers, {lost} lost: {late_s}"
+    );
+    let answered_per_s = (1.0 / CALL_SERVICE_S) as usize;
     let steady: usize = outcome.calls_by_second[..9].iter().sum();
-    assert!(steady <= 9 * answered, "{:?}", outcome.calls_by_second);
-    // Each mixer retries twice at most; after that the fleet makes no more calls than before.
+    assert!(
+        steady <= 9 * answered_per_s,
+        "{:?}",
+        outcome.calls_by_second
+    );
+    // Each mixer retries at most twice; after that the fleet makes no more calls than before.
     let retries = 2 * mixers as usize;
     let after: usize = outcome.calls_by_second[9..].iter().sum();
     assert!(
-        after <= 21 * answered + retries,
+        after <= 21 * answered_per_s + retries,
         "{:?}",
         outcome.calls_by_second
     );
     let in_the_end: usize = outcome.calls_by_second[20..].iter().sum();
-    assert!(in_the_end <= 10 * answered, "{:?}", outcome.calls_by_second);
+    assert!(
+        in_the_end <= 10 * answered_per_s,
+        "{:?}",
+        outcome.calls_by_second
+    );
 }
 
-/// An unreachable discovery is called once a period, and as before once it answers.
+/// An unreachable discovery is called once a period. Once it answers again, checks have the short timeout as before.
 #[test]
 fn an_unreachable_discovery_is_called_once_a_period() {
     let mut heartbeat = Heartbeat::new(
@@ -359,7 +370,7 @@
         calls
             .windows(2)
             .skip(3)
-            .all(|pair| pair[1] - pair[0] < TERM_S - 1.0),
+            .all(|pair| pair[1] - pair[0] < NOTIFICATION_LIMIT_S - 1.0),
         "{calls:?}"
     );
     heartbeat.answered(now);
@@ -367,9 +378,9 @@
     assert_eq!(heartbeat.check_timeout_s(), CHECK_TIMEOUT_S);
 }
 
-/// Only fleets whose checks take most of discovery's capacity postpone their watches, and only if checks can be relied on.
+/// A fleet postpones its watches only if its checks use most of discovery's capacity and can be relied on.
 #[test]
-fn a_watch_is_postponed_only_where_checks_leave_no_capacity() {
+fn a_watch_is_postponed_only_if_checks_leave_no_capacity() {
     let delay_s = |mixers, is_pushed, answered| {
         let mut heartbeat = Heartbeat::new(Fleet { mixers, is_pushed }, 0.0, 0.5);
         if answered {
@@ -390,8 +401,8 @@
         .all(|mixers| (20.0..=MAX_REOPEN_S).contains(&delay_s(*mixers, false, true))));
 }
 
-/// A watch that no check covers times out early enough for another call, as far as discovery can answer it; one that is
-/// checked is renewed within a period, whatever the fleet.
+/// A watch without checks times out early enough for another call. A watch with checks is renewed within a period, regardless of the
+/// size of the fleet.
 #[rstest::rstest]
 #[case(2)]
 #[case(30)]
@@ -422,7 +433,10 @@
         for _ in 0..MAX_TRUSTED_FAILURES {
             heartbeat.failed(2.0);
         }
-        assert!(is_short(&heartbeat), "checks are not relied on any more");
+        assert!(
+            is_short(&heartbeat),
+            "checks must not be relied on after repeated failures"
+        );
     }
     let heartbeat = Heartbeat::new(
         Fleet {
--- a/src/endpoints/lease/tests.rs
+++ b/src/endpoints/lease/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of lease.rs.
+//! Unit tests of lease.rs.
 
 use super::*;
 use crate::endpoints::watch_schedule::WatchSchedule;
@@ -11,7 +11,7 @@
     ListLease::new(true, GRACE_S, STARTED_AT)
 }
 
-/// A call that was made at `made_at` confirms the list as it was at `at`.
+/// Records that a call made at `made_at` confirmed the list as of `at`.
 fn confirm_by_call(lease: &mut ListLease, made_at: f64, at: f64) {
     let outcome = CallOutcome::Confirmed {
         made_at,
@@ -20,12 +20,12 @@
     assert_eq!(lease.call_ended(outcome, at), NextCall::AsScheduled);
 }
 
-/// An answer confirms the list at that time.
+/// Records that an answer confirmed the list at `at`.
 fn confirm(lease: &mut ListLease, at: f64) {
     confirm_by_call(lease, at, at);
 }
 
-/// A call fails whose answer, if any, is not before its end.
+/// Records a failed call whose answer, if any, was not written before the end of the call.
 fn fail_with(lease: &mut ListLease, end: CallEnd, began_at: f64, now: f64) -> NextCall {
     let outcome = CallOutcome::Failed {
         began_at,
@@ -35,7 +35,7 @@
     lease.call_ended(outcome, now)
 }
 
-/// A call fails to which discovery wrote no answer.
+/// Records a failed call to which discovery wrote no list.
 fn fail(lease: &mut ListLease, began_at: f64, now: f64) {
     let next = fail_with(lease, CallEnd::Refused, began_at, now);
     assert_eq!(next, NextCall::AsScheduled);
@@ -48,20 +48,20 @@
 }
 
 #[test]
-fn a_list_from_before_the_start_is_not_acted_on_until_it_is_confirmed() {
+fn a_list_from_before_the_start_is_not_used_until_it_is_confirmed() {
     let mut lease = lease();
     assert!(!lease.is_in_force(STARTED_AT) && !lease.is_in_force(STARTED_AT + 60.0));
     confirm(&mut lease, STARTED_AT + 1.0);
     assert!(lease.is_in_force(STARTED_AT + 1.0) && lease.is_in_force(STARTED_AT + 6.9));
     assert!(
         !lease.is_in_force(STARTED_AT + 7.0),
-        "what was missed counts as notified"
+        "missed changes count as notified"
     );
 }
 
-/// One or two calls that fail by chance do not show that discovery is down; nor do many that fail at once.
+/// Neither one or two failed calls nor many failures within a short time show that discovery is down.
 #[test]
-fn a_list_from_before_the_start_is_acted_on_while_discovery_is_unreachable() {
+fn a_list_from_before_the_start_is_used_while_discovery_is_unreachable() {
     let mut lease = lease();
     for index in 0..20 {
         let at = STARTED_AT + 0.01 * f64::from(index);
@@ -71,19 +71,22 @@
     let mut lease = self::lease();
     fail(&mut lease, STARTED_AT + 2.0, STARTED_AT + 2.0);
     fail(&mut lease, STARTED_AT + 3.0, STARTED_AT + 3.1);
-    assert!(!lease.is_in_force(STARTED_AT + 4.0), "two quick failures");
+    assert!(
+        !lease.is_in_force(STARTED_AT + 4.0),
+        "two quick failures are not enough"
+    );
     fail(&mut lease, STARTED_AT + 4.0, STARTED_AT + 4.0);
     assert!(lease.is_in_force(STARTED_AT + 4.0));
     assert!(
         !lease.is_in_force(STARTED_AT + 10.1),
-        "and no call was made since"
+        "the lease expires, because no call was made since"
     );
 }
 
-/// Calls whose answers may have been lost do not show that discovery is down: the list from before the start is not used
-/// for a grace either.
+/// Calls whose answers may have been lost do not show that discovery is down. A list from before the start is not used then, not
+/// even for the drain grace.
 #[test]
-fn a_list_from_before_the_start_is_not_acted_on_while_an_answer_is_missing() {
+fn a_list_from_before_the_start_is_not_used_while_an_answer_may_be_missing() {
     let mut lease = lease();
     for index in 0..20 {
         let at = STARTED_AT + 0.1 * f64::from(index);
@@ -93,11 +96,11 @@
     }
     assert!(
         lease.is_in_force(STARTED_AT + 4.0),
-        "discovery was never up"
+        "discovery never answered and is presumed down"
     );
 }
 
-/// A call that was not answered for long shows more than one that was reset.
+/// A call that fails after a long time is stronger evidence of an outage than a call that is reset.
 #[test]
 fn a_slow_failed_call_counts_as_several() {
     let mut lease = lease();
@@ -105,10 +108,10 @@
     assert!(!lease.is_in_force(STARTED_AT + 1.4) && lease.is_in_force(STARTED_AT + 1.5));
 }
 
-/// The first call has been in flight for long without an answer: it need not fail first. Once there was an answer, a call in
-/// flight shows nothing.
+/// A first call that stays unanswered counts as failed while it is still in flight. After the first answer, calls in flight do not
+/// count.
 #[test]
-fn a_first_call_without_an_answer_counts_as_failed_after_a_while() {
+fn an_unanswered_first_call_counts_as_failed_after_a_time() {
     let mut lease = lease();
     lease.call_made(STARTED_AT + 1.0);
     assert!(!lease.is_in_force(STARTED_AT + 2.1) && lease.is_in_force(STARTED_AT + 2.2));
@@ -118,9 +121,9 @@
     assert!(!lease.is_in_force(STARTED_AT + 9.5));
 }
 
-/// The first calls of a fleet that starts together, and its retries, are made when their jitter has them.
+/// The lease does not require calls before the first calls and retries, which jitter spreads over a fleet.
 #[test]
-fn the_lease_requires_no_call_before_the_spread_ones() {
+fn the_lease_requires_no_call_before_the_spread_calls() {
     let mut lease = lease();
     assert!(
         !lease.needs_call(STARTED_AT + 1.0),
@@ -133,9 +136,9 @@
     assert!(!lease.needs_call(STARTED_AT + 5.9) && lease.needs_call(STARTED_AT + 6.0));
 }
 
-/// A process that was stopped has made no call and received nothing.
+/// A paused process makes no calls and receives nothing, so its lease must expire.
 #[test]
-fn the_lease_ends_where_no_call_is_made() {
+fn the_lease_expires_if_no_call_is_made() {
     let mut lease = lease();
     confirm(&mut lease, STARTED_AT);
     fail(&mut lease, STARTED_AT + 4.0, STARTED_AT + 4.0);
@@ -144,7 +147,7 @@
     assert!(lease.is_in_force(STARTED_AT + 12.0));
 }
 
-/// An answer that was read late says only what was true when it was written.
+/// An answer that was read late confirms the list only as of the time at which it was written.
 #[test]
 fn an_older_confirmation_does_not_shorten_the_lease() {
     let mut lease = lease();
@@ -153,28 +156,31 @@
     assert_eq!(lease.expires_at(STARTED_AT + 5.0), STARTED_AT + 11.0);
 }
 
-/// A discovery that is configured while the mixer runs: the operators' list was true until then, and what the new discovery
-/// has counts as notified 4 s later.
+/// If discovery is configured while the mixer runs, the operators' list was correct until then, and the list of the new discovery
+/// counts as notified 4 s later.
 #[test]
-fn another_discovery_has_to_send_its_list_within_four_seconds() {
+fn a_new_discovery_has_to_send_its_list_within_four_seconds() {
     let mut lease = ListLease::new(false, GRACE_S, STARTED_AT);
     lease.discovery_changed(STARTED_AT + 50.0);
     assert!(lease.is_in_force(STARTED_AT + 53.9) && !lease.is_in_force(STARTED_AT + 54.1));
     fail(&mut lease, STARTED_AT + 52.0, STARTED_AT + 52.0);
-    assert!(lease.is_in_force(STARTED_AT + 57.9), "it is unreachable");
+    assert!(
+        lease.is_in_force(STARTED_AT + 57.9),
+        "discovery is unreachable"
+    );
     confirm(&mut lease, STARTED_AT + 60.0);
     lease.discovery_changed(STARTED_AT + 60.1);
     assert!(lease.is_in_force(STARTED_AT + 64.0) && !lease.is_in_force(STARTED_AT + 64.2));
     lease.discovery_changed(STARTED_AT + 100.0);
     assert!(
         !lease.is_in_force(STARTED_AT + 100.0),
-        "another discovery renews nothing"
+        "a switch to another discovery does not renew the lease"
     );
 }
 
-/// What a long watch misses counts as notified only after its wait: the list stays in use until then.
+/// Changes that a long watch misses count as notified only after its wait, so the list stays in use until then.
 #[test]
-fn a_long_watch_extends_the_lease_until_its_wait_is_over() {
+fn a_long_watch_extends_the_lease_until_the_end_of_its_wait() {
     let mut lease = lease();
     lease.watch_opened(STARTED_AT + 60.0);
     assert!(!lease.is_in_force(STARTED_AT), "a watch confirms nothing");
@@ -184,16 +190,19 @@
     lease.watch_opened(STARTED_AT + 3.0);
     assert!(
         lease.is_in_force(STARTED_AT + 5.9),
-        "a short one shortens nothing"
+        "a short watch does not shorten the lease"
     );
 }
 
-/// While a list is too long to be read no call is made, and the last one stays in use, as the log says.
+/// While discovery's list exceeds the size limit, no call is made, and the last list stays in use.
 #[test]
 fn a_list_that_cannot_be_read_suspends_calls_and_extends_the_lease() {
     let mut lease = lease();
     lease.suspend_calls(STARTED_AT + 60.0);
-    assert!(!lease.is_in_force(STARTED_AT), "it was never confirmed");
+    assert!(
+        !lease.is_in_force(STARTED_AT),
+        "the list was never confirmed"
+    );
     confirm(&mut lease, STARTED_AT);
     lease.suspend_calls(STARTED_AT + 60.0);
     assert!(lease.is_in_force(STARTED_AT + 65.0) && !lease.is_in_force(STARTED_AT + 66.0));
@@ -212,19 +221,22 @@
     assert!(lease.needs_call(STARTED_AT + 60.0));
     fail(&mut lease, STARTED_AT + 60.0, STARTED_AT + 60.0);
     lease.request_received(STARTED_AT + 60.5);
-    assert!(!lease.needs_call(STARTED_AT + 60.5), "the lease runs on");
+    assert!(
+        !lease.needs_call(STARTED_AT + 60.5),
+        "the failed call extended the lease"
+    );
 }
 
-/// What an outage of discovery did to a mixer.
+/// Effect of a discovery outage on a mixer.
 struct OutageResult {
-    /// How long the lease was not in force.
+    /// Time for which the lease was not in force.
     lapsed_s: f64,
-    /// How long after the end of the outage the list was received.
+    /// Time from the end of the outage to the call that was answered.
     notified_after_s: f64,
 }
 
-/// A mixer's calls in an outage of discovery.
-fn play_outage(outage_s: f64, call_takes_s: f64, seed: u64) -> OutageResult {
+/// Simulates the calls of a mixer during and after a discovery outage.
+fn simulate_outage(outage_s: f64, call_takes_s: f64, seed: u64) -> OutageResult {
     let mut rng = Rand64::new(u128::from(seed));
     let mut lease = lease();
     let mut schedule = WatchSchedule::new(300, 10.0, STARTED_AT);
@@ -258,13 +270,14 @@
             None => {}
         }
     }
-    panic!("never notified");
+    panic!("the mixer was never notified");
 }
 
-/// Outages of every length: a mixer with requests goes on serving, and calls within the term in which a change counts as
-/// notified once discovery can be reached. Without calls for the lease, 300 mixers called up to 20 s late after 25 s.
+/// In outages of any length, a mixer with requests continues to serve, and calls before a change counts as notified once discovery
+/// is reachable again. Without the calls that the lease requires, the calls of 300 mixers were up to 20 s late after an outage of
+/// 25 s.
 #[rstest::rstest]
-fn an_outage_of_any_length_neither_ends_the_lease_nor_delays_changes(
+fn an_outage_of_any_length_neither_expires_the_lease_nor_delays_changes(
     #[values(3.0, 25.0, 60.0, 300.0)] outage_s: f64,
     #[values(0.01, 1.4, 2.0)] call_takes_s: f64,
 ) {
@@ -272,27 +285,27 @@
         let OutageResult {
             lapsed_s,
             notified_after_s,
-        } = play_outage(outage_s, call_takes_s, seed);
+        } = simulate_outage(outage_s, call_takes_s, seed);
         assert!(
             lapsed_s < 0.005,
             "seed {seed}: not in force for {lapsed_s} s"
         );
         assert!(
             notified_after_s < 6.0,
-            "seed {seed}: notified {notified_after_s} s after its return"
+            "seed {seed}: notified {notified_after_s} s after the outage"
         );
     }
 }
 
-/// A successor process knows what its predecessor knew, and no more: what discovery notifies to that one from then on counts
-/// for both. So the list may be acted on for the grace, or until the successor's own call is answered (before incident 2: for
-/// the rest of the lease). Where discovery was unreachable, nothing is notified to either.
+/// A successor process inherits the predecessor's lease. Changes of which discovery notifies the predecessor after the handover
+/// count as notified to both, so the successor may use the list for the drain grace, or longer once its own call is answered
+/// (before incident 2, it was used for the rest of the lease). If discovery is unreachable, it notifies neither process.
 #[test]
 fn a_successor_inherits_the_lease() {
     let mut before = lease();
     confirm(&mut before, STARTED_AT + 100.0);
     let handed = before.hand_over(STARTED_AT + 104.0);
-    let mut after = ListLease::new(true, GRACE_S, 5.0); // by another clock
+    let mut after = ListLease::new(true, GRACE_S, 5.0); // on another clock
     after.inherit(5.0, handed);
     assert!(after.is_in_force(5.2) && !after.is_in_force(5.31));
     assert!(after.is_answer_missing(5.0));
@@ -301,19 +314,19 @@
     let mut own = ListLease::new(true, GRACE_S, 5.0);
     confirm(&mut own, 5.1);
     own.inherit(5.2, handed);
-    assert!(own.is_in_force(11.0), "its own answer is newer");
-    let mut away = lease();
-    fail(&mut away, STARTED_AT + 4.0, STARTED_AT + 6.0);
-    fail(&mut away, STARTED_AT + 6.0, STARTED_AT + 6.5);
+    assert!(own.is_in_force(11.0), "the successor's own answer is newer");
+    let mut unreachable = lease();
+    fail(&mut unreachable, STARTED_AT + 4.0, STARTED_AT + 6.0);
+    fail(&mut unreachable, STARTED_AT + 6.0, STARTED_AT + 6.5);
     let mut after = ListLease::new(true, GRACE_S, 5.0);
-    after.inherit(5.0, away.hand_over(STARTED_AT + 7.0));
+    after.inherit(5.0, unreachable.hand_over(STARTED_AT + 7.0));
     assert!(
         after.is_in_force(5.0) && !after.is_in_force(10.1),
         "discovery was unreachable 1 s ago"
     );
 }
 
-/// An answer that the predecessor missed is missing for its successor too.
+/// An answer that the predecessor did not receive is missing for the successor too.
 #[test]
 fn a_successor_inherits_a_missing_answer() {
     let mut before = lease();
@@ -332,10 +345,10 @@
     assert!(after.is_in_force(5.5));
 }
 
-/// A call that is not answered in time stays open: at the start the list is held back from its beginning on, not from the
-/// beginning of the call beside it.
+/// A call that times out stays open while another call is made in parallel. The time after which the list from before the start
+/// may be used runs from the first open call, not from the second.
 #[test]
-fn a_list_from_before_the_start_is_held_back_from_the_first_open_call_on() {
+fn the_wait_before_an_unconfirmed_list_is_used_runs_from_the_first_open_call() {
     let mut lease = lease();
     lease.call_made(STARTED_AT + 0.1);
     let next = fail_with(
--- a/src/endpoints/watch_schedule/tests.rs
+++ b/src/endpoints/watch_schedule/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of watch_schedule.rs that use its private items.
+//! Unit tests of watch_schedule.rs.
 
 use super::*;
 use crate::endpoints::directory::ConnectionKey;
@@ -7,7 +7,7 @@
 use slotmap::SlotMap;
 use std::collections::VecDeque;
 
-/// The schedules of a fleet whose mixers all start now, each with a list from before.
+/// Returns the schedules of a fleet whose mixers all start now, each with a cached list.
 fn start_fleet(mixers: u32, rng: &mut Rand64) -> Vec<WatchSchedule> {
     let start = |_| {
         let mut schedule = WatchSchedule::new(mixers, 10.0, 0.0);
@@ -17,15 +17,20 @@
     (0..mixers).map(start).collect()
 }
 
-/// A discovery that answers calls in turn, each for `turn_s`, and fails those that waited for 2 s, which costs it next to nothing.
-/// One that is down fails calls after as long. Gives when each mixer was notified, and how many calls were made in all.
-fn play(mixers: u32, turn_s: f64, down_until: f64, length_s: f64) -> (Vec<Option<f64>>, usize) {
+/// Simulates a fleet and a discovery that answers calls one after the other in `service_s` each. Calls that waited for 2 s time
+/// out and cost discovery nothing. Calls that are made while discovery is down time out after 2 s too. Returns the time at which each mixer was notified, and the number of calls.
+fn simulate(
+    mixers: u32,
+    service_s: f64,
+    down_until: f64,
+    length_s: f64,
+) -> (Vec<Option<f64>>, usize) {
     let mut rng = Rand64::new(5);
     let mut all = start_fleet(mixers, &mut rng);
     let mut notified = vec![None; mixers as usize];
     let mut free_at = 0.0f64;
     let mut calls = 0;
-    let mut fails: Vec<(f64, usize)> = Vec::new();
+    let mut timeouts: Vec<(f64, usize)> = Vec::new();
     let mut queue: VecDeque<(f64, usize)> = VecDeque::new();
     for step in 0..(length_s * 100.0) as u32 {
         let now = f64::from(step) / 100.0;
@@ -39,19 +44,21 @@
             if begun - since > 2.0 {
                 free_at = begun;
             } else {
-                free_at = begun + turn_s;
+                free_at = begun + service_s;
                 notified[index] = Some(free_at);
-                fails.retain(|(_, other)| *other != index);
+                timeouts.retain(|(_, other)| *other != index);
             }
         }
-        let (over, left): (Vec<_>, Vec<_>) = fails.into_iter().partition(|(at, _)| *at <= now);
-        fails = left;
-        over.into_iter()
+        let (expired, pending): (Vec<_>, Vec<_>) =
+            timeouts.into_iter().partition(|(at, _)| *at <= now);
+        timeouts = pending;
+        expired
+            .into_iter()
             .for_each(|(_, index)| all[index].call_failed(now, rng.rand_float()));
         for (index, schedule) in all.iter_mut().enumerate() {
             if schedule.take_due(now) {
                 calls += 1;
-                fails.push((now + 2.0, index));
+                timeouts.push((now + 2.0, index));
                 if now >= down_until {
                     queue.push_back((now, index));
                 }
@@ -61,9 +68,14 @@
     (notified, calls)
 }
 
-/// A discovery that answers calls in turn, each for `turn_s`, however long they waited and whether or not the mixer has closed
-/// them meanwhile. Mixers leave overdue calls open. Gives when each mixer was notified, and how many calls were made in all.
-fn play_with_open_calls(mixers: u32, turn_s: f64, length_s: f64) -> (Vec<Option<f64>>, usize) {
+/// Simulates a fleet and a discovery that answers calls one after the other in `service_s` each, regardless of how long they
+/// waited and whether the mixer has closed them. Mixers leave overdue calls open. Returns the time at which each mixer was
+/// notified, and the number of calls.
+fn simulate_with_open_calls(
+    mixers: u32,
+    service_s: f64,
+    length_s: f64,
+) -> (Vec<Option<f64>>, usize) {
     let mut rng = Rand64::new(5);
     let mut all = start_fleet(mixers, &mut rng);
     let mut overdue_calls: Vec<OverdueCalls> =
@@ -82,7 +94,7 @@
             .filter(|(since, _)| free_at.max(*since) <= now)
         {
             queue.pop_front();
-            free_at = free_at.max(since) + turn_s;
+            free_at = free_at.max(since) + service_s;
             if let Some(index) = open.remove(key) {
                 notified[index].get_or_insert(free_at);
             }
@@ -113,10 +125,10 @@
     (notified, calls)
 }
 
-/// Found on a release in a fleet of 100: 63 mixers called in step for 13 s, and all their calls failed.
+/// Observed during a release in a fleet of 100 mixers: 63 mixers called at the same times for 13 s, and all their calls failed.
 #[test]
-fn a_fleet_that_starts_at_once_is_notified_soon() {
-    let (notified, calls) = play(100, 0.055, 0.0, 30.0);
+fn a_fleet_that_starts_together_is_notified_soon() {
+    let (notified, calls) = simulate(100, 0.055, 0.0, 30.0);
     assert!(
         notified.iter().all(|at| at.is_some_and(|at| at < 9.0)),
         "{notified:?}"
@@ -124,11 +136,11 @@
     assert!(calls < 150, "{calls} calls");
 }
 
-/// Discovery can answer a third of the calls that the fleet makes in its first turn: the fleet backs off, and all mixers are
-/// notified in little more time than discovery needs for that.
+/// Discovery can answer a third of the fleet's first calls before they time out. The fleet backs off, and all mixers are notified
+/// in little more time than discovery needs to answer each of them once.
 #[test]
 fn a_fleet_backs_off_from_an_overloaded_discovery() {
-    let (notified, calls) = play(100, 0.15, 0.0, 100.0);
+    let (notified, calls) = simulate(100, 0.15, 0.0, 100.0);
     assert!(
         notified.iter().all(|at| at.is_some_and(|at| at < 30.0)),
         "{notified:?}"
@@ -136,10 +148,10 @@
     assert!(calls < 500, "{calls} calls");
 }
 
-/// The same where calls that their mixers have closed take their turns all the same, and no call fails by itself.
+/// As above, but discovery also spends time on calls that the mixers have closed, and fails no calls.
 #[test]
-fn a_discovery_whose_given_up_calls_cost_turns_tells_all_in_the_end() {
-    let (notified, calls) = play_with_open_calls(100, 0.15, 100.0);
+fn all_mixers_are_notified_although_discovery_spends_time_on_closed_calls() {
+    let (notified, calls) = simulate_with_open_calls(100, 0.15, 100.0);
     assert!(
         notified.iter().all(|at| at.is_some_and(|at| at < 30.0)),
         "{notified:?}"
@@ -147,18 +159,18 @@
     assert!(calls < 500, "{calls} calls");
 }
 
-/// A change counts as notified 6 s after discovery could be reached: 300 mixers receive it by then, because discovery answers
-/// as many calls for changes; after a long outage as after a short one.
+/// A change counts as notified 6 s after discovery is reachable. All mixers receive the change within this time, after long
+/// outages as well as after short ones.
 #[rstest::rstest]
 #[case::few(3, 0.05)]
 #[case::thirty(30, 0.02)]
 #[case::many(300, 0.004)]
 fn a_fleet_is_notified_within_six_seconds_of_the_end_of_an_outage(
     #[case] mixers: u32,
-    #[case] turn_s: f64,
+    #[case] service_s: f64,
 ) {
     for down_s in [1.0, 7.0, 20.0] {
-        let (notified, _) = play(mixers, turn_s, down_s, 60.0);
+        let (notified, _) = simulate(mixers, service_s, down_s, 60.0);
         assert!(
             notified
                 .iter()
@@ -168,7 +180,7 @@
     }
 }
 
-/// Where each call that timed out takes its turn all the same, a fleet that overloads discovery calls ever less often.
+/// A large fleet calls at growing intervals if discovery answers none of its calls.
 #[test]
 fn calls_to_a_discovery_that_answers_none_back_off() {
     let mut schedule = WatchSchedule::new(300, 10.0, 0.0);
@@ -187,18 +199,22 @@
     assert!(within(100.0, 200.0) <= 8, "{calls:?}");
 }
 
-/// Without any list nothing can be served: the first call is made at once.
+/// Without a list no request can be served, so the first call is made immediately.
 #[test]
 fn a_mixer_without_a_list_calls_at_once() {
     let mut schedule = WatchSchedule::new(100, 10.0, 7.0);
     assert!(schedule.take_due(7.0) && !schedule.take_due(7.0));
     schedule.list_received(8.0, 0.9);
-    assert!(!schedule.take_due(60.0), "the watch goes on by itself");
+    assert!(
+        !schedule.take_due(60.0),
+        "no call is due while a watch is open"
+    );
 }
 
-/// What a mixer would have been notified of counts against it: it calls within the limit, four times that after a failure.
+/// Missed changes count as notified, so delays are bounded: the first call is made within half the maximum age of a list, and the
+/// call after a failure within four times the maximum age.
 #[test]
-fn no_delay_is_beyond_the_limits() {
+fn delays_are_bounded_by_the_maximum_age_of_a_list() {
     let mut schedule = WatchSchedule::new(5000, 10.0, 0.0);
     schedule.list_received(0.0, 1.0);
     assert!(schedule.take_due(5.0));
@@ -209,15 +225,15 @@
     }
 }
 
-/// A call is overdue the later, the longer discovery takes for the fleet and the more calls are open already; only a fleet
-/// that calls more often than by the schedule does not wait for that.
+/// The time after which a call is overdue grows with the fleet and with the number of open calls. A fleet that is small enough to
+/// call more often than the schedule retries after a time that does not depend on the open calls.
 #[rstest::rstest]
 #[case::few(3, 0, 0.3, Some(0.3))]
 #[case::few_with_two_open(3, 2, 1.2, Some(0.3))]
 #[case::some(12, 0, 1.2, Some(1.2))]
 #[case::some_with_one_open(12, 1, OPEN_TIMEOUT_S, Some(1.2))]
 #[case::many(32, 0, OPEN_TIMEOUT_S, None)]
-fn a_call_is_overdue_by_the_size_of_the_fleet_and_the_calls_open(
+fn the_time_until_a_call_is_overdue_depends_on_the_fleet_and_the_open_calls(
     #[case] mixers: u32,
     #[case] overdue_calls: usize,
     #[case] expected_s: f64,
