--- a/src/endpoints/directory.rs
+++ b/src/endpoints/directory.rs
@@ -76,7 +76,7 @@
     /// Returns whether the replica was removed from the list or is listed in an unknown phase.
     pub fn is_removed(&self) -> bool {
         self.listed
-            .is_none_or(|entry| entry.lifecycle == Lifecycle::Gone)
+            .is_none_or(|entry| entry.lifecycle == Lifecycle::Removed)
     }
 
     /// Updates the address and the protocol from a list entry. Values that the entry does not contain are kept.
@@ -167,7 +167,7 @@
     fn entry_json(&self, endpoint: &Endpoint) -> Option<EntryJson> {
         let entry = endpoint
             .listed
-            .filter(|entry| entry.lifecycle != Lifecycle::Gone)?;
+            .filter(|entry| entry.lifecycle != Lifecycle::Removed)?;
         Some(EntryJson {
             name: endpoint.name.clone(),
             address: endpoint.address.map(|address| address.to_string()),
@@ -176,7 +176,7 @@
             phase: list_format::phase_name(entry.lifecycle).into(),
             started_at_ms: entry.started_at * 1000.0,
             wire_format: list_format::wire_format_name(endpoint.wire_format).into(),
-            pre_check: entry.pre_check,
+            pre_check: entry.supports_pre_check,
         })
     }
 
@@ -289,7 +289,7 @@
             cell: parsed.cell,
             lifecycle: parsed.lifecycle,
             started_at: parsed.started_at,
-            pre_check: parsed.pre_check,
+            supports_pre_check: parsed.pre_check,
         });
         self.update_readiness(id)
     }
--- a/src/net/discovery/connection.rs
+++ b/src/net/discovery/connection.rs
@@ -1,7 +1,7 @@
 //! A connection to discovery: writes one call at a time, reads its answer, and classifies how the call ended.
 
 use crate::endpoints::missing_answers::{CallEnd, PROMPT_S};
-use crate::net::http::{HttpError, Message, Reader};
+use crate::net::http::{HttpError, Message, MessageReader};
 use crate::net::socket::{is_connected, write_available};
 use mio::net::TcpStream;
 use std::io::{self, Read};
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Call {
     /// Request for the complete list, answered at once.
-    WholeList,
+    CompleteList,
     /// Request for the changes since a revision, answered at once.
     Changes {
         /// Revision since which changes are requested.
@@ -44,7 +44,7 @@
     /// Returns the bytes of the HTTP request.
     pub fn request_bytes(self, host: &str) -> Vec<u8> {
         let query = match self {
-            Call::WholeList => String::new(),
+            Call::CompleteList => String::new(),
             Call::Changes { since } => format!("?index={since}&wait=0"),
             Call::Watch { since, wait_s } => {
                 format!("?index={since}&wait={}", (wait_s * 1000.0) as u64)
@@ -91,7 +91,7 @@
     unsent: Vec<u8>,
     /// Bytes that were received and not parsed yet.
     unread: Vec<u8>,
-    reader: Reader,
+    reader: MessageReader,
     pub(super) is_connected: bool,
     pub(super) open_call: Option<OpenCall>,
     /// Time since which the call's answer has been arriving.
@@ -155,7 +155,7 @@
             role,
             unsent: Vec::new(),
             unread: Vec::new(),
-            reader: Reader::responses(max_list_bytes),
+            reader: MessageReader::responses(max_list_bytes),
             is_connected: false,
             open_call: None,
             answer_began_at: None,
@@ -192,7 +192,7 @@
 
     /// Returns the time since which an incomplete answer that may be a list has been arriving.
     pub(super) fn answer_arriving_since(&self) -> Option<f64> {
-        let status = self.reader.begun_status(&self.unread);
+        let status = self.reader.pending_status(&self.unread);
         self.answer_began_at
             .filter(|_| status.is_none_or(|status| status == STATUS_OK))
     }
@@ -204,7 +204,7 @@
         }
         match reason {
             DiscoveryError::Status(_) => CallEnd::Refused,
-            // The mixer keeps using the last list, as the log says, because no call can deliver this one.
+            // No call can deliver a list above the limit, so no answer counts as missing and the last list stays in use.
             DiscoveryError::ListTooLarge { .. } => CallEnd::Refused,
             _ if self.has_unusable_answer => CallEnd::Refused,
             _ if self.answer_arriving_since().is_some() => CallEnd::CutOff,
--- a/src/net/discovery/list.rs
+++ b/src/net/discovery/list.rs
@@ -1,7 +1,7 @@
 //! Limits on an answer of discovery, and its decoding.
 
 use crate::net::discovery::connection::DiscoveryError;
-use crate::net::http::{Message, Start};
+use crate::net::http::{Message, StartLine};
 use miniserde::json::Value;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -20,15 +20,15 @@
 
 /// Returns whether discovery answered with status 200, so that the body may be a list.
 pub(super) fn is_ok(message: &Message) -> bool {
-    message.start == (Start::Response { status: 200 })
+    message.start == (StartLine::Response { status: 200 })
 }
 
 /// Returns the JSON body of an answer with status 200.
 pub(super) fn decode(message: &Message) -> Result<Value, DiscoveryError> {
     match message.start {
-        Start::Response { status: 200 } => {}
-        Start::Response { status } => return Err(DiscoveryError::Status(status)),
-        Start::Request { .. } => return Err(DiscoveryError::NoAnswer),
+        StartLine::Response { status: 200 } => {}
+        StartLine::Response { status } => return Err(DiscoveryError::Status(status)),
+        StartLine::Request { .. } => return Err(DiscoveryError::NoAnswer),
     }
     let text = std::str::from_utf8(&message.body).map_err(|_| DiscoveryError::NotUtf8)?;
     miniserde::json::from_str(text).map_err(|_| DiscoveryError::NotJson)
