--- a/src/config/configuration.rs
+++ b/src/config/configuration.rs
@@ -316,7 +316,7 @@
             .iter()
             .map(|text| address(text, "vrrp.peers"))
             .collect::<Result<_, _>>()?;
-        let router = vrrp::Setup {
+        let router = vrrp::RouterConfig {
             router: self.router,
             priority: self.priority,
             interval_cs: self.interval_cs,
--- a/src/config/options.rs
+++ b/src/config/options.rs
@@ -70,7 +70,7 @@
 /// Options of VRRP.
 pub struct VrrpSetup {
     /// Configuration of the virtual router.
-    pub router: vrrp::Setup,
+    pub router: vrrp::RouterConfig,
     /// Address at which advertisements are received and from which they are sent.
     pub listen: SocketAddr,
     /// Addresses of the other routers.
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -146,7 +146,7 @@
         let connect_timeout_s = permissions.connect_timeout_s.filter(|time| *time > 0.0);
         let connection_idle_s = permissions.connection_idle_s.filter(|time| *time > 0.0);
         Ok(Deployment {
-            phases: phases.setup(&categories, &policy.classes)?,
+            phases: phases.two_phase_settings(&categories, &policy.classes)?,
             policy,
             classes: categories.into_iter().map(CategoryJson::name).collect(),
             tenants: tenants.into_iter().map(TenantJson::name).collect(),
--- a/src/config/settings/classes.rs
+++ b/src/config/settings/classes.rs
@@ -67,11 +67,12 @@
             idempotency_window_s: self
                 .idempotency_window_s
                 .unwrap_or(base.idempotency_window_s),
-            complete_share: entry(&family.complete_from, index).unwrap_or(base.complete_share),
-            min_partial_share: entry(&family.floor_by_class, index)
+            complete_share: entry(&family.complete_shares, index).unwrap_or(base.complete_share),
+            min_partial_share: entry(&family.min_partial_shares, index)
                 .unwrap_or(base.min_partial_share),
             partial_weight: entry(&family.partial_weights, index).unwrap_or(base.partial_weight),
-            second_step_parts: entry(&family.second_steps, index).unwrap_or(base.second_step_parts),
+            second_step_parts: entry(&family.second_step_parts, index)
+                .unwrap_or(base.second_step_parts),
         }
     }
 }
--- a/src/config/settings/phases.rs
+++ b/src/config/settings/phases.rs
@@ -22,12 +22,12 @@
     #[serde(rename = "mostShare")]
     max_share: Option<f64>,
     #[serde(rename = "tryAgainEvery")]
-    retry_every: Option<f64>,
+    trial_interval_queries: Option<f64>,
 }
 
 impl PhasesJson {
     /// Returns the configuration of the pre-check phases.
-    pub(super) fn setup(
+    pub(super) fn two_phase_settings(
         &self,
         categories: &[CategoryJson],
         classes: &[ClassSettings],
@@ -35,7 +35,7 @@
         let base = TwoPhaseSettings::default();
         let indices = self.class_indices(categories, classes)?;
         check_range("phases.mostShare", self.max_share, SHARES)?;
-        let retry_every = self.retry_every;
+        let trial_interval_queries = self.trial_interval_queries;
         Ok(TwoPhaseSettings {
             classes: indices,
             max_share: self.max_share.unwrap_or(base.max_share),
@@ -47,15 +47,15 @@
             )?,
             trial_interval_queries: integer_or_default(
                 "phases.tryAgainEvery",
-                retry_every,
+                trial_interval_queries,
                 COUNTS,
                 base.trial_interval_queries,
             )?,
         })
     }
 
-    /// Returns the indices of the classes that have pre-check phases. A class that is unknown, listed twice or not idempotent is an
-    /// error.
+    /// Returns the indices of the classes that have pre-check phases. A class that is unknown, listed twice or not idempotent is
+    /// an error.
     fn class_indices(
         &self,
         categories: &[CategoryJson],
--- a/src/config/settings/sections.rs
+++ b/src/config/settings/sections.rs
@@ -20,7 +20,7 @@
 pub(super) struct TenantJson {
     name: Option<String>,
     #[serde(rename = "allowancePerS")]
-    allowance_per_s: Option<f64>,
+    quota_per_s: Option<f64>,
     share: Option<f64>,
 }
 
@@ -28,7 +28,7 @@
     pub(super) fn check(&self, index: usize) -> Result<(), SettingsError> {
         let key = |key: &str| format!("tenants[{index}].{key}");
         check_range(key("share"), self.share, 0.0..=MAX_COUNT)?;
-        check_range(key("allowancePerS"), self.allowance_per_s, 0.0..=f64::MAX)
+        check_range(key("allowancePerS"), self.quota_per_s, 0.0..=f64::MAX)
     }
 
     /// Returns the name, or an empty string if none is set.
@@ -39,7 +39,7 @@
     pub(super) fn tenant_settings(&self) -> TenantSettings {
         TenantSettings {
             share: self.share.unwrap_or(1.0),
-            quota_per_s: self.allowance_per_s.unwrap_or(f64::MAX),
+            quota_per_s: self.quota_per_s.unwrap_or(f64::MAX),
         }
     }
 }
@@ -54,17 +54,17 @@
     #[serde(rename = "inARow")]
     replication_factor: Option<u32>,
     #[serde(rename = "perCall")]
-    call_parts: Option<u32>,
+    max_call_parts: Option<u32>,
     #[serde(rename = "perCallWorkS")]
     call_work_s: Option<f64>,
     #[serde(rename = "classPartial")]
     pub(super) partial_weights: Option<Vec<f64>>,
     #[serde(rename = "completeFrom")]
-    pub(super) complete_from: Option<Vec<f64>>,
+    pub(super) complete_shares: Option<Vec<f64>>,
     #[serde(rename = "floorByClass")]
-    pub(super) floor_by_class: Option<Vec<f64>>,
+    pub(super) min_partial_shares: Option<Vec<f64>>,
     #[serde(rename = "followUp")]
-    pub(super) second_steps: Option<Vec<u32>>,
+    pub(super) second_step_parts: Option<Vec<u32>>,
 }
 
 impl FamilyJson {
@@ -79,16 +79,16 @@
             0.0..=MAX_TIME_S,
         )?;
         check_shares("classPartial", &self.partial_weights, 0.0)?;
-        check_shares("completeFrom", &self.complete_from, MIN_COMPLETE_SHARE)?;
-        check_shares("floorByClass", &self.floor_by_class, 0.0)
+        check_shares("completeFrom", &self.complete_shares, MIN_COMPLETE_SHARE)?;
+        check_shares("floorByClass", &self.min_partial_shares, 0.0)
     }
 
     /// Returns an error if a list of shares has fewer entries than there are classes.
     pub(super) fn check_class_lists(&self, classes: usize) -> Result<(), SettingsError> {
         let mut lists = [
             &self.partial_weights,
-            &self.complete_from,
-            &self.floor_by_class,
+            &self.complete_shares,
+            &self.min_partial_shares,
         ]
         .into_iter()
         .flatten();
@@ -104,7 +104,10 @@
         settings.replication_factor = replication_factor
             .unwrap_or(settings.replication_factor)
             .max(1);
-        settings.max_call_parts = self.call_parts.unwrap_or(settings.max_call_parts).max(1);
+        settings.max_call_parts = self
+            .max_call_parts
+            .unwrap_or(settings.max_call_parts)
+            .max(1);
         settings.call_work_s = self.call_work_s.unwrap_or(settings.call_work_s);
     }
 }
@@ -190,9 +193,9 @@
 #[derive(Default, Deserialize)]
 pub(super) struct RulesJson {
     #[serde(rename = "askWithinS")]
-    poll_within_s: Option<f64>,
+    max_poll_interval_s: Option<f64>,
     #[serde(rename = "coldFrom")]
-    slow_start_from: Option<f64>,
+    slow_start_min_capacity: Option<f64>,
     #[serde(rename = "coldS")]
     slow_start_s: Option<f64>,
     #[serde(rename = "drainGraceS")]
@@ -202,9 +205,9 @@
     #[serde(rename = "overloadForS")]
     overload_window_s: Option<f64>,
     #[serde(rename = "extraFloor")]
-    free_retries: Option<f64>,
+    min_retries: Option<f64>,
     #[serde(rename = "furtherRatio")]
-    retry_share: Option<f64>,
+    retries_per_accepted: Option<f64>,
     #[serde(rename = "ratioSpanS")]
     retry_window_s: Option<f64>,
 }
@@ -214,23 +217,30 @@
         let check = |key: &str, value: Option<f64>, min: f64, max: f64| {
             check_range(format!("rules.{key}"), value, min..=max)
         };
-        check("askWithinS", self.poll_within_s, MIN_TIME_S, MAX_TIME_S)?;
-        check("coldFrom", self.slow_start_from, 0.0, 1.0)?;
+        check(
+            "askWithinS",
+            self.max_poll_interval_s,
+            MIN_TIME_S,
+            MAX_TIME_S,
+        )?;
+        check("coldFrom", self.slow_start_min_capacity, 0.0, 1.0)?;
         check("coldS", self.slow_start_s, 0.0, MAX_TIME_S)?;
         check("drainGraceS", self.drain_grace_s, 0.0, MAX_TIME_S)?;
         check("fallMultiple", self.overload_multiple, 0.0, MAX_COUNT)?;
         check("overloadForS", self.overload_window_s, 0.0, MAX_TIME_S)?;
-        check("extraFloor", self.free_retries, 0.0, MAX_COUNT)?;
-        check("furtherRatio", self.retry_share, 0.0, MAX_COUNT)?;
+        check("extraFloor", self.min_retries, 0.0, MAX_COUNT)?;
+        check("furtherRatio", self.retries_per_accepted, 0.0, MAX_COUNT)?;
         check("ratioSpanS", self.retry_window_s, MIN_TIME_S, MAX_TIME_S)
     }
 
     pub(super) fn apply(&self, settings: &mut Settings) -> Result<(), SettingsError> {
         let or = |value: Option<f64>, default: f64| value.unwrap_or(default);
-        settings.max_poll_interval_s = or(self.poll_within_s, settings.max_poll_interval_s);
+        settings.max_poll_interval_s = or(self.max_poll_interval_s, settings.max_poll_interval_s);
         settings.drain_grace_s = or(self.drain_grace_s, settings.drain_grace_s);
-        settings.slow_start_min_capacity =
-            or(self.slow_start_from, settings.slow_start_min_capacity);
+        settings.slow_start_min_capacity = or(
+            self.slow_start_min_capacity,
+            settings.slow_start_min_capacity,
+        );
         settings.slow_start_s = or(self.slow_start_s, settings.slow_start_s);
         settings.overload_multiple = or(self.overload_multiple, settings.overload_multiple);
         settings.overload_window_s = or(self.overload_window_s, settings.overload_window_s);
@@ -240,13 +250,13 @@
 
     /// Returns the retry budget; `None` (unlimited retries) if neither `extraFloor` nor `furtherRatio` is set.
     fn retry_budget(&self) -> Result<Option<RetryBudget>, SettingsError> {
-        if self.free_retries.is_none() && self.retry_share.is_none() {
+        if self.min_retries.is_none() && self.retries_per_accepted.is_none() {
             return Ok(None);
         }
         let window_s = self.retry_window_s;
         Ok(Some(RetryBudget {
-            min_retries: self.free_retries.unwrap_or(0.0),
-            retries_per_accepted: self.retry_share.unwrap_or(0.0),
+            min_retries: self.min_retries.unwrap_or(0.0),
+            retries_per_accepted: self.retries_per_accepted.unwrap_or(0.0),
             window_s: window_s.ok_or(SettingsError::Missing(
                 "rules.ratioSpanS (required with extraFloor or furtherRatio)",
             ))?,
--- a/src/connections/idle/table.rs
+++ b/src/connections/idle/table.rs
@@ -257,8 +257,8 @@
             .filter(|first| *first != NO_SLOT)
     }
 
-    /// Returns the time at which an idle connection whose stage began in step `since` expires. One step is added, because the stage
-    /// may have begun at the end of the step.
+    /// Returns the time at which an idle connection whose stage began in step `since` expires. One step is added, because the
+    /// stage may have begun at the end of the step.
     fn expires_at(&self, since: u32) -> f64 {
         let settings = &self.capacity.settings;
         f64::from(since + 1) * settings.step_s + settings.idle_s
--- a/src/endpoints/heartbeat.rs
+++ b/src/endpoints/heartbeat.rs
@@ -18,7 +18,7 @@
 /// Timeout of a check (seconds): a check that has to wait is no evidence that the watch works.
 const CHECK_TIMEOUT_S: f64 = 0.3;
 /// Time from a check to its retry, regardless of how it failed (seconds). Single calls may fail although discovery is up.
-const RETRY_AFTER_S: f64 = 0.35;
+const RETRY_INTERVAL_S: f64 = 0.35;
 /// Maximum number of consecutive retries. After that, discovery counts as unreachable and is called once a period.
 const MAX_RETRIES: u32 = 2;
 /// Rate at which all mixers together may retry, in addition to their saved tokens (retries per second). Retries must not keep
@@ -50,9 +50,9 @@
 };
 /// Share of the wait that is subject to jitter, so that the mixers of a fleet do not renew their watches at the same time.
 const WAIT_JITTER: f64 = 0.2;
-/// Timeout of a watch with checks, beyond its wait (seconds).
+/// Time beyond its wait after which a watch with checks times out (seconds).
 const CHECKED_TIMEOUT_MARGIN_S: f64 = 2.0;
-/// Timeout of a watch without checks, beyond its wait (seconds).
+/// Time beyond its wait after which a watch without checks times out (seconds).
 const UNCHECKED_TIMEOUT_MARGIN_S: f64 = 0.75;
 
 /// Wait of a watch without checks (seconds).
@@ -191,7 +191,7 @@
             self.next_at = None;
             return self.start(now);
         }
-        let at = (self.checked_at + RETRY_AFTER_S).max(now);
+        let at = (self.checked_at + RETRY_INTERVAL_S).max(now);
         self.next_at = Some(at);
         at
     }
--- a/src/endpoints/heartbeat/tests.rs
+++ b/src/endpoints/heartbeat/tests.rs
@@ -187,7 +187,8 @@
     rng: Rand64,
     fleet: Vec<Mixer>,
     silent_at: f64,
-    /// Service time of a call that timed out, as a multiple of [`CALL_SERVICE_S`]. A renewed watch costs as much as any other call.
+    /// Service time of a call that timed out, as a multiple of [`CALL_SERVICE_S`]. A renewed watch costs as much as any other
+    /// call.
     timed_out_cost: f64,
     queue: VecDeque<QueuedCall>,
     /// Time at which discovery finishes the answer that it is writing.
@@ -401,8 +402,8 @@
         .all(|mixers| (20.0..=MAX_REOPEN_S).contains(&delay_s(*mixers, false, true))));
 }
 
-/// A watch without checks times out early enough for another call. A watch with checks is renewed within a period, regardless of the
-/// size of the fleet.
+/// A watch without checks times out early enough for another call. A watch with checks is renewed within a period, regardless of
+/// the size of the fleet.
 #[rstest::rstest]
 #[case(2)]
 #[case(30)]
--- a/src/endpoints/lease.rs
+++ b/src/endpoints/lease.rs
@@ -34,7 +34,7 @@
 const MIN_UNCONFIRMED_WAIT_S: f64 = 1.5;
 /// Minimum time after a failed call before the lease requires another one (seconds). The watch schedule, which spreads the
 /// retries of a fleet, retries a failed call within 1.4 s, so the lease leaves the retry to the schedule.
-const MIN_PAUSE_S: f64 = 1.5;
+const MIN_RETRY_INTERVAL_S: f64 = 1.5;
 /// Minimum interval between checks of a lease in force (seconds).
 const CHECK_INTERVAL_S: f64 = 1.0;
 /// Minimum interval between checks of a lease that is not in force yet (seconds).
@@ -84,7 +84,7 @@
     Failed {
         /// Time at which the call was made, or now if none was in flight.
         began_at: f64,
-        /// How the call ended, which determines whether an answer may have been written.
+        /// Way in which the call ended, which determines whether an answer may have been written.
         end: CallEnd,
         /// Earliest time at which an answer, if any, can have been written.
         answer_not_before: f64,
@@ -434,13 +434,13 @@
     /// Returns whether a call should be made now, if none is in flight, because a lease in use is about to expire or has expired.
     pub fn needs_call(&self, now: f64) -> bool {
         let is_in_use = now < self.last_request_at + IN_USE_S;
-        let is_spaced = now >= self.failed_at + MIN_PAUSE_S;
+        let is_retry_allowed = now >= self.failed_at + MIN_RETRY_INTERVAL_S;
         let expires_at = self.expires_at(now);
         // Before the first answer or failure, the watch schedule spreads the calls of a fleet that starts together.
         self.has_discovery
             && expires_at.is_finite()
             && is_in_use
-            && is_spaced
+            && is_retry_allowed
             && now + RENEW_BEFORE_S >= expires_at
     }
 }
--- a/src/endpoints/lease/tests.rs
+++ b/src/endpoints/lease/tests.rs
@@ -108,8 +108,8 @@
     assert!(!lease.is_in_force(STARTED_AT + 1.4) && lease.is_in_force(STARTED_AT + 1.5));
 }
 
-/// A first call that stays unanswered counts as failed while it is still in flight. After the first answer, calls in flight do not
-/// count.
+/// A first call that stays unanswered counts as failed while it is still in flight. After the first answer, calls in flight do
+/// not count.
 #[test]
 fn an_unanswered_first_call_counts_as_failed_after_a_time() {
     let mut lease = lease();
@@ -273,9 +273,9 @@
     panic!("the mixer was never notified");
 }
 
-/// In outages of any length, a mixer with requests continues to serve, and calls before a change counts as notified once discovery
-/// is reachable again. Without the calls that the lease requires, the calls of 300 mixers were up to 20 s late after an outage of
-/// 25 s.
+/// In outages of any length, a mixer with requests continues to serve, and calls before a change counts as notified once
+/// discovery is reachable again. Without the calls that the lease requires, the calls of 300 mixers were up to 20 s late after an
+/// outage of 25 s.
 #[rstest::rstest]
 fn an_outage_of_any_length_neither_expires_the_lease_nor_delays_changes(
     #[values(3.0, 25.0, 60.0, 300.0)] outage_s: f64,
--- a/src/endpoints/missing_answers.rs
+++ b/src/endpoints/missing_answers.rs
@@ -9,10 +9,10 @@
 
 use miniserde::{Deserialize, Serialize};
 
-/// Time after which discovery is presumed down if no call was answered and no other call ended without a byte in
-/// another way (seconds). A call that
-/// ended without a byte may have been answered, or discovery may have gone down. The presumption also drops an answer that was
-/// lost just before a long outage, because a mixer that starts during the outage has to be ready within 30 s.
+/// Time after which discovery is presumed down if no call was answered and no other call ended without a byte in another way
+/// (seconds). A call that ended without a byte may have been answered, or discovery may have gone down. The presumption also
+/// drops an answer that was lost just before a long outage, because a mixer that starts during the outage has to be ready within
+/// 30 s.
 const PRESUMED_DOWN_S: f64 = 25.0;
 /// Time after which discovery is presumed down by a process that discovery has never answered and whose calls were all reset or
 /// all closed, apart from those that were refused or timed out (seconds). Nine in ten processes that are restarted in such an
@@ -23,7 +23,7 @@
 const MIN_UNSENT_CALLS_WHEN_DOWN: u32 = 2;
 /// Delay of the first retries, to which a random share of the spread is added (seconds). Two retries and the time of an answer
 /// have to fit into the part of the drain grace that is used, 0.3 s of 0.5 s.
-const MIN_RETRY_S: f64 = 0.02;
+const MIN_RETRY_DELAY_S: f64 = 0.02;
 /// Minimum spread of the retries (seconds).
 const MIN_RETRY_SPREAD_S: f64 = 0.06;
 /// Time that discovery takes to answer one call (seconds). If all mixers of a fleet lose their answers together, their retries
@@ -34,7 +34,7 @@
 /// Maximum duration of a call that counts as prompt, which shows that discovery has no queue (seconds).
 pub const PROMPT_S: f64 = 0.05;
 /// Number of consecutive retries after which the delay doubles with each retry.
-const QUICK_RETRIES: u32 = 3;
+const RETRIES_BEFORE_BACKOFF: u32 = 3;
 /// Maximum of the doubled delay if the spread is shorter than this (seconds): a small fleet continues to retry within the drain
 /// grace.
 const MIN_RETRY_BOUND_S: f64 = 0.12;
@@ -53,8 +53,8 @@
     TimedOut,
     /// The connection was closed before a byte was received: an answer may have been written.
     Closed,
-    /// The connection was reset before a byte was received, as happens if discovery did not read the call. An answer may have been
-    /// written.
+    /// The connection was reset before a byte was received, as happens if discovery did not read the call. An answer may have
+    /// been written.
     Reset,
     /// A part of an answer was received, so an answer was written.
     CutOff,
@@ -133,7 +133,7 @@
     /// Records a call that ended now without a complete list; `answer_not_before` is the earliest time at which its answer, if
     /// any, can have been written.
     pub fn call_ended(&mut self, end: CallEnd, answer_not_before: f64, now: f64) {
-        self.forget_presumed_unwritten(now);
+        self.drop_presumed_unwritten(now);
         self.lost_count += u64::from(end.may_have_answer());
         if end == CallEnd::CutOff && self.last_end != Some(CallEnd::CutOff) {
             self.early_retries = 0; // discovery is up, whatever earlier calls suggested
@@ -204,7 +204,8 @@
             .is_some_and(|missing| !self.is_presumed_unwritten(&missing, now))
     }
 
-    /// Returns whether a call that ended in this way is retried before its scheduled time, because an answer is or may be missing.
+    /// Returns whether a call that ended in this way is retried before its scheduled time, because an answer is or may be
+    /// missing.
     pub fn needs_early_retry(&self, end: CallEnd, now: f64) -> bool {
         end.may_have_answer() || self.needs_call(now)
     }
@@ -215,14 +216,17 @@
         let fleet_service_s = f64::from(mixers) * CALL_SERVICE_S;
         let spread_s =
             (fleet_service_s - MAX_UNSPREAD_QUEUE_S).clamp(MIN_RETRY_SPREAD_S, MAX_RETRY_SPREAD_S);
-        let doublings = self.early_retries.saturating_sub(QUICK_RETRIES).min(16);
+        let doublings = self
+            .early_retries
+            .saturating_sub(RETRIES_BEFORE_BACKOFF)
+            .min(16);
         // A discovery that ends calls immediately has no queue, so the retries need no spreading.
         let first_spread_s = if was_prompt {
             MIN_RETRY_SPREAD_S
         } else {
             spread_s
         };
-        let first_s = MIN_RETRY_S + jitter * first_spread_s;
+        let first_s = MIN_RETRY_DELAY_S + jitter * first_spread_s;
         let bound_s = first_s.max(spread_s).max(MIN_RETRY_BOUND_S);
         (first_s * f64::from(doublings).exp2()).min(bound_s)
     }
@@ -281,7 +285,7 @@
     }
 
     /// Drops an uncertain answer once calls have ended in the same way for so long that discovery is presumed down.
-    fn forget_presumed_unwritten(&mut self, now: f64) {
+    fn drop_presumed_unwritten(&mut self, now: f64) {
         if self
             .missing
             .is_some_and(|missing| self.is_presumed_unwritten(&missing, now))
--- a/src/endpoints/watch_schedule.rs
+++ b/src/endpoints/watch_schedule.rs
@@ -20,8 +20,8 @@
 const REOPEN_SPREAD_PER_MIXER_S: f64 = 0.003;
 /// Bounds of the random delay after a failed call (seconds). A call may take 2 s to fail, and the next call 2 s to be answered;
 /// with the delay this is less than the 6 s within which a change has to be received once discovery is reachable.
-const MIN_RETRY_S: f64 = 0.2;
-const MAX_RETRY_S: f64 = 1.4;
+const MIN_RETRY_DELAY_S: f64 = 0.2;
+const MAX_RETRY_DELAY_S: f64 = 1.4;
 /// Number of consecutive failures (about 25 s) after which discovery is presumed to be overloaded by a large fleet. With every
 /// two further failures the additional delay doubles.
 const MAX_FAILURES_BEFORE_BACKOFF: u32 = 8;
@@ -36,7 +36,8 @@
 const REOPEN_TIMEOUT_S: f64 = 0.5;
 /// Number of failures up to which the short timeout applies.
 const MAX_QUICK_REOPENS: u32 = 2;
-/// Time after which a call of a small fleet is overdue (seconds): the answer to the next call then arrives within the drain grace.
+/// Time after which a call of a small fleet is overdue (seconds): the answer to the next call then arrives within the drain
+/// grace.
 const MIN_OVERDUE_S: f64 = 0.3;
 /// Time after which a call is overdue, for each mixer of the fleet (seconds). Discovery answers all mixers in less time, even if
 /// each gets the complete list.
@@ -54,8 +55,8 @@
 
 /// Returns the time after which a call that opens a watch is overdue and another call is made in parallel (seconds). `mixers` is
 /// the number of mixers that call the same discovery, `overdue_calls` the number of overdue calls that are already open.
-/// Discovery may have written an answer that was not received, and a change in it counts as notified. A small fleet therefore calls
-/// again soon, but less often the more calls are open.
+/// Discovery may have written an answer that was not received, and a change in it counts as notified. A small fleet therefore
+/// calls again soon, but less often the more calls are open.
 pub fn overdue_after_s(mixers: u32, overdue_calls: usize) -> f64 {
     let overdue_s = (f64::from(mixers) * OVERDUE_PER_MIXER_S).max(MIN_OVERDUE_S);
     (overdue_s * (overdue_calls as f64).exp2()).min(OPEN_TIMEOUT_S)
@@ -76,7 +77,7 @@
     fleet_service_s: f64,
     /// Maximum age of a list in the settings.
     max_list_age_s: f64,
-    /// Time over which the first calls after the end of all watches are spread.
+    /// Time over which a fleet's first calls after the end of their watches are spread.
     reopen_spread_s: f64,
     next_at: Option<f64>,
     has_called: bool,
@@ -97,7 +98,7 @@
             fleet_service_s: for_all_mixers_s(COMPLETE_LIST_SERVICE_S).min(max_list_age_s / 2.0),
             max_list_age_s,
             reopen_spread_s: (MIN_REOPEN_SPREAD_S + REOPEN_SPREAD_PER_MIXER_S * f64::from(mixers))
-                .min(MAX_RETRY_S),
+                .min(MAX_RETRY_DELAY_S),
             next_at: Some(now),
             has_called: false,
             failures: 0,
@@ -125,7 +126,7 @@
         self.failures += 1;
         let delay_s = match self.failures {
             1 => jitter * self.reopen_spread_s,
-            _ => MIN_RETRY_S + jitter * (MAX_RETRY_S - MIN_RETRY_S),
+            _ => MIN_RETRY_DELAY_S + jitter * (MAX_RETRY_DELAY_S - MIN_RETRY_DELAY_S),
         };
         self.next_at = Some(now + delay_s + (0.5 + jitter) * self.backoff_s());
     }
--- a/src/endpoints/watch_schedule/tests.rs
+++ b/src/endpoints/watch_schedule/tests.rs
@@ -18,7 +18,8 @@
 }
 
 /// Simulates a fleet and a discovery that answers calls one after the other in `service_s` each. Calls that waited for 2 s time
-/// out and cost discovery nothing. Calls that are made while discovery is down time out after 2 s too. Returns the time at which each mixer was notified, and the number of calls.
+/// out and cost discovery nothing. Calls that are made while discovery is down time out after 2 s too. Returns the time at which
+/// each mixer was notified, and the number of calls.
 fn simulate(
     mixers: u32,
     service_s: f64,
--- a/src/store/registers.rs
+++ b/src/store/registers.rs
@@ -118,8 +118,8 @@
         others().count() < MAX_KEYS && bytes + key.len() + value.len() <= MAX_TOTAL_BYTES
     }
 
-    /// Writes all registers to the file, if there is a data folder. The file is replaced atomically, so that a crash leaves either the
-    /// old or the new file.
+    /// Writes all registers to the file, if there is a data folder. The file is replaced atomically, so that a crash leaves
+    /// either the old or the new file.
     fn save(&self) -> Result<(), StoreError> {
         let Some(folder) = &self.folder else {
             return Ok(());
@@ -139,8 +139,8 @@
         Ok(())
     }
 
-    /// Handles a request of a peer or of this node, and returns the answer. Returns `None` if the message is not a valid request or
-    /// the value cannot be stored.
+    /// Handles a request of a peer or of this node, and returns the answer. Returns `None` if the message is not a valid request
+    /// or the value cannot be stored.
     pub fn serve(&mut self, request: &Message) -> Option<Message> {
         if request.answer || request.key.len() > MAX_KEY_BYTES {
             return None;
--- a/src/vrrp.rs
+++ b/src/vrrp.rs
@@ -143,7 +143,7 @@
 
 /// Configuration of a virtual router.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Setup {
+pub struct RouterConfig {
     /// Virtual router id (VRID).
     pub router: u8,
     /// Priority of this router: 1 to 254, or 255 for the address owner.
@@ -161,7 +161,7 @@
 /// State machine of one virtual router. Times are on the caller's clock (seconds).
 #[derive(Clone, Debug)]
 pub struct Router {
-    setup: Setup,
+    config: RouterConfig,
     state: State,
     /// Advertisement interval of the Active router (hundredths of a second).
     active_interval_cs: u16,
@@ -171,12 +171,12 @@
 
 impl Router {
     /// Creates a router in state Initialize.
-    pub fn new(mut setup: Setup) -> Router {
-        setup.interval_cs = setup.interval_cs.clamp(1, MAX_INTERVAL_CS);
-        setup.priority = setup.priority.max(1);
+    pub fn new(mut config: RouterConfig) -> Router {
+        config.interval_cs = config.interval_cs.clamp(1, MAX_INTERVAL_CS);
+        config.priority = config.priority.max(1);
         Router {
-            active_interval_cs: setup.interval_cs,
-            setup,
+            active_interval_cs: config.interval_cs,
+            config,
             state: State::Initialize,
             timer_at: None,
         }
@@ -195,7 +195,7 @@
     /// Returns the skew time (seconds), which is longer for a lower priority.
     fn skew_s(&self) -> f64 {
         let interval_s = f64::from(self.active_interval_cs) / 100.0;
-        (256.0 - f64::from(self.setup.priority)) * interval_s / 256.0
+        (256.0 - f64::from(self.config.priority)) * interval_s / 256.0
     }
 
     /// Returns the time without an advertisement after which a Backup router takes over (seconds).
@@ -205,18 +205,18 @@
 
     fn advertisement(&self, priority: u8) -> Advertisement {
         Advertisement {
-            router: self.setup.router,
+            router: self.config.router,
             priority,
-            interval_cs: self.setup.interval_cs,
-            addresses: self.setup.addresses.clone(),
+            interval_cs: self.config.interval_cs,
+            addresses: self.config.addresses.clone(),
         }
     }
 
     /// Enters or stays in state Active: returns an advertisement, and starts the timer of the next one.
     fn advertise(&mut self, now: f64) -> Option<Advertisement> {
         self.state = State::Active;
-        self.timer_at = Some(now + f64::from(self.setup.interval_cs) / 100.0);
-        Some(self.advertisement(self.setup.priority))
+        self.timer_at = Some(now + f64::from(self.config.interval_cs) / 100.0);
+        Some(self.advertisement(self.config.priority))
     }
 
     /// Enters or stays in state Backup, and restarts the timer with the interval of the Active router.
@@ -249,10 +249,10 @@
     }
 
     fn start(&mut self, now: f64) -> Option<Advertisement> {
-        if self.setup.priority == OWNER_PRIORITY {
+        if self.config.priority == OWNER_PRIORITY {
             return self.advertise(now);
         }
-        self.become_backup(now, self.setup.interval_cs);
+        self.become_backup(now, self.config.interval_cs);
         None
     }
 
@@ -263,24 +263,25 @@
         from: Ipv4Addr,
         received: &Advertisement,
     ) -> Option<Advertisement> {
-        if received.router != self.setup.router || from == self.setup.primary {
+        if received.router != self.config.router || from == self.config.primary {
             return None;
         }
         if state == State::Backup {
             if received.priority == STOPPING_PRIORITY {
                 self.timer_at = Some(now + self.skew_s());
-            } else if !self.setup.preempt || received.priority >= self.setup.priority {
+            } else if !self.config.preempt || received.priority >= self.config.priority {
                 self.become_backup(now, received.interval_cs);
             }
             return None;
         }
         let theirs = (received.priority, from);
-        let ours = (self.setup.priority, self.setup.primary);
+        let ours = (self.config.priority, self.config.primary);
         if received.priority != STOPPING_PRIORITY && theirs > ours {
             self.become_backup(now, received.interval_cs);
             None
         } else {
-            // Advertises immediately to inform a router that stops, or is Active with a lower priority, that this router is Active.
+            // Advertises immediately to inform a router that stops, or is Active with a lower priority, that this router is
+            // Active.
             self.advertise(now)
         }
     }
--- a/src/vrrp/tests.rs
+++ b/src/vrrp/tests.rs
@@ -7,7 +7,7 @@
 
 fn router(priority: u8, primary: Ipv4Addr, preempt: bool) -> Router {
     let addresses = vec![Ipv4Addr::new(127, 0, 0, 9)];
-    Router::new(Setup {
+    Router::new(RouterConfig {
         router: 7,
         priority,
         interval_cs: 100,
