--- a/src/decisions/aggregator.rs
+++ b/src/decisions/aggregator.rs
@@ -1,8 +1,7 @@
-//! The decision module of one mixer: takes events and returns actions.
+//! The decision module of one mixer, which takes events and returns actions.
 //!
-//! This file owns the aggregator's state, the dispatch of events, the periodic check, and what a successor inherits.
-//! Queries begin and end in `query_lifecycle.rs`, attempts in `attempts.rs`; the rules they follow stand in one file for
-//! each decision. Nothing here does I/O or reads a clock.
+//! [`Aggregator`] holds the state, dispatches events, runs the periodic check and exports the learned state for a successor
+//! process. Queries are handled in `query_lifecycle.rs`, attempts in `attempts.rs`.
 
 use crate::decisions::admission;
 use crate::decisions::api::*;
@@ -20,18 +19,18 @@
 use crate::decisions::view::View;
 use crate::endpoints::watch_schedule::WatchSchedule;
 
-/// A periodic check that is late by this many intervals was held up by a stall of this process.
-const STALL_INTERVALS: f64 = 8.0;
-/// Periodic checks in the shortest latency objective.
+/// A periodic check that is late by more than this number of intervals was delayed by a pause of this process.
+const MAX_CHECK_DELAY_INTERVALS: f64 = 8.0;
+/// Number of periodic checks in the shortest latency objective.
 const CHECKS_PER_OBJECTIVE: f64 = 100.0;
-/// Latency objective that the interval of the periodic check is reckoned with at most (seconds).
+/// Upper limit of the latency objective from which the check interval is derived (seconds).
 const MAX_CHECK_OBJECTIVE_S: f64 = 1.0;
-/// Windows of the retry budget for which times of acceptance and of retries are kept.
+/// Number of retry budget windows for which the times of acceptance and of retries are kept.
 const RETAINED_BUDGET_WINDOWS: f64 = 2.0;
 /// Token of the only timer.
 const CHECK_TIMER: u64 = 1;
 
-/// The decisions of one mixer. See the crate's page for how to drive it.
+/// The decisions of one mixer. The documentation of the crate shows how to drive it.
 pub struct Aggregator {
     pub(super) settings: Settings,
     pub(super) rng: oorandom::Rand64,
@@ -47,21 +46,21 @@
     pub(super) congestion: Congestion,
     pub(super) prices: PriceIntervals,
     slow_start_draws: SlowStartDraws,
-    /// Time in which what is known of one replica fades (seconds).
+    /// Time constant with which the statistics of one replica lose weight (seconds).
     decay_window_s: f64,
-    /// How long times of acceptance and of retries are kept (seconds).
+    /// Time for which the times of acceptance and of retries are kept (seconds).
     pub(super) retention_s: f64,
-    /// When the endpoint list is polled, where it comes only to those who poll.
+    /// Schedule of the polls of the endpoint list; `None` where lists arrive without polls.
     watch: Option<WatchSchedule>,
 }
 
 impl Aggregator {
-    /// An aggregator that has received nothing yet; `seed` determines its random draws.
+    /// Creates an aggregator that has received no event; `seed` determines its random draws.
     pub fn new(settings: Settings, seed: u64, now: f64) -> Self {
         let statistics = Statistics {
-            latencies: settings.classes.iter().map(Latencies::guess).collect(),
+            latencies: settings.classes.iter().map(Latencies::initial).collect(),
             first_try_timeouts_s: vec![0.0; settings.classes.len()],
-            tenant_queries: vec![TenantQueries::none(now); settings.tenants.len()],
+            tenant_queries: vec![TenantQueries::new(now); settings.tenants.len()],
             hedging_credit: f64::MAX,
             ..Statistics::default()
         };
@@ -89,7 +88,8 @@
         }
     }
 
-    /// How many listed replicas get nothing new now but probe requests: they drain, or are ejected for every class.
+    /// Returns the number of listed replicas that receive nothing new except probe requests: those that drain or are
+    /// ejected for every class.
     pub fn unavailable_replicas(&self) -> usize {
         let is_ejected = |replica: &Replica| {
             (0..replica.statistics.classes.len()).all(|class| replica.is_ejected(class))
@@ -103,7 +103,7 @@
         replicas.filter(|(_, replica)| is_avoided(replica)).count()
     }
 
-    /// What a successor needs, so that both processes together keep the rules as one would.
+    /// Returns the state that a successor needs so that both processes together respect the limits of one.
     pub fn learned_state(&self) -> LearnedState {
         let replicas = self.replicas.iter();
         LearnedState {
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Takes over what a predecessor learned, where it is about the same process of a replica. `classes` and `tenants` give
-    /// for each class and tenant of this process its place in the predecessor's settings.
+    /// Takes over the state that a predecessor learned, except for replicas that have restarted since. `classes` and
+    /// `tenants` give the index of each class and tenant of this process in the predecessor's settings.
     pub fn inherit(
         &mut self,
         learned_state: LearnedState,
@@ -132,12 +132,12 @@
         }
         let inherited = learned_state.statistics;
         let own_latencies = &self.statistics.latencies;
-        let latencies = carry_over(classes, &inherited.latencies, |class| {
+        let latencies = remap(classes, &inherited.latencies, |class| {
             own_latencies[class].clone()
         });
-        let first_try_timeouts_s = carry_over(classes, &inherited.first_try_timeouts_s, |_| 0.0);
-        let tenant_queries = carry_over(tenants, &inherited.tenant_queries, |_| {
-            TenantQueries::none(self.now)
+        let first_try_timeouts_s = remap(classes, &inherited.first_try_timeouts_s, |_| 0.0);
+        let tenant_queries = remap(tenants, &inherited.tenant_queries, |_| {
+            TenantQueries::new(self.now)
         });
         self.statistics = Statistics {
             latencies,
@@ -148,18 +148,18 @@
         self.reset_schedules();
     }
 
-    /// Takes an event, and appends the actions that follow from it, in the order in which they are to be done.
+    /// Processes an event and appends the resulting actions to `out`, in the order in which they are to be performed.
     pub fn handle(&mut self, now: f64, event: Event, out: &mut Vec<Action>) {
         if now.is_finite() {
             self.now = self.now.max(now);
         }
-        self.excuse_own_stall();
+        self.discount_process_pause();
         if matches!(event, Event::Query(_) | Event::Part(_)) {
             self.statistics.count_accepted(self.now, self.retention_s);
         }
         match event {
             Event::List { is_full, entries } => self.handle_list(is_full, &entries),
-            Event::ListFailed => self.handle_failed_list(),
+            Event::ListFailed => self.handle_list_failure(),
             Event::ListLease { until } => self.replicas.valid_until = until,
             Event::Query(query) => self.handle_query(query, out),
             Event::Part(part) => self.handle_part(part, out),
@@ -179,7 +179,7 @@
         }
     }
 
-    /// The state that decisions rest on, to read.
+    /// Returns a read-only view of the state for the decision functions.
     pub(super) fn view(&self) -> View<'_> {
         View {
             settings: &self.settings,
@@ -193,29 +193,31 @@
         }
     }
 
-    /// A stall of this process is no delay of the replicas: what was in flight is excused for it, or prices would leap.
-    fn excuse_own_stall(&mut self) {
-        let stall_s = (self.now - self.next_check_at).max(0.0);
-        self.next_check_at += stall_s;
-        if stall_s <= STALL_INTERVALS * self.check_interval_s {
+    /// Subtracts a pause of this process from the age of everything in flight. Otherwise the pause would count as delay of
+    /// the replicas, and prices would jump.
+    fn discount_process_pause(&mut self) {
+        let pause_s = (self.now - self.next_check_at).max(0.0);
+        self.next_check_at += pause_s;
+        if pause_s <= MAX_CHECK_DELAY_INTERVALS * self.check_interval_s {
             return;
         }
-        self.queries.add_own_stall(stall_s);
+        self.queries.add_process_pause(pause_s);
         for (_, replica) in self.replicas.iter_mut() {
             for call in &mut replica.calls {
-                call.waiting_since += stall_s;
+                call.waiting_since += pause_s;
             }
         }
     }
 
-    /// The periodic check of all that depends on time: polls, prices, silence, overdue parts, answers that are due.
+    /// Runs the periodic check of everything that depends on time: polls, prices, unresponsive replicas, overdue parts and
+    /// due answers.
     fn check_all(&mut self, out: &mut Vec<Action>) {
         let watch = self.watch.as_mut();
         if watch.is_some_and(|watch| watch.take_due(self.now)) {
             out.push(Action::Watch);
         }
         self.update_prices();
-        self.outliers.eject_silent(
+        self.outliers.eject_unresponsive(
             &mut self.queries,
             &mut self.replicas,
             &self.settings,
@@ -239,7 +241,7 @@
         });
     }
 
-    /// Whether the periodic check need not look at a query.
+    /// Returns whether the periodic check may skip a query.
     fn is_quiet(&self, query: &Query) -> bool {
         let Some(quiet) = query.quiet else {
             return false;
@@ -252,11 +254,11 @@
         self.now < quiet.until && self.now - quiet.oldest_sent_at < overdue_s
     }
 
-    /// Moves what follows time alone: how fast knowledge fades, the draws of the slow start, and the prices.
+    /// Updates the values that depend on time alone: the decay window, the random draws of the slow start and the prices.
     fn update_prices(&mut self) {
         self.decay_window_s =
             latency::decay_window_s(&self.statistics, self.replicas.listed(), self.now);
-        self.slow_start_draws.draw_due(
+        self.slow_start_draws.redraw_due(
             &mut self.replicas,
             self.settings.overload_window_s,
             &mut self.rng,
@@ -275,20 +277,20 @@
         self.reset_schedules();
     }
 
-    fn handle_failed_list(&mut self) {
+    fn handle_list_failure(&mut self) {
         if let Some(watch) = &mut self.watch {
             watch.call_failed(self.now, self.rng.rand_float());
         }
     }
 
-    /// Starts the schedules over after a change of the replicas or of what is known of them.
+    /// Rebuilds the schedules after the replicas or their statistics have changed.
     fn reset_schedules(&mut self) {
         self.outliers.count_change(true);
         self.slow_start_draws.reset(&self.replicas);
         self.prices.reset(&self.replicas, &self.settings);
     }
 
-    /// Counts what the predecessor still does as our own: for loads, for the slow start and for the retry budget.
+    /// Counts the predecessor's load as this process's own, for replica loads, the slow start and the retry budget.
     fn handle_predecessor_load(&mut self, load: &PredecessorLoad) {
         let window_start = self.now - self.settings.overload_window_s;
         for (id, replica) in self.replicas.iter_mut() {
@@ -304,8 +306,8 @@
         }
     }
 
-    /// Takes other settings; what is known stays. Classes that something open refers to stay as they were, behind the new
-    /// ones.
+    /// Applies new settings and keeps the statistics. Classes that open queries or attempts refer to keep their settings;
+    /// they are appended after the new classes.
     fn handle_settings(
         &mut self,
         settings: Settings,
@@ -313,10 +315,10 @@
         former_tenants: &[Option<usize>],
     ) {
         let referenced = self.queries.referenced_classes();
-        let new_place = |class: usize| settings.classes.len() + referenced.range(..class).count();
+        let new_index = |class: usize| settings.classes.len() + referenced.range(..class).count();
         self.queries
-            .move_classes(new_place, settings.max_attempts as usize);
-        let former_places: Vec<Option<usize>> = former_classes
+            .remap_classes(new_index, settings.max_attempts as usize);
+        let former_indices: Vec<Option<usize>> = former_classes
             .iter()
             .copied()
             .chain(referenced.iter().map(|class| Some(*class)))
@@ -325,22 +327,22 @@
             .iter()
             .map(|class| self.settings.classes[*class].clone());
         let classes: Vec<ClassSettings> = settings.classes.iter().cloned().chain(kept).collect();
-        self.move_statistics(&classes, &former_places, former_tenants);
-        self.crash_inducing.forget_fingerprints();
+        self.remap_statistics(&classes, &former_indices, former_tenants);
+        self.crash_inducing.clear_fingerprints();
         self.check_interval_s = check_interval_s(&settings);
         self.retention_s = retention_s(&settings);
         self.settings = Settings {
             classes,
             ..settings
         };
-        // Which replicas hold a shard may have changed.
+        // The assignment of shards to replicas may have changed.
         self.handle_list(false, &[]);
         for query in self.queries.open.values_mut() {
             query.progress.set_cells(self.settings.cells);
         }
     }
 
-    fn move_statistics(
+    fn remap_statistics(
         &mut self,
         classes: &[ClassSettings],
         former_classes: &[Option<usize>],
@@ -348,28 +350,29 @@
     ) {
         let now = self.now;
         let statistics = &mut self.statistics;
-        statistics.latencies = carry_over(former_classes, &statistics.latencies, |class| {
-            Latencies::guess(&classes[class])
+        statistics.latencies = remap(former_classes, &statistics.latencies, |class| {
+            Latencies::initial(&classes[class])
         });
         statistics.first_try_timeouts_s =
-            carry_over(former_classes, &statistics.first_try_timeouts_s, |_| 0.0);
+            remap(former_classes, &statistics.first_try_timeouts_s, |_| 0.0);
         for (_, replica) in self.replicas.iter_mut() {
             let by_class = &mut replica.statistics.classes;
-            *by_class = carry_over(former_classes, by_class, |_| ClassStatistics::new(now));
+            *by_class = remap(former_classes, by_class, |_| ClassStatistics::new(now));
         }
-        statistics.tenant_queries = carry_over(former_tenants, &statistics.tenant_queries, |_| {
-            TenantQueries::none(now)
+        statistics.tenant_queries = remap(former_tenants, &statistics.tenant_queries, |_| {
+            TenantQueries::new(now)
         });
     }
 
-    /// The Retry-After of a query that is rejected at this price (seconds).
+    /// Returns the Retry-After of a query that is rejected at this price (seconds).
     pub(super) fn retry_after_s(&self, query: QueryId, price: f64) -> f64 {
         let class = self.queries.open.get(&query).map(|query| query.class);
         admission::retry_after_s(&self.settings, price, class)
     }
 }
 
-/// Takes over what a predecessor learned of a replica. The times of sending count whatever process received the parts.
+/// Takes over the statistics that a predecessor learned of a replica. The send times are kept even if the replica has
+/// restarted, because they count for the slow start of the new process.
 fn inherit_replica(
     replica: &mut Replica,
     inherited: ReplicaStatistics,
@@ -382,13 +385,13 @@
     }
     let own_change_at = replica.statistics.lifecycle_changed_at;
     replica.statistics = ReplicaStatistics {
-        classes: carry_over(classes, &inherited.classes, |_| ClassStatistics::new(now)),
+        classes: remap(classes, &inherited.classes, |_| ClassStatistics::new(now)),
         lifecycle_changed_at: inherited.lifecycle_changed_at.min(own_change_at),
         ..inherited
     };
 }
 
-/// Time between two periodic checks, never shorter than a round (seconds).
+/// Returns the time between two periodic checks, at least the length of a round (seconds).
 fn check_interval_s(settings: &Settings) -> f64 {
     let objectives = settings
         .classes
@@ -398,7 +401,7 @@
     settings.tick_s.max(shortest_s / CHECKS_PER_OBJECTIVE)
 }
 
-/// How long times of acceptance and of retries are kept (seconds).
+/// Returns the time for which the times of acceptance and of retries are kept (seconds).
 fn retention_s(settings: &Settings) -> f64 {
     let budget = settings.retry_budget;
     budget.map_or(SEND_RATE_WINDOW_S, |budget| {
--- a/src/decisions/api.rs
+++ b/src/decisions/api.rs
@@ -1,56 +1,55 @@
 //! The interface of the decision module: settings, events, actions and ids.
 //!
-//! This file owns the types that the module and its callers exchange. No decision is made here. Times are seconds on the
-//! caller's clock, unless a field says otherwise.
+//! Times are seconds on the caller's clock, unless a field says otherwise.
 
 use std::sync::Arc;
 
-/// The caller's id of a query; never used twice.
+/// The id that the caller gave a query. Ids are never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QueryId(pub u32);
 
-/// The caller's id of a part of a query; never used twice.
+/// The id that the caller gave a part of a query. Ids are never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PartId(pub u32);
 
-/// The caller's id of a replica: a leaf server that holds some shards.
+/// The id that the caller gave a replica, which is a leaf server that holds some shards.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReplicaId(pub u32);
 
-/// Whether a part may be executed more than once.
+/// The effect of executing a part more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Effect {
-    /// It may be repeated at will.
+    /// A part may be repeated at any time.
     #[default]
     Idempotent,
-    /// Replicas discard repeats within a window from the first attempt that may have run.
+    /// Replicas discard repeats within a window that starts with the first attempt that may have been executed.
     IdempotentWithKey,
-    /// It may be repeated only when no earlier attempt can have run.
+    /// A part may be repeated only if no earlier attempt can have been executed.
     NonIdempotent,
 }
 
 /// The settings of one class of queries.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
-    /// An answer within this time has its full weight (seconds).
+    /// Latency up to which an answer has its full weight (seconds).
     pub latency_objective_s: f64,
-    /// How long a client waits over all its tries (seconds).
+    /// Time that a client waits for an answer, all its tries together (seconds).
     pub deadline_s: f64,
-    /// Weight of a complete answer in time.
+    /// Weight of a complete answer within the latency objective.
     pub priority_weight: f64,
-    /// Share of the weight that an answer after the latency objective has.
+    /// Weight of an answer after the latency objective, as a share of its full weight.
     pub late_weight: f64,
-    /// Whether parts may be repeated.
+    /// Effect of executing a part more than once.
     pub effect: Effect,
-    /// With an idempotency key: how long replicas discard repeats (seconds).
+    /// Time for which replicas discard repeats of an idempotency key (seconds).
     pub idempotency_window_s: f64,
-    /// Share of the first step's weight that makes a complete answer.
+    /// Least answered share of the first step's weight at which the answer counts as complete.
     pub complete_share: f64,
-    /// Least share for a partial answer.
+    /// Least answered share of the weight at which a partial answer may be given.
     pub min_partial_share: f64,
-    /// Weight of a partial answer, as a multiple of share / need.
+    /// Weight of a partial answer, as a multiple of its share divided by `complete_share`.
     pub partial_weight: f64,
-    /// Parts of the second step; 0 for none.
+    /// Number of parts of the second step; 0 if the class has no second step.
     pub second_step_parts: u32,
 }
 
@@ -74,73 +73,74 @@
 /// The settings of one tenant.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TenantSettings {
-    /// Its share of the service.
+    /// The tenant's share of the service.
     pub share: f64,
-    /// Its quota: queries a second over all aggregators together.
+    /// The tenant's quota, in queries per second over all aggregators together.
     pub quota_per_s: f64,
 }
 
-/// Limits the attempts beyond each part's first.
+/// The limit on attempts beyond the first attempt of each part.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Allowed in any window even without traffic.
+    /// Retries allowed in any window, even without traffic.
     pub min_retries: f64,
-    /// Allowed in addition for each query and part accepted in the window.
+    /// Retries allowed in addition, for each query and part accepted in the window.
     pub retries_per_accepted: f64,
     /// Length of the window (seconds).
     pub window_s: f64,
 }
 
-/// The deployment of an aggregator.
+/// The settings of an aggregator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Classes, in the order that queries name them.
+    /// Classes, in the order of the indices by which queries refer to them.
     pub classes: Vec<ClassSettings>,
-    /// Tenants, in the order that queries name them; may be empty.
+    /// Tenants, in the order of the indices by which queries refer to them; may be empty.
     pub tenants: Vec<TenantSettings>,
-    /// Weight of traffic beyond a tenant's quota, as a share of the usual weight.
+    /// Weight of traffic beyond a tenant's quota, as a share of its usual weight.
     pub over_quota_weight: f64,
-    /// Whether weight is counted in proportion to work rather than by query.
+    /// True if weight is counted in proportion to work, false if it is counted by query.
     pub weight_by_work: bool,
     /// Zone of this aggregator.
     pub zone: u8,
-    /// How many aggregators there are.
+    /// Number of aggregators that send to the same replicas.
     pub aggregators: u32,
-    /// Number of cells; shard s is held by the replicas of `replication_factor` consecutive cells from s modulo this on.
+    /// Number of cells. Shard `s` is held by the replicas of `replication_factor` consecutive cells, starting with cell `s`
+    /// modulo this number.
     pub cells: u32,
-    /// Consecutive cells that hold a shard.
+    /// Number of consecutive cells that hold a shard.
     pub replication_factor: u32,
-    /// Most parts that one call carries: those sent to one replica in one round share a call.
+    /// Largest number of parts in one call. Parts that are sent to the same replica in the same round share a call.
     pub max_call_parts: u32,
     /// Work that a call costs its replica in addition to that of its parts (seconds).
     pub call_work_s: f64,
     /// Shortest time between two rounds of events (seconds).
     pub tick_s: f64,
-    /// Whether endpoint lists come only when polled.
+    /// True if endpoint lists arrive only in response to polls.
     pub must_poll: bool,
-    /// Where lists must be polled: the longest time without a poll (seconds).
+    /// Longest time without a poll, where lists must be polled (seconds).
     pub max_poll_interval_s: f64,
-    /// Whether an attempt may be cancelled.
+    /// True if attempts may be cancelled.
     pub can_cancel: bool,
-    /// Whether replicas may get health checks.
+    /// True if replicas may receive health checks.
     pub can_probe: bool,
-    /// Whether a part may have two attempts in flight at once.
+    /// True if a part may have two attempts in flight at once.
     pub can_hedge: bool,
-    /// Longest Retry-After that clients follow (seconds); 0 where they get none.
+    /// Longest Retry-After that clients follow (seconds); 0 if responses carry no Retry-After.
     pub max_retry_after_s: f64,
-    /// Most attempts for one part.
+    /// Largest number of attempts of one part.
     pub max_attempts: u32,
-    /// Budget of retries, where one is set.
+    /// Retry budget; `None` for no limit.
     pub retry_budget: Option<RetryBudget>,
-    /// Nothing may be sent to a draining replica later than this after the notification (seconds).
+    /// Time after the notification of draining within which a replica may still receive parts (seconds).
     pub drain_grace_s: f64,
-    /// A replica starts at this share of its capacity or more.
+    /// Least share of its capacity that a replica has when its slow start begins.
     pub slow_start_min_capacity: f64,
     /// Length of a replica's slow start (seconds).
     pub slow_start_s: f64,
-    /// A replica in slow start falls over at this multiple of its present capacity ...
+    /// Load at which a replica in slow start becomes overloaded, as a multiple of its present capacity.
     pub overload_multiple: f64,
-    /// ... sustained for this long (seconds).
+    /// Time for which that load must last to overload the replica (seconds).
     pub overload_window_s: f64,
 }
 
@@ -175,259 +175,262 @@
     }
 }
 
-/// The state of a replica as the endpoint list has it.
+/// The state of a replica according to the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// Its process runs.
+    /// The replica accepts new work.
     #[default]
     Ready,
-    /// It finishes its work; send nothing new.
+    /// The replica finishes its work and must receive no new work.
     Draining,
-    /// It has been removed.
+    /// The replica is no longer part of the deployment.
     Removed,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReplicaEntry {
-    /// Which replica.
+    /// Replica that the entry describes.
     pub id: ReplicaId,
-    /// Its zone.
+    /// Zone of the replica.
     pub zone: u8,
-    /// Its cell, which determines its shards.
+    /// Cell of the replica, which determines its shards.
     pub cell: u32,
-    /// Whether it runs, drains or is gone.
+    /// State of the replica.
     pub lifecycle: Lifecycle,
-    /// When it last started (0: long ago).
+    /// Start time of the replica's process; 0 if it started long ago.
     pub started_at: f64,
-    /// Whether it answers pre-checks.
+    /// True if the replica answers pre-checks.
     pub supports_pre_check: bool,
 }
 
-/// A query's first phase: the first attempt of each part is a pre-check, which asks whether anything there may match.
+/// A query's first phase. The first attempt of each part is a pre-check, which asks whether anything in the shard may
+/// match.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PreCheck {
-    /// The class whose statistics these attempts count for; not that of the query.
+    /// Class that pre-checks are counted for in the statistics; differs from the class of the query.
     pub class: u16,
-    /// When the phase ends: no pre-check is sent or waited for after that.
+    /// End of the phase. Pre-checks are neither sent nor waited for after this time.
     pub until: f64,
 }
 
-/// A query that was accepted. Its parts follow as events of their own.
+/// An accepted query. Its parts follow as separate events.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct NewQuery {
-    /// Its id.
+    /// Id of the query.
     pub id: QueryId,
-    /// Its number at this aggregator, which its parts name.
+    /// Number of the query at this aggregator, by which its parts refer to it.
     pub number: u32,
-    /// Its class.
+    /// Index of the query's class.
     pub class: u16,
-    /// Its tenant; ignored where there are none.
+    /// Index of the query's tenant; ignored in a deployment without tenants.
     pub tenant: u32,
-    /// When its client stops waiting for this try.
+    /// Time at which the client stops waiting for this try.
     pub deadline: f64,
-    /// How many parts its first step has.
+    /// Number of parts of the first step.
     pub parts: u32,
-    /// Whether the client marked it as a repeat.
+    /// True if the client marked the query as a repeat.
     pub is_repeat: bool,
-    /// A key of what it is about; 0 where the deployment has no keys.
+    /// Key of the object that the query is about; 0 in a deployment without keys.
     pub key: u64,
-    /// Its first phase, where it has one. Only idempotent classes may have one.
+    /// First phase of the query, if it has one. Only idempotent classes may have one.
     pub pre_check: Option<PreCheck>,
 }
 
 /// A part of an accepted query.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct NewPart {
-    /// Its id.
+    /// Id of the part.
     pub id: PartId,
-    /// The number of its query.
+    /// Number of the query that the part belongs to.
     pub query_number: u32,
-    /// The shard it reads.
+    /// Shard that the part reads.
     pub shard: u32,
-    /// Its weight; those of a step add up to 1.
+    /// Weight of the part. The weights of a step add up to 1.
     pub weight: f64,
-    /// Expected work (seconds), where known; rough.
+    /// Rough estimate of the work (seconds), if the client gave one.
     pub cost_hint_s: Option<f64>,
 }
 
-/// How an attempt or a health check ended.
+/// The result of an attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
-    /// Served. For a pre-check: nothing there matches, and that is the part's answer.
+    /// The replica served the part. For a pre-check: nothing in the shard matches, which is the part's answer.
     Ok,
-    /// The answer to a pre-check that something there may match: the part has no answer yet, and is sent in full.
+    /// The replica answered a pre-check that something may match. The part has no answer yet and is sent again in full.
     Matches,
-    /// The replica gave an error; it may have run.
+    /// The replica returned an error; the attempt may have been executed.
     Error,
-    /// Rejected unseen; it never ran.
+    /// The replica rejected the attempt before executing it.
     Rejected,
-    /// No answer in time; it may have run or still run.
+    /// No answer arrived in time; the attempt may have been executed or may still be running.
     TimedOut,
-    /// No connection in time; it never ran.
+    /// No connection was established in time; the attempt was not executed.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection was reset; the attempt may have been executed.
     Reset,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled; it may have been executed.
     Cancelled,
-    /// Not sent, since its end no longer mattered; it never ran.
+    /// The attempt was dropped before it was sent, because its result was no longer needed; it was not executed.
     Superseded,
 }
 
 /// The end of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptEnd {
-    /// Its part.
+    /// Part that the attempt belongs to.
     pub part: PartId,
-    /// Its number: 0, 1, 2 ... in the order the part's attempts were sent.
+    /// Number of the attempt: 0, 1, 2 ... in the order in which the part's attempts were sent.
     pub attempt: u8,
-    /// The replica it went to.
+    /// Replica that the attempt was sent to.
     pub replica: ReplicaId,
-    /// Time since it was sent (seconds).
+    /// Time from sending to the end of the attempt (seconds).
     pub took_s: f64,
-    /// How it ended.
+    /// Result of the attempt.
     pub outcome: Outcome,
 }
 
-/// What happens to an aggregator.
+/// The input of an aggregator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A watch event from discovery: the complete endpoint list, or the entries that changed.
     List {
-        /// Whether these are all the replicas there are.
+        /// True if the entries are all the replicas that exist.
         is_full: bool,
-        /// The entries.
+        /// New or changed entries.
         entries: Arc<[ReplicaEntry]>,
     },
-    /// A poll of the endpoint list failed, or the watch broke.
+    /// A poll of the endpoint list failed, or the watch was interrupted.
     ListFailed,
-    /// The endpoint list may be acted on until then; before the first such event without end.
+    /// The endpoint list may be used until the given time. Before the first such event it may be used without limit.
     ListLease {
-        /// When nothing may be sent by it any more.
+        /// Time from which nothing may be sent according to the list.
         until: f64,
     },
     /// A query was accepted.
     Query(NewQuery),
-    /// One of its parts.
+    /// A part of an accepted query arrived.
     Part(NewPart),
     /// An attempt ended. Every attempt ends exactly once.
     AttemptEnded(AttemptEnd),
-    /// Other settings hold from now on. Open queries keep their class as it was, and at most their limit on attempts.
+    /// New settings apply from now on. Open queries keep the former settings of their class, except that a lower limit on
+    /// attempts applies to them too.
     Settings {
         /// The new settings.
         settings: Box<Settings>,
-        /// For each class of the new settings, its former place; none for a new class.
+        /// Former index of each class of the new settings; `None` for a new class.
         classes: Arc<[Option<usize>]>,
-        /// For each tenant of the new settings, likewise.
+        /// Former index of each tenant of the new settings; `None` for a new tenant.
         tenants: Arc<[Option<usize>]>,
     },
-    /// What the process that this one takes over from still does.
+    /// The predecessor of this process reported the work that it still has in flight.
     PredecessorLoad(PredecessorLoad),
-    /// The client of a query has left.
+    /// The client of a query disconnected.
     ClientDisconnected(QueryId),
-    /// The caller has started, and nothing else may come before its timers: the periodic check begins.
+    /// The caller has started and sends timers from now on. The first event that an aggregator receives starts the periodic
+    /// check.
     Start,
-    /// A timer has expired.
+    /// A timer that was set by [`Action::SetTimer`] expired.
     Timer(u64),
     /// A health check ended.
     Probed {
-        /// Which replica.
+        /// Replica that was checked.
         replica: ReplicaId,
-        /// How it ended.
+        /// Result of the health check.
         outcome: Outcome,
-        /// How long it took (seconds).
+        /// Duration of the health check (seconds).
         took_s: f64,
     },
 }
 
-/// What the caller has to do, in the order of the actions.
+/// The output of an aggregator: an action that the caller performs, in the order of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt of a part.
     Send {
-        /// Which part.
+        /// Part to send.
         part: PartId,
-        /// To which replica.
+        /// Replica to send the part to.
         replica: ReplicaId,
-        /// Longest timeout (seconds).
+        /// Longest timeout of the attempt (seconds).
         max_timeout_s: f64,
-        /// Whether it is a pre-check.
+        /// True if the attempt is a pre-check.
         is_pre_check: bool,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
-        /// Its part.
+        /// Part that the attempt belongs to.
         part: PartId,
-        /// Its number.
+        /// Number of the attempt within its part.
         attempt: u8,
     },
     /// Answer a query from the parts that are answered.
     Answer {
-        /// Which query.
+        /// Query to answer.
         query: QueryId,
-        /// Whether the answer is complete.
+        /// True if the answer is complete.
         is_complete: bool,
     },
-    /// Reject a query: asking again does no harm.
+    /// Reject a query. The client may safely retry.
     Reject {
-        /// Which query.
+        /// Query to reject.
         query: QueryId,
         /// Retry-After (seconds); 0 for none.
         retry_after_s: f64,
     },
-    /// Fail a query: parts of it may have run.
+    /// Fail a query. Parts of it may have been executed.
     Fail {
-        /// Which query.
+        /// Query to fail.
         query: QueryId,
     },
-    /// Send `Event::Timer` with this token after some time.
+    /// Send `Event::Timer` with this token after the given time.
     SetTimer {
-        /// Comes back with the event.
+        /// Token that the event returns.
         token: u64,
-        /// From now (seconds).
+        /// Time until the event (seconds).
         after_s: f64,
     },
     /// Send a health check to a replica.
     Probe {
-        /// Which replica.
+        /// Replica to check.
         replica: ReplicaId,
     },
     /// Close the idle connections to a replica.
     CloseIdle {
-        /// Which replica.
+        /// Replica whose idle connections are closed.
         replica: ReplicaId,
     },
-    /// Watch the endpoint list (missed changes come first).
+    /// Open a watch on the endpoint list, which first delivers the changes that were missed.
     Watch,
     /// Write a line to the log.
     Log(String),
 }
 
-/// Attempts that the predecessor has in flight at a replica.
+/// The attempts that the predecessor has in flight at one replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicaLoad {
-    /// Which replica.
+    /// Replica that the attempts were sent to.
     pub replica: ReplicaId,
-    /// How many attempts.
+    /// Number of attempts in flight.
     pub attempts: u32,
 }
 
 /// An attempt that the predecessor sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SentAttempt {
-    /// Where it went.
+    /// Replica that the attempt was sent to.
     pub replica: ReplicaId,
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub at: f64,
-    /// Whether it was not the first attempt of its part.
+    /// True if the attempt was not the first of its part.
     pub is_retry: bool,
 }
 
-/// What the process that this one takes over from still does.
+/// The load that this process's predecessor still causes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PredecessorLoad {
-    /// What it has in flight; nothing at replicas that are not named.
+    /// Attempts in flight by replica; replicas that are not listed have none.
     pub in_flight: Vec<ReplicaLoad>,
-    /// The attempts that it sent since its last report.
+    /// Attempts sent since the last report.
     pub sent: Vec<SentAttempt>,
 }
--- a/src/decisions/attempts.rs
+++ b/src/decisions/attempts.rs
@@ -1,7 +1,7 @@
-//! Attempts of parts: sending, retrying, hedging and cancelling them, and what follows from their end.
+//! Attempts of parts: sending, retrying, hedging and cancelling them, and handling their ends.
 //!
-//! This file owns the order of these steps and the actions that follow. Which replica, whether again and whether late is
-//! decided by `replica_selection.rs`, `retry.rs` and `hedging.rs`; what an end shows is learned in `learning.rs`.
+//! The choice of the replica is made in `replica_selection.rs`, the rules for retries and hedged requests are in `retry.rs`
+//! and `hedging.rs`, and `learning.rs` updates the statistics when an attempt ends.
 
 use crate::decisions::aggregator::Aggregator;
 use crate::decisions::api::*;
@@ -16,17 +16,16 @@
 struct PlannedAttempt {
     part: PartId,
     replica: ReplicaId,
-    /// Whether it counts as a retry.
     is_retry: bool,
     is_pre_check: bool,
     measured_class: usize,
-    /// When its answer is of no more use.
+    /// Time after which an answer to the attempt is useless.
     until: f64,
     connection_idle_s: f64,
 }
 
 impl Aggregator {
-    /// Sends a wanted part, first or again, if every rule allows it. Returns whether it did.
+    /// Sends the first or a further attempt of a selected part, if the rules allow it. Returns whether an attempt was sent.
     pub(super) fn send(&mut self, id: PartId, out: &mut Vec<Action>) -> bool {
         let part = &self.queries.parts[&id];
         let Some(query) = self.queries.query_of(part) else {
@@ -39,7 +38,10 @@
         let Some(target) = self.choose_replica(id, part) else {
             return false;
         };
-        let replica = self.replicas.get(target).expect("holders are listed");
+        let replica = self
+            .replicas
+            .get(target)
+            .expect("a holder is in the replica table");
         let mut connection_idle_s = self.connection_idle_s(replica);
         let close_idle = self.must_replace_idle(query, part, replica, connection_idle_s);
         let pre_check = self.pre_check_at(query, part, replica);
@@ -78,7 +80,8 @@
             && retry::is_attempt_allowed(&view, part)
     }
 
-    /// The best holder that the part was never sent to, or else the best where no attempt of it is in flight.
+    /// Returns the best holder that received no attempt of the part, or else the best holder with no attempt of the part in
+    /// flight.
     fn choose_replica(&self, id: PartId, part: &Part) -> Option<ReplicaId> {
         let view = self.view();
         let tried: Vec<ReplicaId> = part.attempts.iter().map(|it| it.replica).collect();
@@ -90,14 +93,14 @@
         choice.map(|choice| choice.replica)
     }
 
-    /// How long the connections to a replica have been unused (seconds); 0 while one is in use.
+    /// Returns the time for which the connections to a replica have been unused (seconds); 0 while a connection is in use.
     fn connection_idle_s(&self, replica: &Replica) -> f64 {
         let unused_since = replica.last_used_at.filter(|_| replica.in_flight == 0);
         unused_since.map_or(0.0, |unused_since| self.now - unused_since)
     }
 
-    /// Whether idle connections to the replica are closed first, since a part might be lost on them. A replica that failed
-    /// fast has answered: its connection works, and a new one would cost it a handshake.
+    /// Returns whether idle connections to the replica are closed first, because a part might be lost on them. A replica
+    /// that failed fast has answered on its connection, so replacing the connection would only cost a handshake.
     fn must_replace_idle(
         &self,
         query: &Query,
@@ -106,12 +109,13 @@
         idle_s: f64,
     ) -> bool {
         let is_likely_lost = self.outliers.idle_losses.is_likely_lost(self.now, idle_s);
-        let is_silent = replica.is_ejected(part.class) && !replica.has_answered_last;
-        idle_s > 0.0 && (is_likely_lost || query.first_reset_at.is_some() || is_silent)
+        let is_counted_unresponsive = replica.is_ejected(part.class) && !replica.has_answered_last;
+        idle_s > 0.0
+            && (is_likely_lost || query.first_reset_at.is_some() || is_counted_unresponsive)
     }
 
-    /// The pre-check as which a part is sent: only with its first attempt. If that brings no answer, the part is taken to
-    /// match.
+    /// Returns the pre-check that an attempt of the part is sent as. Only the first attempt of a part is a pre-check; if it
+    /// brings no answer, the part is assumed to match.
     fn pre_check_at(&self, query: &Query, part: &Part, replica: &Replica) -> Option<PreCheck> {
         query.pre_check.filter(|pre_check| {
             part.attempts.is_empty()
@@ -121,10 +125,10 @@
         })
     }
 
-    /// Records an attempt that is sent: at its part and query, at its replica, and in the statistics.
+    /// Records an attempt that is sent in its part, its query, its replica and the statistics.
     fn record_sent(&mut self, planned: &PlannedAttempt) {
         let part = self.queries.parts.get_mut(&planned.part);
-        let part = part.expect("parts that are sent are held");
+        let part = part.expect("a part that is sent is in the table");
         let attempt = AttemptId {
             part: planned.part,
             number: part.attempts.len(),
@@ -139,7 +143,7 @@
         });
         self.outliers.stragglers.add(self.now, attempt);
         self.queries.recount_part(planned.part, &self.replicas);
-        // A pre-check is light, and no measure of the load that replicas bear.
+        // A pre-check is light and says little about the load on the replicas.
         if !planned.is_pre_check {
             self.statistics
                 .count_attempt(self.now, planned.is_retry, self.now, self.retention_s);
@@ -148,7 +152,7 @@
             hedging::add_credit(&mut self.statistics, self.replicas.listed());
         }
         let replica = self.replicas.get_mut(planned.replica);
-        let replica = replica.expect("holders are listed");
+        let replica = replica.expect("a holder is in the replica table");
         let window_start = self.now - self.settings.overload_window_s;
         time_window::add(&mut replica.statistics.sent_times, self.now, window_start);
         replica.part_sent(self.now, self.settings.max_call_parts);
@@ -159,16 +163,17 @@
             .part_sent(self.now);
     }
 
-    /// Checks a part without an answer: it is sent again after a failure. When it is late, a spare is sent in its place, or a
-    /// hedged request, or where two may not be in flight the attempt is cancelled if its replica is ejected.
-    /// Returns whether nothing but time or an answer brings it any further.
+    /// Checks a part without an answer. A failed part is sent again. For a late part, a spare part or a hedged request is
+    /// sent; if two attempts may not be in flight at once, the late attempt is cancelled if its replica is ejected.
+    ///
+    /// Returns whether the part needs no further check until it becomes late or its state changes.
     pub(super) fn check_part(&mut self, id: PartId, out: &mut Vec<Action>) -> bool {
         let view = self.view();
         let part = &self.queries.parts[&id];
         let query = part.query.map(|query| &self.queries.open[&query]);
         let is_waiting =
             query.is_some_and(|query| crash_detection::is_waiting_for_probe(&view, query));
-        if part.is_answered || !part.is_wanted || is_waiting {
+        if part.is_answered || !part.is_selected || is_waiting {
             return !is_waiting;
         }
         let Some((number, first)) = part.in_flight().next() else {
@@ -178,7 +183,7 @@
             return false;
         };
         let is_hedged = part.in_flight().nth(1).is_some();
-        let age_s = self.now - first.sent_at - first.own_stall_s;
+        let age_s = self.now - first.sent_at - first.process_pause_s;
         let is_ejected = self
             .replicas
             .is_ejected(first.replica, first.measured_class);
@@ -187,36 +192,42 @@
             return !is_ejected;
         }
         let is_overdue = age_s > view.overdue_s(first.measured_class);
-        let may_recall = is_ejected && is_overdue;
-        let has_acted = self.send_spare(id, out) || self.act_on_late(id, number, may_recall, out);
+        let may_cancel = is_ejected && is_overdue;
+        let has_acted =
+            self.send_spare(id, out) || self.hedge_or_cancel(id, number, may_cancel, out);
         if has_acted {
             self.statistics.hedging_credit -= 1.0;
         }
         false
     }
 
-    /// Cancels the late attempt of a part, if it may be recalled, or else sends a hedged request. Returns whether it did.
-    fn act_on_late(
+    /// Sends a hedged request for a late part or, if hedging is off, cancels the late attempt if that is allowed. Returns
+    /// whether either was done.
+    fn hedge_or_cancel(
         &mut self,
         id: PartId,
         number: usize,
-        may_recall: bool,
+        may_cancel: bool,
         out: &mut Vec<Action>,
     ) -> bool {
         let view = self.view();
         let part = &self.queries.parts[&id];
-        let can_recall = may_recall
+        let can_cancel_late = may_cancel
             && self.settings.can_cancel
             && view.is_idempotent(part.class)
             && part.attempts.len() < part.max_attempts;
-        let can_act = self.settings.can_hedge || can_recall;
+        let can_act = self.settings.can_hedge || can_cancel_late;
         if !can_act || !retry::is_worthwhile(&view, part, false) {
             return false;
         }
         if self.settings.can_hedge {
             return self.send(id, out);
         }
-        let part = self.queries.parts.get_mut(&id).expect("it is held");
+        let part = self
+            .queries
+            .parts
+            .get_mut(&id)
+            .expect("the part is in the table");
         part.attempts[number].is_cancelled = true;
         self.queries.recount_part(id, &self.replicas);
         out.push(Action::Cancel {
@@ -226,21 +237,21 @@
         true
     }
 
-    /// Sends a part that a complete answer did not need, in place of a late one. Returns whether it did.
+    /// Sends a spare part, which a complete answer does not need, in index of a late one. Returns whether a part was sent.
     fn send_spare(&mut self, late: PartId, out: &mut Vec<Action>) -> bool {
         let Some(query) = self.queries.query_of(&self.queries.parts[&late]) else {
             return false;
         };
         let has_spares = self.settings.classes[query.class].complete_share < 1.0;
-        let place = query.progress.first_spare().filter(|_| has_spares);
-        let Some(spare) = place.map(|place| query.parts[place]) else {
+        let index = query.progress.first_spare().filter(|_| has_spares);
+        let Some(spare) = index.map(|index| query.parts[index]) else {
             return false;
         };
-        self.queries.want(spare, &self.replicas);
+        self.queries.select(spare, &self.replicas);
         self.send(spare, out)
     }
 
-    /// Takes the end of an attempt; an end of one that is unknown or has ended is ignored.
+    /// Handles the end of an attempt. Ends of attempts that are unknown or have ended already are ignored.
     pub(super) fn handle_attempt_end(&mut self, end: AttemptEnd, out: &mut Vec<Action>) {
         let Some(part) = self.queries.parts.get_mut(&end.part) else {
             return;
@@ -276,7 +287,7 @@
         }
         if matches!(end.outcome, Outcome::Ok | Outcome::Matches) {
             if let Some(query) = self.queries.open.get_mut(&query) {
-                query.is_harmless = true;
+                query.has_served_part = true;
             }
         }
         if is_answered && self.settings.can_cancel {
@@ -301,14 +312,14 @@
     }
 }
 
-/// Whether one more attempt of a part counts as a retry. What follows a pre-check that found a match is the part's first full
-/// attempt.
+/// Returns whether a further attempt of a part counts as a retry. The attempt after a pre-check with a match does not: it
+/// is the part's first full attempt.
 fn is_retry(part: &Part) -> bool {
     let last = part.attempts.last();
     last.is_some_and(|last| last.outcome != Some(Outcome::Matches))
 }
 
-/// The latency of an attempt that has ended, without the stalls of this process (seconds).
+/// Returns the latency of an attempt that has ended, without the pauses of this process (seconds).
 fn latency_s(end: &AttemptEnd, attempt: &Attempt, now: f64) -> f64 {
     let is_plausible = end.took_s >= 0.0 && end.took_s.is_finite();
     let in_flight_s = if is_plausible {
@@ -316,5 +327,5 @@
     } else {
         now - attempt.sent_at
     };
-    (in_flight_s - attempt.own_stall_s).max(0.0)
+    (in_flight_s - attempt.process_pause_s).max(0.0)
 }
--- a/src/decisions/congestion.rs
+++ b/src/decisions/congestion.rs
@@ -41,7 +41,7 @@
     }
 
     /// Takes a query that was given up after `rejected_share` of its parts had been rejected.
-    pub fn query_lost(&mut self, now: f64, objective_s: f64, rejected_share: f64) {
+    pub fn query_unanswered(&mut self, now: f64, objective_s: f64, rejected_share: f64) {
         let is_congested = rejected_share >= MIN_REJECTED_SHARE;
         self.price = if is_congested {
             self.max_price
--- a/src/decisions/congestion/tests.rs
+++ b/src/decisions/congestion/tests.rs
@@ -6,13 +6,13 @@
 #[test]
 fn a_query_lost_asks_nearly_all_and_falls_by_itself() {
     let mut congestion = Congestion::new(9.5);
-    congestion.query_lost(5.0, 1.0, 0.1);
+    congestion.query_unanswered(5.0, 1.0, 0.1);
     assert_eq!(
         congestion.price(5.0, 1.0),
         0.0,
         "few parts rejected are no congestion"
     );
-    congestion.query_lost(5.0, 1.0, 0.5);
+    congestion.query_unanswered(5.0, 1.0, 0.5);
     assert_eq!(congestion.price(5.0, 1.0), 9.5, "some always pass");
     assert!(
         congestion.price(7.0, 1.0) < 9.0 && congestion.price(7.0, 2.0) > congestion.price(7.0, 1.0),
@@ -25,7 +25,7 @@
 #[test]
 fn a_few_answers_end_it() {
     let mut congestion = Congestion::new(9.5);
-    congestion.query_lost(5.0, 1.0, 0.5);
+    congestion.query_unanswered(5.0, 1.0, 0.5);
     (0..4).for_each(|_| congestion.query_answered(5.0, 1.0));
     assert_eq!(congestion.price(5.0, 1.0), 0.0);
     congestion.query_answered(5.0, 1.0);
--- a/src/decisions/draining.rs
+++ b/src/decisions/draining.rs
@@ -4,12 +4,12 @@
 //! choose a replica, and never read a clock.
 
 /// Share of the drain grace in which the last holders of a shard are still used.
-const SHARE_OF_GRACE: f64 = 0.85;
+const USABLE_GRACE_SHARE: f64 = 0.85;
 /// Longest delay of the notification and of a send on their way, together (seconds).
 const MAX_DELAY_S: f64 = 0.2;
 
 /// Until when a replica may be used of whose draining we were notified at `notified_at`; `grace_s` is the drain grace.
 #[inline]
 pub fn usable_until(notified_at: f64, grace_s: f64) -> f64 {
-    notified_at + (SHARE_OF_GRACE * grace_s).min(grace_s - MAX_DELAY_S)
+    notified_at + (USABLE_GRACE_SHARE * grace_s).min(grace_s - MAX_DELAY_S)
 }
--- a/src/decisions/hedging.rs
+++ b/src/decisions/hedging.rs
@@ -1,48 +1,48 @@
-//! Hedged requests: which parts are late enough for a second attempt beside the first, and how many such there may be.
-//!
-//! This file owns the ages from which parts are late and the credit for hedged requests. It must never send anything.
+//! Hedged requests: which parts are late enough for a second attempt in parallel to the first, and how many such attempts
+//! may be sent.
 
 use crate::decisions::learned_state::Statistics;
 use crate::decisions::query::{Attempt, Query};
-use crate::decisions::query_progress::Group;
+use crate::decisions::query_progress::AttemptGroup;
 use crate::decisions::retry;
 use crate::decisions::view::{own_load_share, View};
 
-/// Credit for hedged requests that each first attempt earns.
+/// Credit for hedged requests added by each first attempt.
 const CREDIT_PER_ATTEMPT: f64 = 0.1;
-/// Largest credit in a small deployment, and for each replica in a larger one.
+/// Largest credit in a small deployment, and largest credit per replica in a larger one.
 const MAX_CREDIT: f64 = 10.0;
 const MAX_CREDIT_PER_REPLICA: f64 = 0.2;
-/// Share of the retry budget that hedged requests leave for failures.
+/// Share of the retry budget that is reserved for retries after failures.
 const BUDGET_SHARE_FOR_FAILURES: f64 = 0.5;
-/// In a fleet, the age of a part from which it is hedged (latency objectives).
+/// In a fleet, the age from which a part may be hedged (latency objectives).
 const FLEET_HEDGE_OBJECTIVES: f64 = 0.5;
-/// A part at an ejected replica is late at this share of the overdue time.
+/// A part at an ejected replica is late after this share of the overdue time.
 const EJECTED_OVERDUE_SHARE: f64 = 0.5;
 /// Rounding error of sums of times (seconds).
 const ROUNDING_S: f64 = 1e-6;
 
-/// Adds the credit that a first attempt earns.
+/// Adds the credit for a first attempt.
 pub(crate) fn add_credit(statistics: &mut Statistics, listed_replicas: usize) {
     let max_credit = MAX_CREDIT.max(MAX_CREDIT_PER_REPLICA * listed_replicas as f64);
     statistics.hedging_credit = (statistics.hedging_credit + CREDIT_PER_ATTEMPT).min(max_credit);
 }
 
-/// Whether no part gets another attempt for lateness now.
+/// Returns whether late parts get no further attempt at present, because credit or retry budget is used up.
 pub(crate) fn is_suspended(view: &View) -> bool {
     view.statistics.hedging_credit < 1.0
         || !retry::is_within_budget(view, 1.0 - BUDGET_SHARE_FOR_FAILURES)
 }
 
-/// Age from which a part of the class may be hedged at all (seconds). In a fleet a hedged request waits as long as it can
-/// still be in time, since those of all aggregators load the neighbours of a slow replica.
+/// Returns the age from which a part of the class may be hedged (seconds). In a fleet a hedged request is sent as late as
+/// it can still be answered in time, because the hedged requests of all aggregators add load to the other holders of a slow
+/// replica's shards.
 fn min_hedge_age_s(view: &View, class: usize) -> f64 {
     FLEET_HEDGE_OBJECTIVES
         * (1.0 - own_load_share(view.settings))
         * view.class(class).latency_objective_s
 }
 
-/// Age from which an attempt of a part is late (seconds).
+/// Returns the age from which an attempt of a part is late (seconds).
 fn late_age_s(view: &View, part_class: usize, measured_class: usize, is_ejected: bool) -> f64 {
     let overdue_s = view.overdue_s(measured_class);
     if is_ejected {
@@ -52,7 +52,7 @@
     }
 }
 
-/// Whether an attempt of a part is late; `age_s` is its time in flight.
+/// Returns whether an attempt of a part is late; `age_s` is its time in flight.
 pub(crate) fn is_late(
     view: &View,
     part_class: usize,
@@ -63,7 +63,8 @@
     age_s >= late_age_s(view, part_class, attempt.measured_class, is_ejected)
 }
 
-/// Places of the parts of a query with a single late attempt, in order; none while nothing is sent for lateness.
+/// Returns the indices of the parts of a query whose single attempt is late, in order. Returns none if hedging is suspended
+/// and no part is pending.
 pub(crate) fn late_parts(view: &View, query: &Query) -> Vec<usize> {
     let mut late = Vec::new();
     let has_pending = query.progress.next_pending(0).is_some();
@@ -81,14 +82,17 @@
 fn add_late_parts(
     view: &View,
     query: &Query,
-    pre_check: bool,
+    is_pre_check: bool,
     measured_class: usize,
     late: &mut Vec<usize>,
 ) {
-    for ejected in [false, true] {
-        let age_s = late_age_s(view, query.class, measured_class, ejected);
+    for is_ejected in [false, true] {
+        let age_s = late_age_s(view, query.class, measured_class, is_ejected);
         let sent_by = view.now - age_s + ROUNDING_S;
-        let group = Group { pre_check, ejected };
+        let group = AttemptGroup {
+            is_pre_check,
+            is_ejected,
+        };
         late.extend(query.progress.sent_by(group, sent_by));
     }
 }
--- a/src/decisions/latency.rs
+++ b/src/decisions/latency.rs
@@ -44,7 +44,7 @@
 
 impl Latencies {
     /// First guess, before any answer.
-    pub(crate) fn guess(class: &ClassSettings) -> Latencies {
+    pub(crate) fn initial(class: &ClassSettings) -> Latencies {
         Latencies {
             median_s: class.latency_objective_s / MEDIANS_PER_OBJECTIVE,
             p95_s: class.latency_objective_s / P95S_PER_OBJECTIVE,
@@ -136,7 +136,7 @@
 
 /// Time in which what is known of one replica fades: some parts per replica, since at size these are seconds apart.
 pub(crate) fn decay_window_s(statistics: &Statistics, listed_replicas: usize, now: f64) -> f64 {
-    let accepted = time_window::since(&statistics.accepted_times, now - SEND_RATE_WINDOW_S);
+    let accepted = time_window::count_since(&statistics.accepted_times, now - SEND_RATE_WINDOW_S);
     let window = PARTS_PER_DECAY_WINDOW * SEND_RATE_WINDOW_S * listed_replicas as f64
         / accepted.max(1) as f64;
     MIN_DECAY_WINDOW_S.max(window)
--- a/src/decisions/learned_state.rs
+++ b/src/decisions/learned_state.rs
@@ -67,7 +67,7 @@
 
 impl TenantQueries {
     /// No query was counted yet.
-    pub(crate) fn none(now: f64) -> TenantQueries {
+    pub(crate) fn new(now: f64) -> TenantQueries {
         TenantQueries {
             count: 0.0,
             updated_at: now,
@@ -181,7 +181,7 @@
     pub(crate) fn recent_first_attempts(&self) -> usize {
         let latest = self.first_attempt_times.last();
         latest.map_or(0, |latest| {
-            time_window::since(&self.first_attempt_times, latest - SEND_RATE_WINDOW_S)
+            time_window::count_since(&self.first_attempt_times, latest - SEND_RATE_WINDOW_S)
         })
     }
 }
@@ -210,16 +210,16 @@
     pub statistics: Statistics,
 }
 
-/// Values by class or tenant after a change of settings: each is taken from its former place, or made anew.
-pub(crate) fn carry_over<T: Clone>(
-    former_places: &[Option<usize>],
+/// Values by class or tenant after a change of settings: each is taken from its former index, or made anew.
+pub(crate) fn remap<T: Clone>(
+    former_indices: &[Option<usize>],
     values: &[T],
     new: impl Fn(usize) -> T,
 ) -> Vec<T> {
-    let value_at = |(place, former): (usize, &Option<usize>)| {
+    let value_at = |(index, former): (usize, &Option<usize>)| {
         former
             .and_then(|former| values.get(former).cloned())
-            .unwrap_or_else(|| new(place))
+            .unwrap_or_else(|| new(index))
     };
-    former_places.iter().enumerate().map(value_at).collect()
+    former_indices.iter().enumerate().map(value_at).collect()
 }
--- a/src/decisions/learning.rs
+++ b/src/decisions/learning.rs
@@ -1,7 +1,6 @@
-//! Learning from outcomes: what the end of an attempt shows about its replica.
+//! Updates the statistics of replicas and classes from the end of each attempt.
 //!
-//! This file owns which statistics each outcome changes. The answers of one class do not count for the health of another.
-//! It must never send, cancel or answer anything.
+//! Results in one class do not count for the health of a replica in another class.
 
 use crate::decisions::api::{Outcome, Settings};
 use crate::decisions::ejection::FAILURES_TO_EJECT;
@@ -17,14 +16,14 @@
 /// An attempt that has ended.
 pub(crate) struct EndedAttempt {
     pub(crate) attempt: Attempt,
-    /// The class of its part; the attempt may count for another.
+    /// Class of the part; a pre-check is counted for another class.
     pub(crate) part_class: usize,
-    /// Time in flight without the stalls of this process (seconds).
+    /// Time in flight without the pauses of this process (seconds).
     pub(crate) latency_s: f64,
     pub(crate) outcome: Outcome,
 }
 
-/// What learns from the end of an attempt.
+/// The parts of an aggregator's state that change when an attempt ends.
 pub(crate) struct Learner<'a> {
     pub(crate) settings: &'a Settings,
     pub(crate) statistics: &'a mut Statistics,
@@ -35,7 +34,7 @@
 }
 
 impl Learner<'_> {
-    /// Takes the end of an attempt. Called once for each.
+    /// Records the end of an attempt. Must be called exactly once for each attempt.
     pub(crate) fn attempt_ended(&mut self, replicas: &mut ReplicaTable, ended: &EndedAttempt) {
         let Some(replica) = replicas.get_mut(ended.attempt.replica) else {
             return;
@@ -46,11 +45,11 @@
             Outcome::Ok | Outcome::Matches | Outcome::Error | Outcome::Rejected
         );
         match ended.outcome {
-            Outcome::Ok | Outcome::Matches => self.served(replica, ended),
-            Outcome::Rejected => self.rejected(replica, ended),
-            Outcome::TimedOut | Outcome::Cancelled => self.unanswered(replica, ended),
-            Outcome::ConnectFailed | Outcome::Reset => self.connection_lost(replica, ended),
-            Outcome::Error => self.failed(replica, ended),
+            Outcome::Ok | Outcome::Matches => self.record_served(replica, ended),
+            Outcome::Rejected => self.record_rejected(replica, ended),
+            Outcome::TimedOut | Outcome::Cancelled => self.record_unanswered(replica, ended),
+            Outcome::ConnectFailed | Outcome::Reset => self.record_connection_lost(replica, ended),
+            Outcome::Error => self.record_error(replica, ended),
             Outcome::Superseded => {}
         }
     }
@@ -59,7 +58,7 @@
         self.settings.classes[ended.attempt.measured_class].latency_objective_s
     }
 
-    fn served(&mut self, replica: &mut Replica, ended: &EndedAttempt) {
+    fn record_served(&mut self, replica: &mut Replica, ended: &EndedAttempt) {
         let attempt = &ended.attempt;
         let measured_class = attempt.measured_class;
         self.statistics.latencies[measured_class].add(ended.latency_s);
@@ -81,8 +80,8 @@
         self.add_delay(replica, ended, ended.latency_s - min_latency_s);
     }
 
-    /// Takes the latency of an answer. That of a pre-check shows the queue: a full answer would have taken longer by the
-    /// difference of the least that either took.
+    /// Records the latency of an answer. The latency of a pre-check is converted to that of a full attempt by adding the
+    /// difference between the least latencies of the two, since both wait in the same queue.
     fn add_latency(&mut self, replica: &mut Replica, ended: &EndedAttempt, min_latency_s: f64) {
         let is_pre_check = ended.attempt.measured_class != ended.part_class;
         let latency_s = if is_pre_check {
@@ -91,7 +90,7 @@
         } else {
             ended.latency_s
         };
-        // No full answer was seen yet.
+        // No full attempt has been answered yet.
         if latency_s >= f64::MAX {
             return;
         }
@@ -102,8 +101,9 @@
         replica.add_relative_latency(self.now, latency_s / self.service_time.average_s);
     }
 
-    /// A queue so full that work is rejected is a latency objective behind, though the rejection comes fast.
-    fn rejected(&mut self, replica: &mut Replica, ended: &EndedAttempt) {
+    /// Records a rejection as a latency of one latency objective: the rejection arrives fast, but shows that the replica's
+    /// queue is full.
+    fn record_rejected(&mut self, replica: &mut Replica, ended: &EndedAttempt) {
         let objective_s = self.objective_s(ended);
         replica.add_relative_latency(self.now, objective_s / self.service_time.average_s);
         self.add_delay(replica, ended, objective_s);
@@ -123,13 +123,14 @@
         }
     }
 
-    fn unanswered(&mut self, replica: &mut Replica, ended: &EndedAttempt) {
+    fn record_unanswered(&mut self, replica: &mut Replica, ended: &EndedAttempt) {
         let attempt = &ended.attempt;
         let objective_s = self.objective_s(ended);
         let overdue_s = overdue_s(self.settings, self.statistics, attempt.measured_class);
         let statistics = &mut replica.statistics.classes[attempt.measured_class];
-        let is_silent = statistics.last_answer_at < attempt.sent_at && ended.latency_s > overdue_s;
-        if ended.outcome == Outcome::TimedOut || is_silent {
+        let is_counted_unresponsive =
+            statistics.last_answer_at < attempt.sent_at && ended.latency_s > overdue_s;
+        if ended.outcome == Outcome::TimedOut || is_counted_unresponsive {
             self.outliers.note_failure();
             let has_changed = statistics.ejection.count_failure(self.now, objective_s, 1);
             self.outliers.count_change(has_changed);
@@ -141,7 +142,7 @@
         }
     }
 
-    fn connection_lost(&mut self, replica: &mut Replica, ended: &EndedAttempt) {
+    fn record_connection_lost(&mut self, replica: &mut Replica, ended: &EndedAttempt) {
         let objective_s = self.objective_s(ended);
         self.outliers.note_failure();
         let ejection = &mut replica.statistics.ejection;
@@ -149,7 +150,7 @@
         self.outliers.count_change(has_changed);
     }
 
-    fn failed(&mut self, replica: &mut Replica, ended: &EndedAttempt) {
+    fn record_error(&mut self, replica: &mut Replica, ended: &EndedAttempt) {
         let objective_s = self.objective_s(ended);
         let statistics = &mut replica.statistics;
         statistics.failure_rate += SMOOTHING * (1.0 - statistics.failure_rate);
--- a/src/decisions/outlier_detection.rs
+++ b/src/decisions/outlier_detection.rs
@@ -1,7 +1,4 @@
-//! Outlier detection: which attempts are silent, and which replicas are ejected for it.
-//!
-//! This file owns the check of old attempts, the count of health changes and the losses on idle connections. It must never
-//! choose a replica or send anything, and never read a clock.
+//! Outlier detection: finds attempts without an answer and ejects the replicas that do not respond.
 
 use crate::decisions::api::Settings;
 use crate::decisions::ejection::FAILURES_TO_EJECT;
@@ -14,14 +11,15 @@
 use crate::decisions::stragglers::{AttemptId, Stragglers};
 use crate::decisions::view::overdue_s;
 
-/// An attempt in flight for this multiple of the overdue time is silent.
-const SILENT_PER_OVERDUE: f64 = 2.0;
-/// ... and for this multiple of its replica's known latency.
-const SILENT_PER_LATENCY: f64 = 2.0;
+/// An attempt is unresponsive when it has been in flight for this multiple of the overdue time and, in addition, for
+/// `UNRESPONSIVE_PER_LATENCY` times the known latency of its replica.
+const UNRESPONSIVE_PER_OVERDUE: f64 = 2.0;
+/// Multiple of the replica's known latency after which an attempt is unresponsive.
+const UNRESPONSIVE_PER_LATENCY: f64 = 2.0;
 /// Rounding error of sums of times (seconds).
 const ROUNDING_S: f64 = 1e-6;
 
-/// What is observed of the health of replicas in addition to their own statistics.
+/// The state of outlier detection beyond the statistics of the replicas.
 pub(crate) struct OutlierDetector {
     pub(crate) stragglers: Stragglers,
     pub(crate) idle_losses: IdleLosses,
@@ -29,18 +27,18 @@
     version: u64,
 }
 
-/// What the check of one silent attempt rests on.
-struct SilentAttempt {
+/// The data for the check of one attempt without an answer.
+struct UnresponsiveAttempt {
     measured_class: usize,
     sent_at: f64,
     connection_idle_s: f64,
-    silent_after_s: f64,
+    unresponsive_after_s: f64,
     objective_s: f64,
     now: f64,
 }
 
 impl OutlierDetector {
-    /// Nothing was observed yet.
+    /// Creates a detector without observations.
     pub(crate) fn new(now: f64) -> OutlierDetector {
         OutlierDetector {
             stragglers: Stragglers::default(),
@@ -50,29 +48,30 @@
         }
     }
 
-    /// Changes with each ejection and each end of one.
+    /// Returns a version that changes with each start and end of an ejection.
     pub(crate) fn version(&self) -> u64 {
         self.version
     }
 
-    /// Counts a change of ejections, if there was one.
+    /// Increments the version if an ejection has started or ended.
     pub(crate) fn count_change(&mut self, has_changed: bool) {
         self.version += u64::from(has_changed);
     }
 
-    /// Takes note that a replica may have been ejected, so that all open queries are checked.
+    /// Records that a replica may have been ejected, so that the next periodic check covers all open queries.
     pub(crate) fn note_failure(&mut self) {
         self.has_new_failure = true;
     }
 
-    /// Whether a replica may have been ejected since the last call.
+    /// Returns whether a replica may have been ejected since the last call.
     pub(crate) fn take_new_failure(&mut self) -> bool {
         std::mem::take(&mut self.has_new_failure)
     }
 
-    /// Ejects what answers nothing: the replica, or the class where only that is unanswered. This finds replicas that hang,
-    /// are cut off, or drop one class. A stall that all replicas share ejects all of them; last holders stay in use.
-    pub(crate) fn eject_silent(
+    /// Ejects replicas that do not respond, for one class if they still answer others. This detects replicas that hang, are
+    /// partitioned from the network or drop one class. A stall of all replicas ejects all of them; the last holders of a
+    /// shard stay in use nevertheless.
+    pub(crate) fn eject_unresponsive(
         &mut self,
         queries: &mut QueryTable,
         replicas: &mut ReplicaTable,
@@ -82,15 +81,18 @@
         now: f64,
     ) {
         let limits: Vec<f64> = (0..statistics.latencies.len())
-            .map(|class| SILENT_PER_OVERDUE * overdue_s(settings, statistics, class))
+            .map(|class| UNRESPONSIVE_PER_OVERDUE * overdue_s(settings, statistics, class))
             .collect();
         let min_limit = limits.iter().copied().fold(f64::MAX, f64::min);
         let sent_by = now - min_limit + ROUNDING_S;
         let is_in_flight = |id: &AttemptId| queries.is_in_flight(id.part, id.number);
         for id in self.stragglers.sent_by(sent_by, is_in_flight) {
-            let part = queries.parts.get_mut(&id.part).expect("it is in flight");
+            let part = queries
+                .parts
+                .get_mut(&id.part)
+                .expect("parts in flight are in the table");
             let attempt = &mut part.attempts[id.number];
-            let sent_at = attempt.sent_at + attempt.own_stall_s;
+            let sent_at = attempt.sent_at + attempt.process_pause_s;
             let limit = limits[attempt.measured_class];
             if now - sent_at <= limit {
                 continue;
@@ -101,52 +103,60 @@
             };
             let relative_latency = replica.statistics.relative_latency.unwrap_or(0.0);
             let known_latency_s = service_time.average_s * relative_latency;
-            let silent = SilentAttempt {
+            let unresponsive = UnresponsiveAttempt {
                 measured_class: attempt.measured_class,
                 sent_at,
                 connection_idle_s: attempt.connection_idle_s,
-                silent_after_s: limit.max(SILENT_PER_LATENCY * known_latency_s),
+                unresponsive_after_s: limit.max(UNRESPONSIVE_PER_LATENCY * known_latency_s),
                 objective_s: settings.classes[attempt.measured_class].latency_objective_s,
                 now,
             };
-            self.eject_class(replica, attempt, &silent);
-            self.eject_whole(replica, &silent);
+            self.eject_class(replica, attempt, &unresponsive);
+            self.eject_whole(replica, &unresponsive);
         }
     }
 
-    /// Counts a silent attempt against its class, once.
+    /// Counts an unresponsive attempt against its replica's class, once.
     fn eject_class(
         &mut self,
         replica: &mut Replica,
         attempt: &mut Attempt,
-        silent: &SilentAttempt,
+        unresponsive: &UnresponsiveAttempt,
     ) {
-        if attempt.is_silent || silent.now - silent.sent_at <= silent.silent_after_s {
+        if attempt.is_counted_unresponsive
+            || unresponsive.now - unresponsive.sent_at <= unresponsive.unresponsive_after_s
+        {
             return;
         }
-        attempt.is_silent = true;
-        let statistics = &mut replica.statistics.classes[silent.measured_class];
-        let weight = if statistics.last_answer_at > silent.sent_at {
+        attempt.is_counted_unresponsive = true;
+        let statistics = &mut replica.statistics.classes[unresponsive.measured_class];
+        let weight = if statistics.last_answer_at > unresponsive.sent_at {
             1
         } else {
             FAILURES_TO_EJECT
         };
         let ejection = &mut statistics.ejection;
-        let has_changed = ejection.count_failure(silent.now, silent.objective_s, weight);
+        let has_changed =
+            ejection.count_failure(unresponsive.now, unresponsive.objective_s, weight);
         self.count_change(has_changed);
-        let answered_nothing = replica.statistics.last_answer_at <= silent.sent_at;
-        if answered_nothing && self.idle_losses.part_lost(silent.connection_idle_s) {
-            replica.lost_after_idle_s = Some(silent.connection_idle_s);
+        let answered_nothing = replica.statistics.last_answer_at <= unresponsive.sent_at;
+        if answered_nothing && self.idle_losses.part_lost(unresponsive.connection_idle_s) {
+            replica.lost_after_idle_s = Some(unresponsive.connection_idle_s);
         }
     }
 
-    /// Ejects the replica as a whole where it has answered nothing since the attempt was sent.
-    fn eject_whole(&mut self, replica: &mut Replica, silent: &SilentAttempt) {
-        let silent_since = replica.statistics.last_answer_at.max(silent.sent_at);
+    /// Ejects the whole replica if it has answered nothing since the attempt was sent.
+    fn eject_whole(&mut self, replica: &mut Replica, unresponsive: &UnresponsiveAttempt) {
+        let unanswered_since = replica.statistics.last_answer_at.max(unresponsive.sent_at);
         let ejection = &mut replica.statistics.ejection;
-        if silent.now - silent_since > silent.silent_after_s && !ejection.is_ejected() {
-            let has_changed =
-                ejection.count_failure(silent.now, silent.objective_s, FAILURES_TO_EJECT);
+        if unresponsive.now - unanswered_since > unresponsive.unresponsive_after_s
+            && !ejection.is_ejected()
+        {
+            let has_changed = ejection.count_failure(
+                unresponsive.now,
+                unresponsive.objective_s,
+                FAILURES_TO_EJECT,
+            );
             self.count_change(has_changed);
         }
     }
--- a/src/decisions/query.rs
+++ b/src/decisions/query.rs
@@ -1,7 +1,6 @@
-//! Queries, their parts and the attempts of these, and the tables in which they are found.
+//! Queries, their parts and attempts, and the tables that index them.
 //!
-//! This file owns that state and keeps each query's [`Progress`] in step with its parts. It must never decide what is
-//! sent, answered or rejected, and never read a clock.
+//! [`QueryTable`] updates the [`Progress`] of a query whenever one of its parts changes.
 
 use crate::decisions::api::{Outcome, PartId, PreCheck, QueryId, ReplicaId};
 use crate::decisions::query_progress::{InFlight, PartState, Progress};
@@ -13,19 +12,19 @@
 pub(crate) struct Attempt {
     pub(crate) replica: ReplicaId,
     pub(crate) sent_at: f64,
-    /// The class whose statistics it counts for: its part's, or that of the pre-check.
+    /// Class that the attempt is counted for in the statistics: the class of its part, or that of the pre-check.
     pub(crate) measured_class: usize,
-    /// How it ended; none while it is in flight.
+    /// Result of the attempt; `None` while it is in flight.
     pub(crate) outcome: Option<Outcome>,
     pub(crate) is_cancelled: bool,
-    /// Whether its silence was counted as a failure already.
-    pub(crate) is_silent: bool,
-    /// How many other attempts were in flight when it was sent.
+    /// True once the missing answer has been counted as a failure of the replica.
+    pub(crate) is_counted_unresponsive: bool,
+    /// Number of other attempts in flight when this one was sent.
     pub(crate) in_flight_when_sent: u32,
-    /// How long its connection had been unused when it was sent (seconds).
+    /// Time for which the connection had been unused when the attempt was sent (seconds).
     pub(crate) connection_idle_s: f64,
-    /// How much of its time in flight was a stall of this process (seconds).
-    pub(crate) own_stall_s: f64,
+    /// Total length of the pauses of this process while the attempt was in flight (seconds).
+    pub(crate) process_pause_s: f64,
 }
 
 impl Attempt {
@@ -35,33 +34,33 @@
     }
 }
 
-/// A part of a query's present step, or of a former one while attempts are in flight.
+/// A part of a query's present step, or of an earlier step while it has attempts in flight.
 #[derive(Default)]
 pub(crate) struct Part {
-    /// None once the query's step is over.
+    /// Query that the part belongs to; `None` once its step has ended.
     pub(crate) query: Option<QueryId>,
-    /// Place among the parts of its query's step.
+    /// Index among the parts of the query's step.
     pub(crate) index: usize,
     pub(crate) class: usize,
     pub(crate) shard: u32,
     pub(crate) weight: f64,
-    /// Expected work (seconds), where the client said so.
+    /// Estimate of the work (seconds), if the client gave one.
     pub(crate) cost_hint_s: Option<f64>,
-    /// Whether the query needs its answer; if not, it is a spare.
-    pub(crate) is_wanted: bool,
+    /// True if the part is selected to be sent; a part that is not selected is a spare.
+    pub(crate) is_selected: bool,
     pub(crate) is_answered: bool,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) max_attempts: usize,
 }
 
 impl Part {
-    /// Whether the replica of its last attempt rejected it, since its queue was full.
+    /// Returns whether the replica of the last attempt rejected it because its queue was full.
     pub(crate) fn is_rejected(&self) -> bool {
         let last = self.attempts.last();
         last.is_some_and(|last| last.outcome == Some(Outcome::Rejected))
     }
 
-    /// Its attempts in flight, each with its number.
+    /// Returns the attempts in flight, each with its number.
     pub(crate) fn in_flight(&self) -> impl Iterator<Item = (usize, &Attempt)> {
         self.attempts
             .iter()
@@ -69,12 +68,13 @@
             .filter(|(_, attempt)| attempt.is_in_flight())
     }
 
-    /// Its state for the progress of its query; `is_ejected` says so of the replica of an attempt.
+    /// Returns the state of the part for the progress of its query; `is_ejected` tells whether the replica of an attempt is
+    /// ejected.
     pub(crate) fn state(&self, is_ejected: impl Fn(&Attempt) -> bool) -> PartState {
         if self.is_answered {
             return PartState::Answered;
         }
-        if !self.is_wanted {
+        if !self.is_selected {
             return PartState::Spare;
         }
         let mut in_flight = self.in_flight().map(|(_, attempt)| attempt);
@@ -85,13 +85,13 @@
         };
         PartState::InFlight(InFlight {
             sent_at: first.sent_at,
-            pre_check: first.measured_class != self.class,
-            ejected: is_ejected(first),
-            single: !first.is_cancelled && in_flight.next().is_none(),
+            is_pre_check: first.measured_class != self.class,
+            is_ejected: is_ejected(first),
+            is_single: !first.is_cancelled && in_flight.next().is_none(),
         })
     }
 
-    /// The first attempt that may have run: all but those that are proved not to have.
+    /// Returns the first attempt that may have been executed, which excludes those whose result proves that they were not.
     pub(crate) fn first_that_may_have_run(&self) -> Option<&Attempt> {
         let never_ran = |attempt: &&Attempt| {
             matches!(
@@ -103,7 +103,7 @@
     }
 }
 
-/// What a query has in common with its client's repeats of it.
+/// The properties of a query that its client's repeats of it share.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RequestFingerprint {
     pub(crate) class: u16,
@@ -112,62 +112,62 @@
     pub(crate) shards: Vec<u32>,
 }
 
-/// A time in which nothing is to be done about a query unless something happens to it.
+/// A period in which a query needs no check unless one of its parts changes.
 #[derive(Clone, Copy)]
 pub(crate) struct QuietPeriod {
-    /// When the query itself is due.
+    /// Time at which the query itself is due.
     pub(crate) until: f64,
-    /// When the oldest of its attempts in flight was sent: it becomes overdue some time after that.
+    /// Time at which the oldest of the attempts in flight was sent, from which it becomes overdue.
     pub(crate) oldest_sent_at: f64,
 }
 
 /// An open query.
 #[derive(Default)]
 pub(crate) struct Query {
-    /// Its number at this aggregator, which its parts bear.
+    /// Number of the query at this aggregator, by which its parts refer to it.
     pub(crate) number: u32,
     pub(crate) class: usize,
-    /// Whether the client marked it as a repeat.
+    /// True if the client marked the query as a repeat.
     pub(crate) is_repeat: bool,
     pub(crate) deadline: f64,
     pub(crate) arrived_at: f64,
-    /// When its latency objective is over, counted from the client's first try.
+    /// End of the latency objective, counted from the client's first try.
     pub(crate) objective_at: f64,
-    /// Parts of its present step.
+    /// Number of parts of the present step.
     pub(crate) expected_parts: usize,
-    /// Those that have come.
+    /// Parts of the present step that have arrived.
     pub(crate) parts: Vec<PartId>,
     pub(crate) progress: Progress,
-    /// The count of health changes at which the progress was last recounted.
+    /// Version of the ejections (`OutlierDetector::version`) at the last update of the progress.
     pub(crate) health_version: u64,
     pub(crate) pre_check: Option<PreCheck>,
     pub(crate) is_in_second_step: bool,
     pub(crate) is_first_step_complete: bool,
     pub(crate) fingerprint: RequestFingerprint,
-    /// Since when its parts are sent one at a time, where that is so.
+    /// Time since which one part is sent as a probe before the others; `None` if there is no probe.
     pub(crate) probing_since: Option<f64>,
-    /// When a connection was first reset under one of its parts.
+    /// Time of the first connection reset under one of the query's parts.
     pub(crate) first_reset_at: Option<f64>,
-    /// Whether some replica has served a part of it, which shows that it is not crash-inducing.
-    pub(crate) is_harmless: bool,
+    /// True if a replica has served a part, which shows that the query is not crash-inducing.
+    pub(crate) has_served_part: bool,
     pub(crate) quiet: Option<QuietPeriod>,
-    /// Weight that its tenant's quota leaves it, from 0 to 1.
+    /// Share of its weight that the tenant's quota leaves the query, from 0 to 1.
     pub(crate) quota_weight: f64,
 }
 
 impl Query {
-    /// Whether all parts of its present step have come.
+    /// Returns whether all parts of the present step have arrived.
     pub(crate) fn has_all_parts(&self) -> bool {
         self.parts.len() == self.expected_parts
     }
 }
 
-/// The open queries and all parts with something in flight.
+/// The open queries, and all parts with attempts in flight.
 #[derive(Default)]
 pub(crate) struct QueryTable {
     pub(crate) open: BTreeMap<QueryId, Query>,
     ids_by_number: BTreeMap<u32, QueryId>,
-    /// Parts of open queries, and ended ones with attempts still in flight.
+    /// Parts of open queries, and parts of ended steps that still have attempts in flight.
     pub(crate) parts: BTreeMap<PartId, Part>,
 }
 
@@ -183,23 +183,23 @@
         }
     }
 
-    /// The open query with this number.
+    /// Returns the id of the open query with this number.
     pub(crate) fn id_of_number(&self, number: u32) -> Option<QueryId> {
         self.ids_by_number.get(&number).copied()
     }
 
-    /// The open query that a part belongs to.
+    /// Returns the open query that a part belongs to.
     #[inline]
     pub(crate) fn query_of(&self, part: &Part) -> Option<&Query> {
         part.query.and_then(|query| self.open.get(&query))
     }
 
-    /// The parts of a query, in their order.
+    /// Returns the parts of a query, in order of their indices.
     pub(crate) fn parts_of<'a>(&'a self, query: &'a Query) -> impl Iterator<Item = &'a Part> + 'a {
         query.parts.iter().map(|part| &self.parts[part])
     }
 
-    /// Whether this attempt is in flight.
+    /// Returns whether the given attempt of a part is in flight.
     #[inline]
     pub(crate) fn is_in_flight(&self, part: PartId, attempt: usize) -> bool {
         let part = self.parts.get(&part);
@@ -207,7 +207,8 @@
         attempt.is_some_and(Attempt::is_in_flight)
     }
 
-    /// Brings the progress of a part's query up to date. Called after each change of the part.
+    /// Updates the progress of a part's query. Must be called after each change of the part, or the progress is out of
+    /// date.
     pub(crate) fn recount_part(&mut self, id: PartId, replicas: &ReplicaTable) {
         let part = &self.parts[&id];
         let Some(query) = part.query.and_then(|query| self.open.get_mut(&query)) else {
@@ -218,7 +219,7 @@
         query.progress.set(part.index, part.state(is_ejected));
     }
 
-    /// Recounts which parts of a query are in flight at an ejected replica, if health has changed since the last time.
+    /// Updates which parts of a query are in flight at an ejected replica, if ejections have changed since the last update.
     pub(crate) fn recount_ejected(
         &mut self,
         id: QueryId,
@@ -230,29 +231,32 @@
             return;
         }
         query.health_version = health_version;
-        let places = query.progress.places_in_flight().into_iter();
+        let places = query.progress.indices_in_flight().into_iter();
         let parts: Vec<PartId> = places.map(|index| query.parts[index]).collect();
         for part in parts {
             self.recount_part(part, replicas);
         }
     }
 
-    /// Marks a part as wanted.
-    pub(crate) fn want(&mut self, id: PartId, replicas: &ReplicaTable) {
-        let part = self.parts.get_mut(&id).expect("wanted parts are held");
-        part.is_wanted = true;
+    /// Selects a part to be sent.
+    pub(crate) fn select(&mut self, id: PartId, replicas: &ReplicaTable) {
+        let part = self
+            .parts
+            .get_mut(&id)
+            .expect("a selected part is in the table");
+        part.is_selected = true;
         self.recount_part(id, replicas);
     }
 
-    /// Adds the stall of this process to the age of all attempts in flight.
-    pub(crate) fn add_own_stall(&mut self, stall_s: f64) {
+    /// Adds a pause of this process to all attempts in flight.
+    pub(crate) fn add_process_pause(&mut self, pause_s: f64) {
         let parts = self.parts.values_mut();
         for attempt in parts.flat_map(|part| &mut part.attempts) {
-            attempt.own_stall_s += stall_s;
+            attempt.process_pause_s += pause_s;
         }
     }
 
-    /// Classes that open queries or attempts refer to.
+    /// Returns the classes that open queries or attempts refer to.
     pub(crate) fn referenced_classes(&self) -> BTreeSet<usize> {
         let mut classes = BTreeSet::new();
         for part in self.parts.values() {
@@ -270,20 +274,25 @@
         classes
     }
 
-    /// Follows a change of settings: classes have new places, and the limit on attempts may be lower.
-    pub(crate) fn move_classes(&mut self, new_place: impl Fn(usize) -> usize, max_attempts: usize) {
+    /// Updates class indices after a change of settings, and lowers the limit on attempts of open parts if the new one is
+    /// lower.
+    pub(crate) fn remap_classes(
+        &mut self,
+        new_index: impl Fn(usize) -> usize,
+        max_attempts: usize,
+    ) {
         for query in self.open.values_mut() {
-            query.class = new_place(query.class);
+            query.class = new_index(query.class);
             query.quiet = None;
             if let Some(pre_check) = &mut query.pre_check {
-                pre_check.class = new_place(pre_check.class.into()) as u16;
+                pre_check.class = new_index(pre_check.class.into()) as u16;
             }
         }
         for part in self.parts.values_mut() {
-            part.class = new_place(part.class);
+            part.class = new_index(part.class);
             part.max_attempts = part.max_attempts.min(max_attempts);
             for attempt in &mut part.attempts {
-                attempt.measured_class = new_place(attempt.measured_class);
+                attempt.measured_class = new_index(attempt.measured_class);
             }
         }
     }
--- a/src/decisions/query_lifecycle.rs
+++ b/src/decisions/query_lifecycle.rs
@@ -1,7 +1,6 @@
-//! Queries from acceptance to their end: admission, the check of an open query, answers, rejections and failures.
+//! The lifecycle of queries: admission, the check of open queries, answers, rejections and failures.
 //!
-//! This file owns when an open query changes and which actions follow. Whether it is admitted and when it ends is decided by
-//! `admission.rs` and `completion.rs`. It must never choose a replica.
+//! Prices are computed in `admission.rs`; `completion.rs` decides when a query ends.
 
 use crate::decisions::admission::{self, WEIGHT_ROUNDING};
 use crate::decisions::aggregator::Aggregator;
@@ -13,7 +12,8 @@
 use crate::decisions::{crash_detection, hedging};
 
 impl Aggregator {
-    /// Takes a query; its parts follow. It is rejected at once if there is nothing to do or no time left.
+    /// Registers a query, whose parts follow as separate events. A query without parts or without enough time left is
+    /// rejected at once.
     pub(super) fn handle_query(&mut self, new: NewQuery, out: &mut Vec<Action>) {
         let rejection = Action::Reject {
             query: new.id,
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Takes a part of a query. The last part of a first step admits the query or rejects it; parts of a second step are
-    /// sent at once.
+    /// Registers a part of a query. The last part of a first step triggers the admission of the query; parts of a second
+    /// step are sent at once.
     pub(super) fn handle_part(&mut self, new: NewPart, out: &mut Vec<Action>) {
         let Some(id) = self.queries.id_of_number(new.query_number) else {
             return;
@@ -98,7 +98,7 @@
             cost_hint_s: new
                 .cost_hint_s
                 .filter(|work_s| *work_s > 0.0 && work_s.is_finite()),
-            is_wanted: query.is_in_second_step,
+            is_selected: query.is_in_second_step,
             max_attempts: self.settings.max_attempts as usize,
             ..Part::default()
         };
@@ -106,17 +106,17 @@
         query.fingerprint.shards.push(new.shard);
         query.progress.push(weight, new.shard);
         let has_all_parts = query.has_all_parts();
-        let is_wanted = part.is_wanted;
+        let is_selected = part.is_selected;
         self.queries.parts.insert(new.id, part);
         self.queries.recount_part(new.id, &self.replicas);
-        if is_wanted {
+        if is_selected {
             self.send(new.id, out);
         } else if has_all_parts {
             self.admit(id, out);
         }
     }
 
-    /// Rejects a query whose tokens fall below its price, else sends the parts that its tokens buy.
+    /// Rejects a query whose tokens are below its price, or else sends the parts whose price the tokens cover.
     fn admit(&mut self, id: QueryId, out: &mut Vec<Action>) {
         let draw = self.rng.rand_float();
         let view = self.view();
@@ -128,36 +128,36 @@
             1.0
         };
         let tokens = draw * MAX_TOKENS * lateness_weight * query.quota_weight;
-        let offers = admission::offers(&view, query);
+        let query_price = admission::query_price(&view, query);
         let congestion_price = self.congestion.price(self.now, class.latency_objective_s)
             * (1.0 - view.own_load_share());
-        // A query that may be answered in part goes without the parts that its tokens don't buy.
+        // A query for which a partial answer is allowed omits the parts that its tokens do not cover.
         let is_affordable = |price: f64| price <= tokens;
-        let chosen: Vec<PartId> = offers
+        let chosen: Vec<PartId> = query_price
             .parts
             .iter()
-            .filter(|offer| offer.price.is_some_and(is_affordable))
-            .map(|offer| offer.part)
+            .filter(|part| part.price.is_some_and(is_affordable))
+            .map(|part| part.id)
             .collect();
         let weights = chosen.iter().map(|part| self.queries.parts[part].weight);
-        let bought: f64 = weights.sum();
-        let is_too_little = bought + WEIGHT_ROUNDING < class.min_partial_share;
+        let affordable_weight: f64 = weights.sum();
+        let is_below_partial_share = affordable_weight + WEIGHT_ROUNDING < class.min_partial_share;
         let is_crash_inducing =
             self.crash_inducing
                 .is_rejected(self.now, &query.fingerprint, query.is_repeat);
-        if is_too_little || tokens < congestion_price || is_crash_inducing {
-            return self.reject(id, offers.max_price.max(congestion_price), out);
+        if is_below_partial_share || tokens < congestion_price || is_crash_inducing {
+            return self.reject(id, query_price.max_price.max(congestion_price), out);
         }
         self.send_first(id, chosen, out);
     }
 
-    /// Sends the parts of an admitted query, or only the first as a probe while queries may be crash-inducing.
+    /// Sends the parts of an admitted query, or only the first part as a probe while queries may be crash-inducing.
     fn send_first(&mut self, id: QueryId, parts: Vec<PartId>, out: &mut Vec<Action>) {
-        let is_probing = parts.len() > 1 && self.crash_inducing.is_cautious(self.now);
-        let query = self.queries.open.get_mut(&id).expect("it is open");
+        let is_probing = parts.len() > 1 && self.crash_inducing.has_recent_crash(self.now);
+        let query = self.queries.open.get_mut(&id).expect("the query is open");
         query.probing_since = is_probing.then_some(self.now);
         for part in &parts {
-            self.queries.want(*part, &self.replicas);
+            self.queries.select(*part, &self.replicas);
         }
         let sent_at_once = if is_probing { 1 } else { parts.len() };
         for part in parts.into_iter().take(sent_at_once) {
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Rejects a query: the client may ask again without harm, after the time in which the price falls at the latest.
+    /// Rejects a query. The client may safely retry; the Retry-After is the longest time that the price takes to fall.
     fn reject(&mut self, id: QueryId, price: f64, out: &mut Vec<Action>) {
         out.push(Action::Reject {
             query: id,
@@ -174,8 +174,8 @@
         self.end_query(id, out);
     }
 
-    /// Ends a query without an answer: it is rejected where asking again does no harm, else it fails.
-    fn give_up(&mut self, id: QueryId, out: &mut Vec<Action>) {
+    /// Ends a query without an answer: rejects it if a retry is safe, and fails it otherwise.
+    fn end_unanswered(&mut self, id: QueryId, out: &mut Vec<Action>) {
         let query = &self.queries.open[&id];
         let class = query.class;
         let objective_s = self.settings.classes[class].latency_objective_s;
@@ -183,13 +183,13 @@
         let rejected_parts = parts.filter(|part| part.is_rejected()).count();
         let rejected_share = rejected_parts as f64 / query.parts.len().max(1) as f64;
         self.congestion
-            .query_lost(self.now, objective_s, rejected_share);
+            .query_unanswered(self.now, objective_s, rejected_share);
         let never_ran = || {
             let mut parts = self.queries.parts_of(query);
             parts.all(|part| part.first_that_may_have_run().is_none())
         };
         if self.view().is_idempotent(class) || never_ran() {
-            let price = admission::offers(&self.view(), query).max_price;
+            let price = admission::query_price(&self.view(), query).max_price;
             return self.reject(id, price, out);
         }
         self.fail(id, out);
@@ -200,12 +200,14 @@
         self.end_query(id, out);
     }
 
-    /// Takes a connection that was reset under a part sent at `sent_at`: the query may be crash-inducing, so that one part
-    /// goes ahead of the others. A reset under a part that was sent after that, with none answered, shows that it is. A mass
-    /// crash resets what is in flight, not what follows.
+    /// Handles a connection reset under a part that was sent at `sent_at`.
+    ///
+    /// After a first reset the query may be crash-inducing, so one part is sent as a probe before the others. A second
+    /// reset, under a part that was sent after the first reset while no part was answered, shows that the query is
+    /// crash-inducing. Replicas that all crash at once reset only the parts already in flight, not those sent later.
     pub(super) fn handle_reset(&mut self, id: QueryId, sent_at: f64, out: &mut Vec<Action>) {
         let query = self.queries.open.get_mut(&id);
-        let Some(query) = query.filter(|query| !query.is_harmless) else {
+        let Some(query) = query.filter(|query| !query.has_served_part) else {
             return;
         };
         if query
@@ -220,7 +222,8 @@
         query.probing_since = Some(self.now);
     }
 
-    /// Ends a query that can be ended, else checks its parts. Called after each event about it, and periodically.
+    /// Ends a query if it can be ended, and otherwise checks its parts. Called after each event that concerns the query,
+    /// and periodically.
     pub(super) fn check_query(&mut self, id: QueryId, out: &mut Vec<Action>) {
         let Some(query) = self.queries.open.get(&id) else {
             return;
@@ -228,12 +231,13 @@
         match completion::next_step(&self.view(), query) {
             NextStep::AwaitParts => {}
             NextStep::Answer { is_complete } => self.answer(id, is_complete, out),
-            NextStep::GiveUp => self.give_up(id, out),
+            NextStep::EndUnanswered => self.end_unanswered(id, out),
             NextStep::CheckParts => self.check_parts(id, out),
         }
     }
 
-    /// Checks the parts of a query that are late or not in flight, and finds until when it may be left alone.
+    /// Checks the parts of a query that are late or not in flight, and sets the period in which the query needs no further
+    /// check.
     fn check_parts(&mut self, id: QueryId, out: &mut Vec<Action>) {
         let view = self.view();
         let query = &self.queries.open[&id];
@@ -245,22 +249,22 @@
         let late = hedging::late_parts(&self.view(), &self.queries.open[&id]);
         let mut are_quiet = true;
         let mut from = 0;
-        while let Some(place) = self.queries.open[&id].progress.next_due(&late, from) {
-            let part = self.queries.open[&id].parts[place];
+        while let Some(index) = self.queries.open[&id].progress.next_due(&late, from) {
+            let part = self.queries.open[&id].parts[index];
             are_quiet &= self.check_part(part, out);
-            from = place + 1;
+            from = index + 1;
         }
         let query = &self.queries.open[&id];
         let is_quiet = are_quiet && !crash_detection::is_waiting_for_probe(&self.view(), query);
-        let oldest_sent_at = query.progress.oldest().filter(|_| is_quiet);
-        let query = self.queries.open.get_mut(&id).expect("it is open");
+        let oldest_sent_at = query.progress.oldest_sent_at().filter(|_| is_quiet);
+        let query = self.queries.open.get_mut(&id).expect("the query is open");
         query.quiet = oldest_sent_at.map(|oldest_sent_at| QuietPeriod {
             until,
             oldest_sent_at,
         });
     }
 
-    /// Answers a query. The first answer of a class with a second step opens that step.
+    /// Answers a query. The first answer of a class with a second step starts that step.
     fn answer(&mut self, id: QueryId, is_complete: bool, out: &mut Vec<Action>) {
         out.push(Action::Answer {
             query: id,
@@ -277,21 +281,20 @@
         let parts = self.queries.parts_of(query);
         let answered_parts = parts.filter(|part| part.is_answered).count();
         self.end_step(id, out);
-        let query = self.queries.open.get_mut(&id).expect("it is open");
+        let query = self.queries.open.get_mut(&id).expect("the query is open");
         query.is_in_second_step = true;
         query.is_first_step_complete = is_complete;
         query.expected_parts = second_step_parts.min(answered_parts);
         query.quiet = None;
     }
 
-    /// Ends a query, whatever came of it.
+    /// Ends a query in whatever state it is.
     pub(super) fn end_query(&mut self, id: QueryId, out: &mut Vec<Action>) {
         self.end_step(id, out);
         self.queries.remove(id);
     }
 
-    /// Ends the present step of a query, and cancels what is in flight for it. Its parts stay known until their attempts
-    /// have ended.
+    /// Ends the present step of a query and cancels its attempts in flight. Parts are kept until their attempts have ended.
     fn end_step(&mut self, id: QueryId, out: &mut Vec<Action>) {
         let Some(query) = self.queries.open.get_mut(&id) else {
             return;
@@ -299,7 +302,7 @@
         query.progress = Progress::new(self.settings.cells);
         for id in std::mem::take(&mut query.parts) {
             let part = self.queries.parts.get_mut(&id);
-            let part = part.expect("parts of open queries are held");
+            let part = part.expect("parts of open queries are in the table");
             part.query = None;
             if self.settings.can_cancel {
                 let to_cancel = part
--- a/src/decisions/query_progress.rs
+++ b/src/decisions/query_progress.rs
@@ -1,109 +1,108 @@
-//! The progress of one query: the weight that is answered or may still be, and which of its parts need a check.
+//! The progress of one query: the weight that is answered or may still be answered, and the parts that need a check.
 //!
-//! This file owns these counts and keeps them up to date part by part, so that an answer costs the same whatever the
-//! number of parts. It must never decide what is sent or answered, and never read a clock.
+//! Totals are updated with each change of a part, so that handling an answer takes the same time for any number of parts.
 
 use crate::decisions::time_window::OrderedTime;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Units in a weight of 1. Sums of integral units are exact in any order.
-const UNITS: f64 = (1_u64 << 60) as f64;
+/// Number of units in a weight of 1. Sums of integral units are exact in any order.
+const UNITS_PER_WEIGHT: f64 = (1_u64 << 60) as f64;
 
 /// An exact weight or sum of weights, in units.
-pub type Units = u128;
+pub type WeightUnits = u128;
 
-/// A weight in units: rounded up, so that none above 0 is lost.
-fn units(weight: f64) -> Units {
-    Units::from((weight * UNITS).ceil() as u64)
+/// Converts a weight to units. Rounds up, so that no weight above 0 becomes 0.
+fn units(weight: f64) -> WeightUnits {
+    WeightUnits::from((weight * UNITS_PER_WEIGHT).ceil() as u64)
 }
 
-/// A sum of weights as a share of a weight of 1.
-pub fn share(sum: Units) -> f64 {
-    sum as f64 / UNITS
+/// Converts a sum of weights to a share of the weight 1.
+pub fn share(sum: WeightUnits) -> f64 {
+    sum as f64 / UNITS_PER_WEIGHT
 }
 
-/// A part with an attempt in flight.
+/// The state of a part that has attempts in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InFlight {
-    /// When the first of those in flight was sent.
+    /// Time at which the first of the attempts in flight was sent.
     pub sent_at: f64,
-    /// Whether that one is a pre-check.
-    pub pre_check: bool,
-    /// Whether its replica is ejected.
-    pub ejected: bool,
-    /// Whether it is the only one, and not cancelled.
-    pub single: bool,
+    /// True if that attempt is a pre-check.
+    pub is_pre_check: bool,
+    /// True if the replica of that attempt is ejected.
+    pub is_ejected: bool,
+    /// True if no other attempt is in flight and this one is not cancelled.
+    pub is_single: bool,
 }
 
 /// The state of a part.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum PartState {
-    /// It is not wanted yet: a complete answer may do without it.
+    /// The part is not selected: a complete answer may do without it.
     #[default]
     Spare,
-    /// It is wanted, and nothing is in flight.
+    /// The part is selected and has no attempt in flight.
     Pending {
-        /// Whether nothing was ever sent.
+        /// True if no attempt of the part has been sent.
         untried: bool,
     },
-    /// It is wanted, and something is in flight.
+    /// The part is selected and has attempts in flight.
     InFlight(InFlight),
-    /// It has its answer.
+    /// The part has been answered.
     Answered,
 }
 
-/// A part as it is counted.
+/// A part and its contribution to the totals.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Tracked {
-    weight: Units,
+struct TrackedPart {
+    weight: WeightUnits,
     shard: u32,
     state: PartState,
 }
 
-/// A part with a single attempt in flight, in the order of its group, then of its sending, then of its place.
+/// A part with a single attempt in flight. The order is by group, then send time, then index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct SingleAttempt {
-    group: Group,
+    group: AttemptGroup,
     sent_at: OrderedTime,
-    place: usize,
+    index: usize,
 }
 
-/// A wanted part with nothing in flight.
+/// A selected part without attempts in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PendingPart {
-    /// Its place in the query's step.
-    pub place: usize,
-    /// Its weight.
-    pub weight: Units,
+    /// Index of the part in the query's step.
+    pub index: usize,
+    /// Weight of the part.
+    pub weight: WeightUnits,
 }
 
-/// Attempts in flight that become overdue after the same time.
+/// The attempts in flight that become overdue after the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Group {
-    /// Whether they are pre-checks.
-    pub pre_check: bool,
-    /// Whether their replicas are ejected.
-    pub ejected: bool,
+pub struct AttemptGroup {
+    /// True for pre-checks, false for full attempts.
+    pub is_pre_check: bool,
+    /// True for attempts at ejected replicas.
+    pub is_ejected: bool,
 }
 
-/// The parts of a query's step, by their place in it, and what they add up to.
+/// The parts of a query's step, in order of their indices, and the totals over them.
 #[derive(Debug, Default, PartialEq)]
 pub struct Progress {
     cells: u32,
-    parts: Vec<Tracked>,
-    answered: Units,
-    in_flight: Units,
-    spare: Units,
+    parts: Vec<TrackedPart>,
+    answered: WeightUnits,
+    in_flight: WeightUnits,
+    spare: WeightUnits,
     spare_count: usize,
     in_flight_count: usize,
     ejected_count: usize,
     pending: BTreeSet<usize>,
-    single: BTreeSet<SingleAttempt>,
+    single_attempts: BTreeSet<SingleAttempt>,
     untried: BTreeMap<u32, usize>, // by cell
 }
 
 impl Progress {
-    /// The progress of a step without parts, where shards lie in `cells` cells.
+    /// Creates the progress of a step without parts; shards are spread over `cells` cells.
     pub fn new(cells: u32) -> Progress {
         Progress {
             cells,
@@ -111,7 +110,7 @@
         }
     }
 
-    /// The number of cells has changed.
+    /// Updates the number of cells and recounts the untried parts by cell.
     pub fn set_cells(&mut self, cells: u32) {
         self.cells = cells;
         self.untried.clear();
@@ -122,28 +121,28 @@
         }
     }
 
-    /// One more part, a spare, that reads this shard.
+    /// Appends a part, as a spare, that reads this shard.
     pub fn push(&mut self, weight: f64, shard: u32) {
-        let part = Tracked {
+        let part = TrackedPart {
             weight: units(weight),
             shard,
             state: PartState::Spare,
         };
-        self.count(self.parts.len(), part);
+        self.add_to_totals(self.parts.len(), part);
         self.parts.push(part);
     }
 
-    /// A part has this state now.
+    /// Sets the state of a part.
     pub fn set(&mut self, index: usize, state: PartState) {
         let Some(part) = self.parts.get_mut(index).filter(|part| part.state != state) else {
             return;
         };
-        let before = std::mem::replace(part, Tracked { state, ..*part });
-        self.discount(index, before);
-        self.count(index, Tracked { state, ..before });
+        let before = std::mem::replace(part, TrackedPart { state, ..*part });
+        self.subtract_from_totals(index, before);
+        self.add_to_totals(index, TrackedPart { state, ..before });
     }
 
-    fn count(&mut self, index: usize, part: Tracked) {
+    fn add_to_totals(&mut self, index: usize, part: TrackedPart) {
         match part.state {
             PartState::Spare => {
                 self.spare += part.weight;
@@ -162,15 +161,15 @@
             PartState::InFlight(flight) => {
                 self.in_flight += part.weight;
                 self.in_flight_count += 1;
-                self.ejected_count += usize::from(flight.ejected);
-                if flight.single {
-                    self.single.insert(flight.at_place(index));
+                self.ejected_count += usize::from(flight.is_ejected);
+                if flight.is_single {
+                    self.single_attempts.insert(flight.single_attempt(index));
                 }
             }
         }
     }
 
-    fn discount(&mut self, index: usize, part: Tracked) {
+    fn subtract_from_totals(&mut self, index: usize, part: TrackedPart) {
         match part.state {
             PartState::Spare => {
                 self.spare -= part.weight;
@@ -190,32 +189,32 @@
             PartState::InFlight(flight) => {
                 self.in_flight -= part.weight;
                 self.in_flight_count -= 1;
-                self.ejected_count -= usize::from(flight.ejected);
-                if flight.single {
-                    self.single.remove(&flight.at_place(index));
+                self.ejected_count -= usize::from(flight.is_ejected);
+                if flight.is_single {
+                    self.single_attempts.remove(&flight.single_attempt(index));
                 }
             }
         }
     }
 
-    /// The weight that is answered.
-    pub fn answered(&self) -> Units {
+    /// Returns the total weight of answered parts.
+    pub fn answered(&self) -> WeightUnits {
         self.answered
     }
 
-    /// The weight that is in flight.
-    pub fn in_flight(&self) -> Units {
+    /// Returns the total weight of parts in flight.
+    pub fn in_flight(&self) -> WeightUnits {
         self.in_flight
     }
 
-    /// The weight of the spares.
-    pub fn spare(&self) -> Units {
+    /// Returns the total weight of spares.
+    pub fn spare(&self) -> WeightUnits {
         self.spare
     }
 
-    /// The place of the first spare.
+    /// Returns the index of the first spare.
     pub fn first_spare(&self) -> Option<usize> {
-        let is_spare = |part: &Tracked| part.state == PartState::Spare;
+        let is_spare = |part: &TrackedPart| part.state == PartState::Spare;
         if self.spare_count > 0 {
             self.parts.iter().position(is_spare)
         } else {
@@ -223,32 +222,32 @@
         }
     }
 
-    /// Whether anything is in flight for a part without an answer.
+    /// Returns whether any part without an answer has an attempt in flight.
     pub fn is_in_flight(&self) -> bool {
         self.in_flight_count > 0
     }
 
-    /// The places of parts with something in flight.
-    pub fn places_in_flight(&self) -> Vec<usize> {
+    /// Returns the indices of the parts with attempts in flight.
+    pub fn indices_in_flight(&self) -> Vec<usize> {
         let is_in_flight =
             |index: &usize| matches!(self.parts[*index].state, PartState::InFlight(_));
         (0..self.parts.len()).filter(is_in_flight).collect()
     }
 
-    /// Wanted parts with nothing in flight, by place.
+    /// Returns the selected parts without attempts in flight, in order of their indices.
     pub fn pending(&self) -> impl Iterator<Item = PendingPart> + '_ {
-        self.pending.iter().map(|place| PendingPart {
-            place: *place,
-            weight: self.parts[*place].weight,
+        self.pending.iter().map(|index| PendingPart {
+            index: *index,
+            weight: self.parts[*index].weight,
         })
     }
 
-    /// The place of the first wanted part with nothing in flight, from that place on.
+    /// Returns the index of the first pending part at or after `from`.
     pub fn next_pending(&self, from: usize) -> Option<usize> {
         self.pending.range(from..).next().copied()
     }
 
-    /// The next place from that one on that is pending, as things are now, or stands in an ordered list.
+    /// Returns the first index at or after `from` that is pending at present or contained in `late`, which must be sorted.
     pub fn next_due(&self, late: &[usize], from: usize) -> Option<usize> {
         let late = late
             .get(late.partition_point(|index| *index < from))
@@ -256,68 +255,70 @@
         self.next_pending(from).into_iter().chain(late).min()
     }
 
-    /// How many wanted parts whose shards begin at one of these cells were never sent.
+    /// Returns the number of selected parts, never sent, whose shards begin at one of these cells.
     pub fn untried(&self, cells: impl Iterator<Item = u32>) -> usize {
         cells.filter_map(|cell| self.untried.get(&cell)).sum()
     }
 
-    /// Parts of a group of which the only attempt was sent by then, oldest first.
-    pub fn sent_by(&self, group: Group, limit: f64) -> impl Iterator<Item = usize> + '_ {
+    /// Returns the indices of the parts of a group whose single attempt was sent at or before `limit`, oldest first.
+    pub fn sent_by(&self, group: AttemptGroup, limit: f64) -> impl Iterator<Item = usize> + '_ {
         let last = SingleAttempt {
             group,
             sent_at: OrderedTime(limit),
-            place: usize::MAX,
+            index: usize::MAX,
         };
-        let of_group = self.single.range(SingleAttempt::first_of(group)..=last);
-        of_group.map(|single| single.place)
+        let of_group = self
+            .single_attempts
+            .range(SingleAttempt::first_of(group)..=last);
+        of_group.map(|single| single.index)
     }
 
-    /// Since when the oldest single attempt has been in flight (without end where there is none), if no replica is
-    /// ejected that has one.
-    pub fn oldest(&self) -> Option<f64> {
+    /// Returns the send time of the oldest single attempt, or `f64::MAX` if there is none. Returns `None` if any attempt in
+    /// flight is at an ejected replica.
+    pub fn oldest_sent_at(&self) -> Option<f64> {
         let full = self.oldest_of(false).unwrap_or(f64::MAX);
         let pre_check = self.oldest_of(true).unwrap_or(f64::MAX);
         let oldest = f64::MAX.min(full).min(pre_check);
         (self.ejected_count == 0).then_some(oldest)
     }
 
-    fn oldest_of(&self, pre_check: bool) -> Option<f64> {
-        let group = Group {
-            pre_check,
-            ejected: false,
+    fn oldest_of(&self, is_pre_check: bool) -> Option<f64> {
+        let group = AttemptGroup {
+            is_pre_check,
+            is_ejected: false,
         };
-        let mut from_group = self.single.range(SingleAttempt::first_of(group)..);
+        let mut from_group = self.single_attempts.range(SingleAttempt::first_of(group)..);
         let first = from_group.next().filter(|single| single.group == group);
         first.map(|single| single.sent_at.0)
     }
 }
 
-/// The cell at which a shard begins.
+/// Returns the first of the cells that hold a shard.
 fn cell_of(shard: u32, cells: u32) -> u32 {
     shard.checked_rem(cells).unwrap_or(0)
 }
 
 impl InFlight {
-    fn at_place(&self, place: usize) -> SingleAttempt {
-        let group = Group {
-            pre_check: self.pre_check,
-            ejected: self.ejected,
+    fn single_attempt(&self, index: usize) -> SingleAttempt {
+        let group = AttemptGroup {
+            is_pre_check: self.is_pre_check,
+            is_ejected: self.is_ejected,
         };
         SingleAttempt {
             group,
             sent_at: OrderedTime(self.sent_at),
-            place,
+            index,
         }
     }
 }
 
 impl SingleAttempt {
-    /// Comes before all attempts of a group.
-    fn first_of(group: Group) -> SingleAttempt {
+    /// Returns a lower bound of all single attempts of a group.
+    fn first_of(group: AttemptGroup) -> SingleAttempt {
         SingleAttempt {
             group,
             sent_at: OrderedTime(f64::MIN),
-            place: 0,
+            index: 0,
         }
     }
 }
--- a/src/decisions/query_progress/tests.rs
+++ b/src/decisions/query_progress/tests.rs
@@ -4,15 +4,16 @@
 use proptest::prelude::*;
 
 fn state() -> impl Strategy<Value = PartState> {
-    let in_flight =
-        (0_u8..20, any::<[bool; 3]>()).prop_map(|(sent_at, [pre_check, ejected, single])| {
+    let in_flight = (0_u8..20, any::<[bool; 3]>()).prop_map(
+        |(sent_at, [is_pre_check, is_ejected, is_single])| {
             PartState::InFlight(InFlight {
                 sent_at: f64::from(sent_at),
-                pre_check,
-                ejected,
-                single,
+                is_pre_check,
+                is_ejected,
+                is_single,
             })
-        });
+        },
+    );
     prop_oneof![
         Just(PartState::Spare),
         any::<bool>().prop_map(|untried| PartState::Pending { untried }),
@@ -24,7 +25,7 @@
 /// A part's weight and shard.
 type Part = (f64, u32);
 
-/// A part's place, and its new state.
+/// A part's index, and its new state.
 type Change = (usize, PartState);
 
 fn parts_and_changes() -> impl Strategy<Value = (Vec<Part>, Vec<Change>)> {
@@ -45,7 +46,7 @@
 }
 
 impl Recount<'_> {
-    fn weight(&self, of: impl Fn(&PartState) -> bool) -> Units {
+    fn weight(&self, of: impl Fn(&PartState) -> bool) -> WeightUnits {
         let chosen = self
             .parts
             .iter()
@@ -68,9 +69,9 @@
         let is_pending = |index: &usize| matches!(self.states[*index], PartState::Pending { .. });
         let indices = (0..self.parts.len()).filter(is_pending);
         indices
-            .map(|place| PendingPart {
-                place,
-                weight: units(self.parts[place].0),
+            .map(|index| PendingPart {
+                index,
+                weight: units(self.parts[index].0),
             })
             .collect()
     }
@@ -83,10 +84,11 @@
             .count()
     }
 
-    fn sent_by(&self, group: Group, limit: f64) -> Vec<usize> {
+    fn sent_by(&self, group: AttemptGroup, limit: f64) -> Vec<usize> {
         let is_due = |flight: &InFlight| {
-            let in_group = flight.pre_check == group.pre_check && flight.ejected == group.ejected;
-            in_group && flight.single && flight.sent_at <= limit
+            let in_group =
+                flight.is_pre_check == group.is_pre_check && flight.is_ejected == group.is_ejected;
+            in_group && flight.is_single && flight.sent_at <= limit
         };
         let mut due: Vec<_> = self
             .in_flight()
@@ -97,11 +99,11 @@
     }
 
     fn oldest(&self) -> Option<f64> {
-        let singles = self.in_flight().filter(|(_, flight)| flight.single);
+        let singles = self.in_flight().filter(|(_, flight)| flight.is_single);
         let oldest = singles
             .map(|(_, flight)| flight.sent_at)
             .fold(f64::MAX, f64::min);
-        (!self.in_flight().any(|(_, flight)| flight.ejected)).then_some(oldest)
+        (!self.in_flight().any(|(_, flight)| flight.is_ejected)).then_some(oldest)
     }
 }
 
@@ -125,15 +127,15 @@
             prop_assert_eq!(progress.in_flight(), recount.weight(in_flight));
             prop_assert_eq!(progress.is_in_flight(), recount.in_flight().next().is_some());
             let indices: Vec<usize> = recount.in_flight().map(|(index, _)| index).collect();
-            prop_assert_eq!(progress.places_in_flight(), indices);
+            prop_assert_eq!(progress.indices_in_flight(), indices);
             prop_assert_eq!(progress.pending().collect::<Vec<_>>(), recount.pending());
-            let pending = recount.pending().into_iter().map(|pending| pending.place);
+            let pending = recount.pending().into_iter().map(|pending| pending.index);
             let due = pending.chain([2, 7]).filter(|index| *index >= 3).min();
             prop_assert_eq!(progress.next_due(&[2, 7], 3), due);
             prop_assert_eq!(progress.untried([1, 3].into_iter()), recount.untried(5, &[1, 3]));
-            prop_assert_eq!(progress.oldest(), recount.oldest());
-            for (pre_check, ejected) in [(false, false), (false, true), (true, false), (true, true)] {
-                let group = Group { pre_check, ejected };
+            prop_assert_eq!(progress.oldest_sent_at(), recount.oldest());
+            for (is_pre_check, is_ejected) in [(false, false), (false, true), (true, false), (true, true)] {
+                let group = AttemptGroup { is_pre_check, is_ejected };
                 let due: Vec<usize> = progress.sent_by(group, f64::from(limit)).collect();
                 prop_assert_eq!(due, recount.sent_by(group, f64::from(limit)));
             }
--- a/src/decisions/replica.rs
+++ b/src/decisions/replica.rs
@@ -16,7 +16,7 @@
     /// As `sent_at`, but later by the stalls of this process since then.
     pub(crate) waiting_since: f64,
     /// Parts that can still join it in its round.
-    pub(crate) free_places: u32,
+    pub(crate) free_slots: u32,
     /// Its parts that are in flight.
     pub(crate) in_flight: u32,
 }
@@ -78,14 +78,14 @@
         self.in_flight += 1;
         self.last_used_at = Some(now);
         if let Some(call) = self.open_call_mut(now) {
-            call.free_places -= 1;
+            call.free_slots -= 1;
             call.in_flight += 1;
             return;
         }
         self.calls.push(CallInFlight {
             sent_at: now,
             waiting_since: now,
-            free_places: max_call_parts.max(1) - 1,
+            free_slots: max_call_parts.max(1) - 1,
             in_flight: 1,
         });
     }
@@ -154,6 +154,6 @@
 impl CallInFlight {
     #[inline]
     fn is_open(&self, now: f64) -> bool {
-        self.sent_at == now && self.free_places > 0
+        self.sent_at == now && self.free_slots > 0
     }
 }
--- a/src/decisions/replica_selection.rs
+++ b/src/decisions/replica_selection.rs
@@ -1,7 +1,4 @@
-//! Which replica gets a part: the holder with the least expected cost and load among those that may get it.
-//!
-//! This file owns that choice and the estimates of latency and cost behind it. It must never send anything and never
-//! change any state.
+//! Selects the replica for a part: the holder with the least expected cost and load among those that may receive the part.
 
 use crate::decisions::api::{Effect, Lifecycle, PartId, ReplicaId};
 use crate::decisions::query::Part;
@@ -9,17 +6,18 @@
 use crate::decisions::view::View;
 use crate::decisions::{draining, slow_start};
 
-/// What is known of a replica and has faded to this share is forgotten.
-const FORGOTTEN_BELOW: f64 = 0.05;
+/// Statistics of a replica whose freshness is at or below this value are ignored.
+const MIN_FRESHNESS: f64 = 0.05;
 
-/// A choice of a replica and the cost by which it was chosen.
+/// A selected replica and the cost by which it was selected.
 pub(crate) struct Choice {
     pub(crate) replica: ReplicaId,
-    /// Expected cost times the calls in flight there.
+    /// Expected cost, multiplied by the number of calls in flight at the replica.
     pub(crate) cost: f64,
 }
 
-/// The order in which holders are preferred, least first. Costs are positive, so that their bits order as they do.
+/// The order in which holders are preferred, lowest first. Costs are positive, so their bit patterns order as the values
+/// do.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     cost_bits: u64,
@@ -27,11 +25,11 @@
     draw_bits: u64,
 }
 
-/// Replicas that hold a shard and that the rules let us send to now.
+/// Returns the replicas that hold a shard and may receive a part now.
 ///
-/// Ejected ones are left out unless all are ejected: the last holders of a shard stay in use. Where all are draining they
-/// are used for a part of the grace, since the next endpoint list may bring a new holder. By an endpoint list that may no
-/// longer be acted on there are none.
+/// Ejected replicas are left out unless all holders are ejected, because a shard needs at least one usable holder. If no
+/// holder is ready, draining holders are used for a part of the drain grace, since the next endpoint list may contain a new
+/// holder. There are no eligible holders once the endpoint list has expired.
 pub(crate) fn eligible_holders<'a>(
     view: &View<'a>,
     shard: u32,
@@ -72,8 +70,8 @@
         && view.now < draining::usable_until(notified_at, view.settings.drain_grace_s)
 }
 
-/// The holder for a part with the least expected cost times calls in flight, but none of `excluded`. The own zone, then a
-/// random draw, breaks ties.
+/// Returns the holder with the least product of expected cost and calls in flight, leaving out `excluded`. Ties are broken
+/// by zone, in favour of this aggregator's own, and then by a random draw.
 pub(crate) fn best_holder(view: &View, id: PartId, excluded: &[ReplicaId]) -> Option<Choice> {
     let part = &view.queries.parts[&id];
     let candidates = eligible_holders(view, part.shard, part.class)
@@ -90,7 +88,7 @@
     let joins_call = replica.has_open_call(view.now);
     let calls =
         replica.calls.len() + replica.predecessor_in_flight as usize + usize::from(!joins_call);
-    let cost = expected_cost(view, replica, part.class)
+    let cost = expected_cost_s(view, replica, part.class)
         * relative_call_work(view, part, replica, joins_call);
     let is_in_other_zone = replica.entry.zone != view.settings.zone;
     let zone_penalty = if is_in_other_zone {
@@ -105,8 +103,9 @@
     }
 }
 
-/// Work that a part brings a replica, as a share of its work in a call of its own: a part that joins a call adds none of the
-/// call's work, and one that opens a call shares that with the parts that can follow.
+/// Returns the work that a part adds to a replica, as a share of the work that it would cause in a call of its own. A part
+/// that joins a call adds none of the call's own work; a part that opens a call shares that work with the parts that can
+/// join.
 fn relative_call_work(view: &View, part: &Part, replica: &Replica, joins_call: bool) -> f64 {
     let settings = view.settings;
     let call_work_s = settings.call_work_s;
@@ -129,44 +128,46 @@
     (part_work_s + added_call_work_s) / (part_work_s + call_work_s)
 }
 
-/// Latency of a replica as known now (seconds): the average service time, times the replica's relative latency as far as that
-/// has not faded. What slows all replicas is thus known from the others' answers, where each replica is used seldom.
+/// Returns the latency of a replica as currently known (seconds): the average service time multiplied by the replica's
+/// relative latency, weighted by its freshness. A slowdown of all replicas is thus known from the answers of the others
+/// even where each replica is used rarely.
 #[inline]
-pub(crate) fn known_latency(view: &View, replica: &Replica) -> f64 {
+pub(crate) fn known_latency_s(view: &View, replica: &Replica) -> f64 {
     let relative = replica.statistics.relative_latency.unwrap_or(1.0);
     let latency = view.service_time.average_s * (1.0 + (relative - 1.0) * freshness(view, replica));
     latency.max(replica.expected_wait_s(view.now))
 }
 
-/// How much of what is known of a replica still counts, from 0 to 1.
+/// Returns the weight that the statistics of a replica still have, from 0 to 1.
 #[inline]
 fn freshness(view: &View, replica: &Replica) -> f64 {
     let age = view.now - replica.statistics.last_answer_at;
     let freshness = (-age / view.decay_window_s).exp();
-    if freshness > FORGOTTEN_BELOW {
+    if freshness > MIN_FRESHNESS {
         freshness
     } else {
         0.0
     }
 }
 
-/// As [`known_latency`], but none is taken as faster than average, so that zones may decide. A replica in slow start counts
-/// as slower by its least capacity, unless a random draw keeps us from most of it already.
+/// Returns the expected latency of a replica (seconds): [`known_latency_s`], but at least the average service time, so that
+/// small differences between fast replicas do not outweigh the zone. A replica in slow start counts as slower in proportion
+/// to its reduced capacity, unless a random draw already limits what it receives.
 #[inline]
-pub(crate) fn expected_latency(view: &View, replica: &Replica) -> f64 {
+pub(crate) fn expected_latency_s(view: &View, replica: &Replica) -> f64 {
     let capacity = slow_start::capacity(view.settings, replica.statistics.started_at, view.now);
     let slowdown = if capacity < 1.0 && slow_start::is_limited_by_draw(view, capacity) {
         1.0
     } else {
         capacity
     };
-    known_latency(view, replica).max(view.service_time.average_s / slowdown)
+    known_latency_s(view, replica).max(view.service_time.average_s / slowdown)
 }
 
-/// Expected latency, and the cost of a failure by its odds: another attempt, or the query where it can't be repeated. This
-/// counts where fast errors alternate with answers.
+/// Returns the expected latency plus the cost of a failure, weighted by its probability (seconds). A failure costs another
+/// attempt, or the query if its parts can't be repeated. This matters for replicas that alternate fast errors with answers.
 #[inline]
-fn expected_cost(view: &View, replica: &Replica, class: usize) -> f64 {
+fn expected_cost_s(view: &View, replica: &Replica, class: usize) -> f64 {
     let loses_query = view.class(class).effect == Effect::NonIdempotent;
     let failure_cost_s = if loses_query {
         view.class(class).latency_objective_s
@@ -174,5 +175,5 @@
         view.statistics.latencies[class].p95_s
     };
     let failure_odds = replica.statistics.failure_rate * freshness(view, replica);
-    expected_latency(view, replica) + failure_odds * failure_cost_s
+    expected_latency_s(view, replica) + failure_odds * failure_cost_s
 }
--- a/src/decisions/replica_table.rs
+++ b/src/decisions/replica_table.rs
@@ -86,16 +86,16 @@
         now: f64,
     ) {
         if is_full {
-            self.mark_unlisted_gone(entries, now);
+            self.mark_unlisted_removed(entries, now);
         }
         for entry in entries {
             self.update_entry(entry, settings.classes.len(), now);
         }
-        self.forget_gone(settings.slow_start_s, now);
+        self.drop_removed(settings.slow_start_s, now);
         self.index_cells(settings.cells);
     }
 
-    fn mark_unlisted_gone(&mut self, entries: &[ReplicaEntry], now: f64) {
+    fn mark_unlisted_removed(&mut self, entries: &[ReplicaEntry], now: f64) {
         let named: BTreeSet<ReplicaId> = entries.iter().map(|entry| entry.id).collect();
         let unlisted = self
             .replicas
@@ -125,7 +125,7 @@
 
     /// Drops replicas that are gone once nothing is in flight there: ids are new with each machine, without end. One that
     /// returns within the slow start is still warming up, so it is kept for that long.
-    fn forget_gone(&mut self, slow_start_s: f64, now: f64) {
+    fn drop_removed(&mut self, slow_start_s: f64, now: f64) {
         self.replicas.retain(|_, replica| {
             replica.entry.lifecycle != Lifecycle::Removed
                 || replica.in_flight > 0
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -80,7 +80,7 @@
         return false;
     }
     let window_start = view.now - view.settings.overload_window_s;
-    let sent = time_window::since(&replica.statistics.sent_times, window_start) as f64;
+    let sent = time_window::count_since(&replica.statistics.sent_times, window_start) as f64;
     sent + 1.0 > quota_at_present(view, capacity).max_parts(replica.slow_start_draw)
 }
 
@@ -100,7 +100,7 @@
     }
 
     /// Draws anew for the replicas whose window is over.
-    pub(crate) fn draw_due(
+    pub(crate) fn redraw_due(
         &mut self,
         replicas: &mut ReplicaTable,
         window_s: f64,
--- a/src/decisions/stragglers.rs
+++ b/src/decisions/stragglers.rs
@@ -25,14 +25,14 @@
 /// in the time that makes one old.
 #[derive(Debug, Default)]
 pub struct Stragglers {
-    young: VecDeque<SentAttempt>, // in the order of sending
+    recent: VecDeque<SentAttempt>, // in the order of sending
     old: BTreeSet<AttemptId>,
 }
 
 impl Stragglers {
     /// Takes an attempt that is sent at `sent_at`, none earlier than those before.
     pub fn add(&mut self, sent_at: f64, attempt: AttemptId) {
-        self.young.push_back(SentAttempt { sent_at, attempt });
+        self.recent.push_back(SentAttempt { sent_at, attempt });
     }
 
     /// The attempts in flight that were sent by `limit`, and perhaps some later ones, in the order of their parts.
@@ -42,7 +42,7 @@
         is_in_flight: impl Fn(&AttemptId) -> bool,
     ) -> Vec<AttemptId> {
         self.old.retain(&is_in_flight);
-        while let Some(first) = self.young.front() {
+        while let Some(first) = self.recent.front() {
             let is_open = is_in_flight(&first.attempt);
             if is_open && first.sent_at > limit {
                 break;
@@ -50,7 +50,7 @@
             if is_open {
                 self.old.insert(first.attempt);
             }
-            self.young.pop_front();
+            self.recent.pop_front();
         }
         self.old.iter().copied().collect()
     }
--- a/src/decisions/stragglers/tests.rs
+++ b/src/decisions/stragglers/tests.rs
@@ -49,5 +49,5 @@
         )
     });
     assert!(stragglers.sent_by(0.0, |_| false).is_empty());
-    assert!(stragglers.young.is_empty() && stragglers.old.is_empty());
+    assert!(stragglers.recent.is_empty() && stragglers.old.is_empty());
 }
--- a/src/decisions/time_window.rs
+++ b/src/decisions/time_window.rs
@@ -48,7 +48,7 @@
 }
 
 /// How many times are later than `window_start`.
-pub fn since(times: &[f64], window_start: f64) -> usize {
+pub fn count_since(times: &[f64], window_start: f64) -> usize {
     times.len() - times.partition_point(|at| *at <= window_start)
 }
 
--- a/src/decisions/time_window/tests.rs
+++ b/src/decisions/time_window/tests.rs
@@ -11,7 +11,7 @@
         add(&mut times, at, at - 1.5);
         all.push(at);
         let expected = all.iter().filter(|other| **other > at - 1.4).count();
-        assert_eq!(since(&times, at - 1.4), expected);
+        assert_eq!(count_since(&times, at - 1.4), expected);
         assert!(times.len() < 200, "{} are kept", times.len());
     }
 }
--- a/src/decisions/two_phase.rs
+++ b/src/decisions/two_phase.rs
@@ -32,10 +32,10 @@
 /// Growth of the saved share that makes a trial a success.
 const MIN_GROWTH_OF_SAVED_SHARE: f64 = 0.02;
 /// First guesses at latencies, as shares of the latency objective.
-const FIRST_PRE_CHECK_MEDIAN: f64 = 0.03;
-const FIRST_PRE_CHECK_P95: f64 = 0.12;
-const FIRST_FULL_MEDIAN: f64 = 0.1;
-const FIRST_FULL_P95: f64 = 0.35;
+const INITIAL_PRE_CHECK_MEDIAN: f64 = 0.03;
+const INITIAL_PRE_CHECK_P95: f64 = 0.12;
+const INITIAL_FULL_MEDIAN: f64 = 0.1;
+const INITIAL_FULL_P95: f64 = 0.35;
 
 /// The operators' settings.
 #[derive(Clone, Debug, PartialEq)]
@@ -167,12 +167,12 @@
             class: class.to_string(),
             answered_rate: 1.0,
             pre_check_latencies: Latencies {
-                median_s: FIRST_PRE_CHECK_MEDIAN * latency_objective_s,
-                p95_s: FIRST_PRE_CHECK_P95 * latency_objective_s,
+                median_s: INITIAL_PRE_CHECK_MEDIAN * latency_objective_s,
+                p95_s: INITIAL_PRE_CHECK_P95 * latency_objective_s,
             },
             full_latencies: Latencies {
-                median_s: FIRST_FULL_MEDIAN * latency_objective_s,
-                p95_s: FIRST_FULL_P95 * latency_objective_s,
+                median_s: INITIAL_FULL_MEDIAN * latency_objective_s,
+                p95_s: INITIAL_FULL_P95 * latency_objective_s,
             },
             match_rate: 0.0,
             pre_check_answers: 0,
--- a/src/decisions/view.rs
+++ b/src/decisions/view.rs
@@ -9,7 +9,7 @@
 use crate::decisions::replica_table::ReplicaTable;
 
 /// Aggregators beyond which one is a small part of the load.
-const FEW_AGGREGATORS: f64 = 4.0;
+const FULL_SHARE_AGGREGATORS: f64 = 4.0;
 /// A part in flight for this multiple of the 95th percentile is overdue.
 const OVERDUE_PER_P95: f64 = 1.1;
 /// Periodic checks that are kept clear before a final answer is due.
@@ -88,7 +88,7 @@
 /// An aggregator's part of the load on the replicas, from 0 to 1.
 #[inline]
 pub(crate) fn own_load_share(settings: &Settings) -> f64 {
-    (FEW_AGGREGATORS / f64::from(settings.aggregators)).min(1.0)
+    (FULL_SHARE_AGGREGATORS / f64::from(settings.aggregators)).min(1.0)
 }
 
 /// Age from which an attempt of the class is overdue (seconds).
