--- a/src/decisions/crash_detection.rs
+++ b/src/decisions/crash_detection.rs
@@ -1,27 +1,26 @@
-//! Crash-inducing queries, which bring down each replica that begins one of their parts: which queries are known as such,
-//! and which others are probed by one part first.
+//! Detection of crash-inducing queries, which crash every replica that starts to execute one of their parts.
 //!
-//! This file owns the known crash-inducing queries and for how long they are known. It must never send or reject anything,
-//! and never read a clock.
+//! Known crash-inducing queries are rejected. For some time after a crash, one part of every other query is sent first as a
+//! probe.
 
 use crate::decisions::query::Query;
 use crate::decisions::view::View;
 use std::collections::BTreeMap;
 
-/// A crash-inducing query is remembered, and all others are probed by one part first, for this long (seconds).
+/// Time for which a crash-inducing query is remembered, and in which one part of every other query is sent first (seconds).
 const RETENTION_S: f64 = 30.0;
-/// Longest wait for the answer to the part that probes (median latencies).
+/// Longest wait for the answer to a probe part (median latencies).
 const MAX_PROBE_WAIT_MEDIANS: f64 = 0.5;
 
-/// What is known of one fingerprint.
+/// The crashes recorded for one fingerprint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct CrashRecord {
     last_at: f64,
-    /// How many crash-inducing queries were first tries, not repeats.
+    /// Number of crash-inducing queries that were first tries, not repeats.
     first_tries: u32,
 }
 
-/// Crash-inducing queries, by their fingerprint.
+/// Crash-inducing queries by fingerprint.
 #[derive(Debug)]
 pub struct CrashInducingQueries<K> {
     by_fingerprint: BTreeMap<K, CrashRecord>,
@@ -29,7 +28,7 @@
 }
 
 impl<K: Ord + Clone> CrashInducingQueries<K> {
-    /// None is known yet.
+    /// Creates an empty record.
     pub fn new(now: f64) -> CrashInducingQueries<K> {
         CrashInducingQueries {
             by_fingerprint: BTreeMap::new(),
@@ -37,7 +36,7 @@
         }
     }
 
-    /// Takes a query, first try or repeat, that has brought down a replica again.
+    /// Records a query that has crashed a second replica.
     pub fn record(&mut self, now: f64, fingerprint: &K, is_repeat: bool) {
         self.by_fingerprint
             .retain(|_, record| now < record.last_at + RETENTION_S);
@@ -47,27 +46,28 @@
         self.crashes_expire_at = now + RETENTION_S;
     }
 
-    /// Whether a query is to be rejected: repeats after one crash-inducing query of the same fingerprint, and first tries
-    /// after two first tries. Harmless queries about the same key wait for as long.
+    /// Returns whether a query is to be rejected: a repeat after one crash-inducing query with the same fingerprint, and a
+    /// first try after two crash-inducing first tries. Harmless queries with the same fingerprint are rejected too until
+    /// the record expires.
     pub fn is_rejected(&self, now: f64, fingerprint: &K, is_repeat: bool) -> bool {
         let record = self.by_fingerprint.get(fingerprint);
         let record = record.filter(|record| now < record.last_at + RETENTION_S);
         record.is_some_and(|record| is_repeat || record.first_tries > 1)
     }
 
-    /// Whether a crash-inducing query was recorded lately.
+    /// Returns whether a crash-inducing query was recorded recently.
     pub fn has_recent_crash(&self, now: f64) -> bool {
         now < self.crashes_expire_at
     }
 
-    /// Forgets all fingerprints, since their classes and tenants have new places.
+    /// Removes all fingerprints, because the indices of classes and tenants in them are out of date.
     pub fn clear_fingerprints(&mut self) {
         self.by_fingerprint.clear();
     }
 }
 
-/// Whether the other parts of a query wait, since one part probes whether the query is crash-inducing. They follow when some
-/// part is answered, or when the probe has been in flight for some time.
+/// Returns whether the other parts of a query wait for the result of one part that probes whether the query is
+/// crash-inducing. They are sent once a part is answered or the probe has been in flight for some time.
 pub(crate) fn is_waiting_for_probe(view: &View, query: &Query) -> bool {
     let pre_check = query
         .pre_check
--- a/src/decisions/crash_detection/tests.rs
+++ b/src/decisions/crash_detection/tests.rs
@@ -1,4 +1,4 @@
-//! For how long crash-inducing queries are remembered, and which queries are rejected meanwhile.
+//! Tests of how long crash-inducing queries are remembered, and which queries are rejected in that time.
 
 use super::*;
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn expired_records_are_dropped_with_the_next_one() {
+fn expired_records_are_dropped_when_the_next_one_is_added() {
     let mut queries = CrashInducingQueries::new(0.0);
     (0..100).for_each(|query| queries.record(1.0, &query, true));
     queries.record(1.0 + RETENTION_S, &200, true);
--- a/src/decisions/ejection.rs
+++ b/src/decisions/ejection.rs
@@ -1,32 +1,30 @@
-//! Ejection of a replica, as a whole or for one class, and its return: while ejected it gets a single probe request at a time.
-//!
-//! This file owns the count of failures that ejects, the waits between probe requests and the count of successes that ends an
-//! ejection. It must never choose a replica, and never read a clock.
+//! Ejection of a replica, as a whole or for one class. An ejected replica receives one probe request at a time, until
+//! enough of them have been served.
 
 use crate::decisions::learned_state::Ejection;
 
-/// Weighted failures that eject; a broken connection or silence counts as this many.
+/// Weighted number of failures that eject a replica. A lost connection or a missing response counts as this many.
 pub const FAILURES_TO_EJECT: u32 = 3;
-/// Probe requests served in a row that end an ejection.
+/// Number of probe requests that must be served in a row to end an ejection.
 const PROBES_TO_RETURN: u32 = 2;
-/// First wait for a probe request (latency objectives).
+/// First interval between probe requests (latency objectives).
 const FIRST_PROBE_OBJECTIVES: f64 = 0.4;
-/// Longest wait for a probe request (seconds).
+/// Longest interval between probe requests (seconds).
 const MAX_PROBE_INTERVAL_S: f64 = 4.0;
 impl Ejection {
-    /// Whether nothing but probe requests goes there.
+    /// Returns whether only probe requests are sent to the replica.
     #[inline]
     pub fn is_ejected(&self) -> bool {
         self.next_probe_at.is_some()
     }
 
-    /// Whether it is not ejected, or due for a probe request.
+    /// Returns whether the replica is not ejected, or a probe request is due.
     #[inline]
     pub fn is_usable(&self, now: f64) -> bool {
         self.next_probe_at.is_none_or(|probe_at| probe_at <= now)
     }
 
-    /// Counts a failure by its weight. Returns whether it ejects what was not ejected.
+    /// Counts a failure with the given weight. Returns whether this failure starts an ejection.
     pub fn count_failure(&mut self, now: f64, objective_s: f64, weight: u32) -> bool {
         let was_ejected = self.is_ejected();
         self.failures += weight;
@@ -42,13 +40,14 @@
         self.is_ejected() != was_ejected
     }
 
-    /// Counts a part that was served. Returns whether that ends an ejection.
+    /// Counts a served part. Returns whether this part ends an ejection.
     pub fn count_success(&mut self) -> bool {
         self.failures = self.failures.saturating_sub(1);
         self.failures == 0 && self.next_probe_at.take().is_some()
     }
 
-    /// Takes note that a part is sent: while it is ejected, that is the probe, and the next one waits.
+    /// Records that a part is sent. During an ejection the part is the probe request, and the next one is sent after an
+    /// interval.
     pub fn part_sent(&mut self, now: f64) {
         if self.is_ejected() {
             self.next_probe_at = Some(now + self.probe_interval_s);
--- a/src/decisions/ejection/tests.rs
+++ b/src/decisions/ejection/tests.rs
@@ -1,4 +1,4 @@
-//! Ejections, the waits for probe requests, and the return.
+//! Tests of ejections, probe intervals and the return of a replica.
 
 use super::*;
 
@@ -7,7 +7,7 @@
     let mut ejection = Ejection::default();
     assert!(
         !ejection.count_failure(1.0, 1.0, 1) && !ejection.count_failure(1.1, 1.0, 1),
-        "two failures eject nothing"
+        "two failures do not eject"
     );
     assert!(
         ejection.count_failure(1.2, 1.0, 1)
@@ -15,20 +15,20 @@
     );
     assert!(
         !ejection.count_failure(2.0, 1.0, 3),
-        "it was ejected already"
+        "the ejection has already been reported"
     );
     assert_eq!(
         ejection.next_probe_at,
         Some(2.0 + 2.0 * FIRST_PROBE_OBJECTIVES),
-        "the wait doubles"
+        "the probe interval doubles"
     );
     assert!(
         !ejection.count_success() && ejection.count_success(),
-        "the second probe served brings it back"
+        "the second served probe ends the ejection"
     );
     assert!(
         ejection.next_probe_at.is_none() && !ejection.count_success(),
-        "it was back already"
+        "the end of the ejection has already been reported"
     );
 }
 
--- a/src/decisions/idle_loss.rs
+++ b/src/decisions/idle_loss.rs
@@ -1,20 +1,18 @@
-//! Idle connections that something on the way has dropped: how long one may stand unused before it is replaced.
-//!
-//! This file owns the running share of parts lost on idle connections, and the idle time from which they are lost. It
-//! must never choose a replica or a connection, and never read a clock.
+//! Losses on idle connections that a network element has dropped, and the idle time from which a connection should be
+//! replaced.
 
-/// A connection unused for longer is idle (seconds).
+/// Time without use after which a connection is idle (seconds).
 const IDLE_S: f64 = 0.25;
-/// Weight of a new part in the running share of those lost.
+/// Weight of a new sample in the smoothed share of lost parts.
 const SMOOTHING: f64 = 0.1;
-/// Lost share from which idle connections are taken to be dropped.
+/// Share of lost parts from which idle connections are assumed to be dropped.
 const MIN_LOST_SHARE: f64 = 0.15;
-/// For how long they are taken to be dropped after the last such loss (seconds).
+/// Time after the last such loss for which further losses are expected (seconds).
 const LOSSES_EXPECTED_FOR_S: f64 = 30.0;
-/// Connections are replaced from this share of the shortest idle time at which one was lost.
+/// Idle time from which connections are replaced, as a share of the shortest idle time after which a part was lost.
 const SHARE_OF_LOST_IDLE: f64 = 0.8;
 
-/// What is known of losses on idle connections.
+/// The statistics of losses on idle connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct IdleLosses {
     lost_share: f64,
@@ -23,7 +21,7 @@
 }
 
 impl IdleLosses {
-    /// Nothing was lost yet.
+    /// Creates statistics without losses.
     pub fn new(now: f64) -> IdleLosses {
         IdleLosses {
             lost_share: 0.0,
@@ -32,7 +30,8 @@
         }
     }
 
-    /// Takes a part that got no answer on a connection that had been unused for `idle_s`. Returns whether that was idle.
+    /// Records a part without an answer on a connection that had been unused for `idle_s`. Returns whether the connection
+    /// was idle.
     pub fn part_lost(&mut self, idle_s: f64) -> bool {
         let is_idle = idle_s > IDLE_S;
         if is_idle {
@@ -41,9 +40,9 @@
         is_idle
     }
 
-    /// Takes a part that was served on a connection unused for `idle_s`, at a replica where a part was lost before on a
-    /// connection unused for `lost_idle_s`. If many were lost so, and this one went over a new connection, idle connections
-    /// are being dropped without notice.
+    /// Records a part that was served on a connection unused for `idle_s`. `lost_idle_s` is the idle time of the connection
+    /// on which the replica's previous loss occurred. If many parts were lost and this one was served on a connection that
+    /// was not idle, connections are being dropped while idle, without notice.
     pub fn part_served(&mut self, now: f64, idle_s: f64, lost_idle_s: Option<f64>) {
         let is_confirmed = idle_s == 0.0 && self.lost_share > MIN_LOST_SHARE;
         if let Some(lost_idle_s) = lost_idle_s.filter(|_| is_confirmed) {
@@ -60,7 +59,7 @@
         }
     }
 
-    /// Whether a connection that has been unused for that long is likely to be lost.
+    /// Returns whether a part is likely to be lost on a connection that has been unused for `idle_s`.
     pub fn is_likely_lost(&self, now: f64, idle_s: f64) -> bool {
         now < self.expected_until && idle_s >= SHARE_OF_LOST_IDLE * self.min_lost_idle_s
     }
--- a/src/decisions/latency/tests.rs
+++ b/src/decisions/latency/tests.rs
@@ -1,8 +1,9 @@
-//! The prediction of latency from the queue that answers showed.
+//! Tests of the latency prediction.
 
 use super::*;
 
-/// Found at Szeged: rejections went on for one latency after the queue had gone, since the answers still showed it.
+/// Guards against rejections that go on for one latency after the queue has drained, because the answers still show the
+/// queue.
 #[test]
 fn latency_prediction_follows_the_attempts_in_flight() {
     let mut estimate = ServiceTimeEstimate::default();
@@ -12,7 +13,7 @@
     (1..40).for_each(|step| estimate.add_answer(1.0 + f64::from(step) * 0.2, 0.9, 20, 1.2));
     assert!(
         (estimate.predict(0.9, 1.0) - 0.9).abs() < 0.1,
-        "as many are in flight as they met: {}",
+        "the queue is unchanged, with as many attempts in flight as before: {}",
         estimate.predict(0.9, 1.0)
     );
     (0..20).for_each(|_| estimate.attempt_ended());
@@ -29,13 +30,14 @@
     );
     assert!(
         estimate.predict(0.9, 1.0) <= 1.8,
-        "never more than twice what was observed"
+        "the prediction is at most twice the observed latency"
     );
     assert_eq!(
         estimate.predict(0.05, 1.0),
         0.05,
-        "a fast replica is predicted no faster or slower for it"
+        "the prediction for a replica without a queue is unchanged"
     );
-    // Found in a fleet of 300: each had some ten parts in flight, and rejected by their chance number; calm 0.57 to 0.37.
+    // In a fleet of 300 mixers, each had about ten parts in flight, and a prediction from the random variation of that
+    // number rejected queries: the result without faults fell from 0.57 to 0.37.
     assert!((estimate.predict(0.9, 0.01) - 0.9).abs() < 0.01);
 }
--- a/src/decisions/learned_state.rs
+++ b/src/decisions/learned_state.rs
@@ -1,19 +1,19 @@
-//! What an aggregator learns from traffic, in the form in which one process hands it to its successor.
+//! The state that an aggregator learns from traffic and hands to its successor process.
 //!
-//! This file owns the names of these values on the wire: each `serde` name is part of the handover and must not change.
-//! No decision is made here. Times are seconds on the clock that both processes share.
+//! The `serde` names are part of the handover format and must not change. Times are seconds on the clock that both
+//! processes share.
 
 use crate::decisions::time_window;
 use crate::decisions::wire_pair::wire_as_pair;
 use miniserde::{Deserialize, Serialize};
 
-/// Answers that make one reading of the queueing delay.
+/// Number of answers in one reading of the queueing delay.
 pub const ANSWERS_PER_READING: usize = 3;
 
-/// Window over which the aggregator's own rate of sending is measured (seconds).
+/// Window over which the aggregator's own send rate is measured (seconds).
 pub(crate) const SEND_RATE_WINDOW_S: f64 = 8.0;
 
-/// Latency quantiles of a class.
+/// The latency quantiles of a class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Latencies {
     /// Median latency (seconds).
@@ -24,12 +24,12 @@
     pub p95_s: f64,
 }
 
-/// The health of a replica, or of a replica for one class.
+/// The health of a replica, as a whole or for one class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Ejection {
-    /// Weighted failures that count against it; successes take them off.
+    /// Weighted count of failures, which successes reduce.
     pub failures: u32,
-    /// Set while it is ejected: when the next probe request may go there.
+    /// Time of the next probe request; `None` unless the replica is ejected.
     #[serde(rename = "until")]
     pub next_probe_at: Option<f64>,
     /// Time between probe requests (seconds).
@@ -37,12 +37,12 @@
     pub probe_interval_s: f64,
 }
 
-/// The queueing delay that one answer showed.
+/// The queueing delay of one answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DelayReading {
-    /// When it was answered.
+    /// Time at which the answer arrived.
     pub at: f64,
-    /// Its latency above the least (seconds).
+    /// Latency above the least latency (seconds).
     pub delay_s: f64,
 }
 
@@ -51,12 +51,12 @@
     delay_s: f64
 });
 
-/// A decaying count of the queries of a tenant.
+/// A decaying count of a tenant's queries.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TenantQueries {
-    /// The count at that time.
+    /// Count at the time of the last update.
     pub count: f64,
-    /// When it was last updated.
+    /// Time of the last update.
     pub updated_at: f64,
 }
 
@@ -66,7 +66,7 @@
 });
 
 impl TenantQueries {
-    /// No query was counted yet.
+    /// Creates a count of 0.
     pub(crate) fn new(now: f64) -> TenantQueries {
         TenantQueries {
             count: 0.0,
@@ -75,30 +75,30 @@
     }
 }
 
-/// What was learned of a replica in one class.
+/// The statistics of a replica for one class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClassStatistics {
-    /// Least latency seen (seconds): the baseline of the delay readings.
+    /// Least latency seen (seconds), the baseline of the delay readings.
     #[serde(rename = "least")]
     pub min_latency_s: f64,
-    /// Delays of the last answers, oldest first.
+    /// Queueing delays of the latest answers, oldest first.
     #[serde(rename = "recent")]
     pub recent_delays: [DelayReading; ANSWERS_PER_READING],
-    /// Admission price in tokens.
+    /// Admission price (tokens).
     pub price: f64,
     /// Start of the interval of the next delay reading.
     #[serde(rename = "since")]
     pub interval_started_at: f64,
-    /// When the replica last answered a part of this class.
+    /// Time of the replica's last answer in this class.
     #[serde(rename = "heard_at")]
     pub last_answer_at: f64,
-    /// Health for this class.
+    /// Health of the replica for this class.
     #[serde(rename = "bar")]
     pub ejection: Ejection,
 }
 
 impl ClassStatistics {
-    /// Statistics of a class in which the replica has answered nothing yet.
+    /// Creates the statistics of a class in which the replica has answered nothing yet.
     pub(crate) fn new(now: f64) -> Self {
         ClassStatistics {
             min_latency_s: f64::MAX,
@@ -109,61 +109,61 @@
     }
 }
 
-/// What was learned of a replica.
+/// The statistics of a replica.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaStatistics {
-    /// The start of the process that these statistics are about (0: long ago).
+    /// Start time of the process that the statistics belong to; 0 if it started long ago.
     pub started_at: f64,
-    /// Smoothed latency, as a multiple of the average of all replicas at that time.
+    /// Smoothed latency, as a multiple of the average over all replicas at the time of each answer.
     #[serde(rename = "slower")]
     pub relative_latency: Option<f64>,
-    /// Running share of its attempts that failed.
+    /// Smoothed share of the replica's answers that are errors.
     #[serde(rename = "failing")]
     pub failure_rate: f64,
-    /// When it last answered.
+    /// Time of the last answer.
     #[serde(rename = "heard_at")]
     pub last_answer_at: f64,
-    /// By class.
+    /// Statistics by class.
     #[serde(rename = "lanes")]
     pub classes: Vec<ClassStatistics>,
     /// Health of the replica as a whole.
     #[serde(rename = "bar")]
     pub ejection: Ejection,
-    /// When discovery last changed its lifecycle.
+    /// Time at which discovery last changed the replica's lifecycle.
     #[serde(rename = "told_at")]
     pub lifecycle_changed_at: f64,
-    /// When attempts were sent there, within the overload window of the slow start.
+    /// Send times of attempts, within the overload window of the slow start.
     #[serde(rename = "sent")]
     pub sent_times: Vec<f64>,
 }
 
-/// What was learned of the traffic as a whole.
+/// The statistics of all traffic.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Statistics {
-    /// Latencies by class.
+    /// Latency quantiles by class.
     pub latencies: Vec<Latencies>,
-    /// By class, the longest that a client was seen to wait on its first try (seconds).
+    /// Longest timeout of a first try, by class (seconds).
     #[serde(rename = "usual_wait")]
     pub first_try_timeouts_s: Vec<f64>,
-    /// By tenant.
+    /// Decaying counts of queries, by tenant.
     #[serde(rename = "asked")]
     pub tenant_queries: Vec<TenantQueries>,
-    /// When queries and parts were accepted.
+    /// Times at which queries and parts were accepted.
     #[serde(rename = "accepted")]
     pub accepted_times: Vec<f64>,
-    /// When retries and hedged requests were sent.
+    /// Send times of retries and hedged requests.
     #[serde(rename = "further")]
     pub retry_times: Vec<f64>,
-    /// When first attempts were sent: the load by which replicas in slow start are measured.
+    /// Send times of first attempts, which give the load that the limits of the slow start are derived from.
     #[serde(rename = "sent")]
     pub first_attempt_times: Vec<f64>,
-    /// Hedged requests that may still be sent.
+    /// Number of hedged requests that may still be sent.
     #[serde(rename = "copies")]
     pub hedging_credit: f64,
 }
 
 impl Statistics {
-    /// Counts an attempt sent at `at`; retries are kept for `retention_s`.
+    /// Counts an attempt sent at `at`. Send times of retries are kept for `retention_s`.
     pub(crate) fn count_attempt(&mut self, at: f64, is_retry: bool, now: f64, retention_s: f64) {
         if is_retry {
             time_window::add(&mut self.retry_times, at, now - retention_s);
@@ -172,12 +172,12 @@
         }
     }
 
-    /// Counts a query or a part that was accepted now; it is kept for `retention_s`.
+    /// Counts a query or a part that is accepted now. The time is kept for `retention_s`.
     pub(crate) fn count_accepted(&mut self, now: f64, retention_s: f64) {
         time_window::add(&mut self.accepted_times, now, now - retention_s);
     }
 
-    /// First attempts within the last [`SEND_RATE_WINDOW_S`] before the latest of them.
+    /// Returns the number of first attempts in the last [`SEND_RATE_WINDOW_S`] before the latest one.
     pub(crate) fn recent_first_attempts(&self) -> usize {
         let latest = self.first_attempt_times.last();
         latest.map_or(0, |latest| {
@@ -186,12 +186,12 @@
     }
 }
 
-/// What was learned of one replica, for a successor.
+/// The statistics of one replica, with its id.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LearnedReplica {
-    /// Its id in the process that learned this.
+    /// Id of the replica in the process that collected the statistics.
     pub id: u32,
-    /// What was learned.
+    /// Statistics of the replica.
     pub statistics: ReplicaStatistics,
 }
 
@@ -200,17 +200,18 @@
     statistics: ReplicaStatistics
 });
 
-/// What an aggregator hands to its successor.
+/// The state that an aggregator hands to its successor.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LearnedState {
-    /// What was learned of each replica.
+    /// Statistics of each replica.
     pub replicas: Vec<LearnedReplica>,
-    /// What was learned of the traffic as a whole.
+    /// Statistics of all traffic.
     #[serde(rename = "past")]
     pub statistics: Statistics,
 }
 
-/// Values by class or tenant after a change of settings: each is taken from its former index, or made anew.
+/// Rearranges values by class or tenant after a change of settings: takes each from its former index, or creates it with
+/// `new`.
 pub(crate) fn remap<T: Clone>(
     former_indices: &[Option<usize>],
     values: &[T],
--- a/src/decisions/query_progress/tests.rs
+++ b/src/decisions/query_progress/tests.rs
@@ -1,4 +1,4 @@
-//! The counts that are kept against a full recount, after any sequence of events.
+//! Tests that the totals equal a full recount after any sequence of changes.
 
 use super::*;
 use proptest::prelude::*;
@@ -25,7 +25,7 @@
 /// A part's weight and shard.
 type Part = (f64, u32);
 
-/// A part's index, and its new state.
+/// A part's index and its new state.
 type Change = (usize, PartState);
 
 fn parts_and_changes() -> impl Strategy<Value = (Vec<Part>, Vec<Change>)> {
@@ -39,7 +39,7 @@
     )
 }
 
-/// All counts of a query's parts, by looking at each part.
+/// The totals of a query's parts, computed from each part.
 struct Recount<'a> {
     parts: &'a [Part],
     states: &'a [PartState],
@@ -109,7 +109,7 @@
 
 proptest! {
     #[test]
-    fn counts_are_those_of_a_full_recount((parts, changes) in parts_and_changes(), limit in 0_u8..20) {
+    fn totals_equal_a_full_recount((parts, changes) in parts_and_changes(), limit in 0_u8..20) {
         let mut progress = Progress::new(5);
         parts.iter().for_each(|(weight, cell)| progress.push(*weight, *cell));
         let mut states = vec![PartState::Spare; parts.len()];
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn no_weight_above_nothing_is_lost_and_a_whole_is_one() {
+fn positive_weights_stay_positive_and_the_sum_of_all_weights_is_one() {
     let mut progress = Progress::default();
     for index in 0..180 {
         progress.push(1.0 / 180.0, 0);
--- a/src/decisions/replica.rs
+++ b/src/decisions/replica.rs
@@ -1,51 +1,49 @@
-//! The state of one replica: its endpoint entry, what was learned of it, and the calls in flight there.
-//!
-//! This file owns that state. It must never choose between replicas, and never read a clock.
+//! The state of one replica: its entry in the endpoint list, its statistics and its calls in flight.
 
 use crate::decisions::api::ReplicaEntry;
 use crate::decisions::learned_state::{ClassStatistics, ReplicaStatistics};
 
-/// Weight of a new answer in what is smoothed by replica.
+/// Weight of a new sample in the smoothed statistics of a replica.
 pub(crate) const SMOOTHING: f64 = 0.3;
-/// An attempt in flight is expected to take this multiple of its present age in the end.
+/// Expected latency of an attempt in flight, as a multiple of its present age.
 const EXPECTED_LATENCY_PER_AGE: f64 = 1.2;
 
-/// A call: the parts that go to one replica in one round.
+/// A call, which carries the parts that are sent to one replica in one round.
 pub(crate) struct CallInFlight {
     pub(crate) sent_at: f64,
-    /// As `sent_at`, but later by the stalls of this process since then.
+    /// Send time, moved forward by the pauses of this process since then.
     pub(crate) waiting_since: f64,
-    /// Parts that can still join it in its round.
+    /// Number of parts that can still join the call within its round.
     pub(crate) free_slots: u32,
-    /// Its parts that are in flight.
+    /// Number of the call's parts in flight.
     pub(crate) in_flight: u32,
 }
 
-/// A replica that discovery listed.
+/// A replica that discovery has listed.
 #[derive(Default)]
 pub(crate) struct Replica {
     pub(crate) entry: ReplicaEntry,
     pub(crate) statistics: ReplicaStatistics,
-    /// Attempts in flight there.
+    /// Number of attempts in flight at the replica.
     pub(crate) in_flight: u32,
-    /// Attempts that the predecessor process has in flight there.
+    /// Number of attempts that the predecessor process has in flight at the replica.
     pub(crate) predecessor_in_flight: u32,
-    /// Calls that still have a part in flight, oldest first.
+    /// Calls with parts in flight, oldest first.
     pub(crate) calls: Vec<CallInFlight>,
-    /// How long the connection had been idle on which a part was lost (seconds).
+    /// Idle time of the connection on which the last part was lost (seconds).
     pub(crate) lost_after_idle_s: Option<f64>,
-    /// When a part was last sent there or ended.
+    /// Time at which a part was last sent to the replica or last ended there.
     pub(crate) last_used_at: Option<f64>,
-    /// Whether the attempt that ended last was answered, well or not.
+    /// True if the replica answered the attempt that ended last, with success or not.
     pub(crate) has_answered_last: bool,
     /// Random draw from 0 to 1 for the present overload window of the slow start.
     pub(crate) slow_start_draw: f64,
-    /// When the next draw is due.
+    /// Time of the next draw.
     pub(crate) next_draw_at: f64,
 }
 
 impl Replica {
-    /// A replica of which only the endpoint list is known.
+    /// Creates a replica of which only the entry in the endpoint list is known.
     pub(crate) fn new(entry: ReplicaEntry, classes: usize, now: f64) -> Self {
         let statistics = ReplicaStatistics {
             classes: vec![ClassStatistics::new(now); classes],
@@ -61,7 +59,7 @@
         }
     }
 
-    /// Starts over for a new process of the replica: only the load that is in flight or was sent stays known.
+    /// Resets the state for a new process of the replica, except for the attempts in flight and the send times.
     pub(crate) fn restart(&mut self, entry: ReplicaEntry, classes: usize, now: f64) {
         let former = std::mem::take(self);
         *self = Replica {
@@ -73,7 +71,7 @@
         self.statistics.sent_times = former.statistics.sent_times;
     }
 
-    /// Counts a part that is sent: in the call of this very round where that has a free place, else in a new one.
+    /// Counts a part that is sent, in the call of this round if that has a free slot, or else in a new call.
     pub(crate) fn part_sent(&mut self, now: f64, max_call_parts: u32) {
         self.in_flight += 1;
         self.last_used_at = Some(now);
@@ -95,13 +93,13 @@
         last.filter(|call| call.is_open(now))
     }
 
-    /// Whether a part that is sent now joins a call.
+    /// Returns whether a part sent now joins an existing call.
     #[inline]
     pub(crate) fn has_open_call(&self, now: f64) -> bool {
         self.calls.last().is_some_and(|call| call.is_open(now))
     }
 
-    /// Counts the end of a part that was sent at that time.
+    /// Counts the end of a part that was sent at `sent_at`.
     pub(crate) fn part_ended(&mut self, now: f64, sent_at: f64) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.last_used_at = Some(now);
@@ -115,7 +113,7 @@
         }
     }
 
-    /// Least latency that the age of the oldest call in flight lets expect (seconds).
+    /// Returns the least latency to expect, from the age of the oldest call in flight (seconds).
     #[inline]
     pub(crate) fn expected_wait_s(&self, now: f64) -> f64 {
         let oldest = self.calls.first();
@@ -124,7 +122,7 @@
         })
     }
 
-    /// Takes a latency, as a multiple of the average of all replicas.
+    /// Records a latency, as a multiple of the average over all replicas.
     pub(crate) fn add_relative_latency(&mut self, now: f64, relative_latency: f64) {
         let former = self.statistics.relative_latency.unwrap_or(relative_latency);
         let smoothed = former + SMOOTHING * (relative_latency - former);
@@ -132,15 +130,15 @@
         self.statistics.last_answer_at = now;
     }
 
-    /// Whether it gets nothing but probe requests for this class.
+    /// Returns whether the replica receives only probe requests for this class.
     #[inline]
     pub(crate) fn is_ejected(&self, class: usize) -> bool {
         self.statistics.ejection.is_ejected()
             || self.statistics.classes[class].ejection.is_ejected()
     }
 
-    /// Whether a part of the class may go there: it is not ejected, or due for a probe request. A replica that is
-    /// ejected as a whole gets a probe only while nothing else is in flight there.
+    /// Returns whether a part of the class may be sent to the replica: the replica is not ejected, or a probe request is
+    /// due. A replica that is ejected as a whole gets a probe request only while nothing else is in flight there.
     #[inline]
     pub(crate) fn is_usable(&self, class: usize, now: f64) -> bool {
         let whole = &self.statistics.ejection;
--- a/src/decisions/replica_table.rs
+++ b/src/decisions/replica_table.rs
@@ -1,23 +1,20 @@
-//! The replicas that discovery listed, and which of them hold a shard.
-//!
-//! This file owns the endpoint list as the decisions see it and the time until which it may be acted on. It must never
-//! choose a replica, and never read a clock.
+//! The replicas that discovery listed, indexed by the cells that determine their shards.
 
 use crate::decisions::api::{Lifecycle, ReplicaEntry, ReplicaId, Settings};
 use crate::decisions::replica::Replica;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// All replicas of which something is known.
+/// All known replicas, and the time until which the endpoint list is valid.
 pub(crate) struct ReplicaTable {
     replicas: BTreeMap<ReplicaId, Replica>,
     by_cell: Vec<Vec<ReplicaId>>,
-    /// Until when the endpoint list may be acted on.
+    /// Time from which nothing may be sent according to the endpoint list.
     pub(crate) valid_until: f64,
     listed: usize,
 }
 
 impl ReplicaTable {
-    /// No replica is listed yet.
+    /// Creates a table without replicas.
     pub(crate) fn new() -> ReplicaTable {
         ReplicaTable {
             replicas: BTreeMap::new(),
@@ -27,42 +24,42 @@
         }
     }
 
-    /// How many replicas are listed and not gone, and 1 at the least.
+    /// Returns the number of listed replicas, without removed ones, and at least 1.
     #[inline]
     pub(crate) fn listed(&self) -> usize {
         self.listed
     }
 
-    /// The replica with this id.
+    /// Returns the replica with this id.
     #[inline]
     pub(crate) fn get(&self, id: ReplicaId) -> Option<&Replica> {
         self.replicas.get(&id)
     }
 
-    /// The replica with this id, to change.
+    /// Returns the replica with this id for modification.
     #[inline]
     pub(crate) fn get_mut(&mut self, id: ReplicaId) -> Option<&mut Replica> {
         self.replicas.get_mut(&id)
     }
 
-    /// All replicas, in the order of their ids.
+    /// Returns all replicas, in the order of their ids.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&ReplicaId, &Replica)> {
         self.replicas.iter()
     }
 
-    /// All replicas, in the order of their ids, to change.
+    /// Returns all replicas for modification, in the order of their ids.
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = (&ReplicaId, &mut Replica)> {
         self.replicas.iter_mut()
     }
 
-    /// Whether the replica is ejected for the class.
+    /// Returns whether the replica is ejected for the class.
     #[inline]
     pub(crate) fn is_ejected(&self, id: ReplicaId, class: usize) -> bool {
         self.get(id)
             .is_some_and(|replica| replica.is_ejected(class))
     }
 
-    /// All listed replicas that hold a shard, whatever their state, cell by cell.
+    /// Returns all known replicas in the cells that hold a shard, in any state, cell by cell.
     pub(crate) fn listed_holders(
         &self,
         shard: u32,
@@ -77,7 +74,7 @@
             .map(|id| &self.replicas[id])
     }
 
-    /// Takes entries of the endpoint list; if `is_full`, replicas that are not among them are gone.
+    /// Applies entries of the endpoint list. If `is_full`, replicas without an entry are marked as removed.
     pub(crate) fn update(
         &mut self,
         is_full: bool,
@@ -123,8 +120,8 @@
         replica.entry = *entry;
     }
 
-    /// Drops replicas that are gone once nothing is in flight there: ids are new with each machine, without end. One that
-    /// returns within the slow start is still warming up, so it is kept for that long.
+    /// Drops removed replicas without attempts in flight, because each new machine has a new id and the table would grow
+    /// without bound. A replica that returns within the slow start is still warming up, so its state is kept for that long.
     fn drop_removed(&mut self, slow_start_s: f64, now: f64) {
         self.replicas.retain(|_, replica| {
             replica.entry.lifecycle != Lifecycle::Removed
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -1,9 +1,8 @@
-//! Slow start: how much a replica that has just started may get from one of many aggregators.
+//! Slow start: limits the parts that a recently started replica receives from this aggregator.
 //!
-//! A replica that is warming up falls over when all aggregators together send it more than a multiple of its present capacity
-//! within a window. No aggregator has the others' numbers, so each keeps to its quota of that by its own even load; where the quota
-//! is less than one part in a window, a random draw decides. This file owns that quota and the draws. It must never choose a
-//! replica, and never read a clock.
+//! A replica that is warming up becomes overloaded when all aggregators together send it more than a multiple of its
+//! present capacity within a window. An aggregator does not know the load that the others send, so it derives its quota
+//! from its own average load per replica. A quota of less than one part per window is applied by a random draw.
 
 use crate::decisions::api::{ReplicaId, Settings};
 use crate::decisions::learned_state::SEND_RATE_WINDOW_S;
@@ -12,24 +11,24 @@
 use crate::decisions::time_window::{self, Schedule};
 use crate::decisions::view::View;
 
-/// Share of the overload limit of a replica that all aggregators together may use.
+/// Share of a replica's overload limit that all aggregators together may use.
 const LIMIT_SHARE: f64 = 0.9;
-/// Least capacity that is reckoned with.
+/// Least capacity that is assumed for a replica.
 const MIN_CAPACITY: f64 = 0.01;
-/// Shortest slow start that is reckoned with (seconds).
+/// Shortest slow start that is assumed (seconds).
 const MIN_SLOW_START_S: f64 = 1e-3;
 
-/// What an aggregator may send to a replica within one overload window.
+/// The number of parts that an aggregator may send to a replica within one overload window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Quota {
-    /// This many parts.
+    /// A fixed number of parts.
     Parts(f64),
-    /// Less than one part: the random draw of the window decides.
+    /// A number below 1, to which the random draw of the window is added.
     ByDraw(f64),
 }
 
 impl Quota {
-    /// Parts that may be sent in the window; `draw` is from 0 to 1.
+    /// Returns the number of parts that may be sent in the window; `draw` is from 0 to 1.
     pub fn max_parts(self, draw: f64) -> f64 {
         match self {
             Quota::Parts(parts) => parts,
@@ -38,7 +37,8 @@
     }
 }
 
-/// The least share of its capacity that a replica has now which started at that time (0: long ago).
+/// Returns the least present capacity of a replica that started at `started_at` (0: long ago), as a share of its full
+/// capacity.
 #[inline]
 pub fn capacity(settings: &Settings, started_at: f64, now: f64) -> f64 {
     if started_at <= 0.0 {
@@ -49,7 +49,8 @@
         .clamp(MIN_CAPACITY, 1.0)
 }
 
-/// The quota for a replica of that capacity; `parts_per_s` is what the aggregator sends to each replica on average.
+/// Returns the quota for a replica of this capacity; `parts_per_s` is the rate at which the aggregator sends to each
+/// replica on average.
 pub fn quota(settings: &Settings, capacity: f64, parts_per_s: f64) -> Quota {
     let even_load = parts_per_s * settings.overload_window_s;
     let parts = LIMIT_SHARE * settings.overload_multiple * capacity * even_load;
@@ -66,13 +67,13 @@
     quota(view.settings, capacity, parts_per_s)
 }
 
-/// Whether a random draw decides what a replica of this capacity gets.
+/// Returns whether a random draw decides how many parts a replica of this capacity receives.
 pub(crate) fn is_limited_by_draw(view: &View, capacity: f64) -> bool {
     matches!(quota_at_present(view, capacity), Quota::ByDraw(_))
 }
 
-/// Whether a replica is warming up and one more part would exceed the quota. If all aggregators keep to theirs, the replica
-/// stays under its limit.
+/// Returns whether a replica is warming up and one more part would exceed the quota. If all aggregators respect their
+/// quotas, the replica stays below its overload limit.
 #[inline]
 pub(crate) fn is_at_limit(view: &View, replica: &Replica) -> bool {
     let capacity = capacity(view.settings, replica.statistics.started_at, view.now);
@@ -84,14 +85,14 @@
     sent + 1.0 > quota_at_present(view, capacity).max_parts(replica.slow_start_draw)
 }
 
-/// The random draws of all replicas: one for each overload window, which begins at a random phase.
+/// The random draws of all replicas, one for each overload window. The first window of a replica has a random length.
 #[derive(Default)]
 pub(crate) struct SlowStartDraws {
     due: Schedule<ReplicaId>,
 }
 
 impl SlowStartDraws {
-    /// Starts over with the replicas that are there now.
+    /// Rebuilds the schedule for the present replicas.
     pub(crate) fn reset(&mut self, replicas: &ReplicaTable) {
         self.due = Schedule::default();
         for (id, replica) in replicas.iter() {
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Draws anew for the replicas whose window is over.
+    /// Draws again for the replicas whose window has ended.
     pub(crate) fn redraw_due(
         &mut self,
         replicas: &mut ReplicaTable,
--- a/src/decisions/stragglers.rs
+++ b/src/decisions/stragglers.rs
@@ -1,17 +1,14 @@
-//! Attempts that have been in flight for long: which of all attempts are checked for silence.
-//!
-//! This file owns the order in which attempts were sent, so that each is checked only once it is old. It must never say
-//! what silence is, and never read a clock.
+//! Attempts that have been in flight for long, which are the only ones that need a check for a missing response.
 
 use crate::decisions::api::PartId;
 use std::collections::{BTreeSet, VecDeque};
 
-/// An attempt, by its part and its number there.
+/// The id of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
-    /// Its part.
+    /// Part that the attempt belongs to.
     pub part: PartId,
-    /// Its place among the attempts of the part.
+    /// Number of the attempt within its part.
     pub number: usize,
 }
 
@@ -21,8 +18,8 @@
     attempt: AttemptId,
 }
 
-/// Attempts by their age. Those that have ended stay until the next check or until they are the oldest: as many as are sent
-/// in the time that makes one old.
+/// Attempts by age. Ended attempts are removed at the next check or once they are the oldest, so the number of entries is
+/// bounded by the number of attempts sent in the time that makes an attempt old.
 #[derive(Debug, Default)]
 pub struct Stragglers {
     recent: VecDeque<SentAttempt>, // in the order of sending
@@ -30,12 +27,13 @@
 }
 
 impl Stragglers {
-    /// Takes an attempt that is sent at `sent_at`, none earlier than those before.
+    /// Adds an attempt sent at `sent_at`, which must not be earlier than the previous ones.
     pub fn add(&mut self, sent_at: f64, attempt: AttemptId) {
         self.recent.push_back(SentAttempt { sent_at, attempt });
     }
 
-    /// The attempts in flight that were sent by `limit`, and perhaps some later ones, in the order of their parts.
+    /// Returns the attempts in flight that were sent by `limit`, or by the limit of an earlier call, in the order of their
+    /// parts.
     pub fn sent_by(
         &mut self,
         limit: f64,
--- a/src/decisions/stragglers/tests.rs
+++ b/src/decisions/stragglers/tests.rs
@@ -1,10 +1,10 @@
-//! Which attempts are found to be old.
+//! Tests of the selection of old attempts.
 
 use super::*;
 use proptest::prelude::*;
 
 proptest! {
-    /// Whatever ends in whatever order: of those in flight, just the ones sent by any limit so far come back.
+    /// In whatever order attempts end, exactly those in flight that were sent by the latest limit are returned.
     #[test]
     fn old_attempts_in_flight_are_found(steps in prop::collection::vec((0_u32..4, 0_usize..40), 0..200)) {
         let mut stragglers = Stragglers::default();
@@ -14,7 +14,7 @@
             let now = now as f64;
             match step {
                 0 | 1 => {
-                    // Parts in another order than that of their sending.
+                    // The order of the parts differs from the order of sending.
                     let part = PartId((now as u32 * 7919) % 1009);
                     let attempt = AttemptId { part, number: which };
                     if !in_flight.iter().any(|(_, other)| *other == attempt) {
--- a/src/decisions/time_window.rs
+++ b/src/decisions/time_window.rs
@@ -1,17 +1,14 @@
-//! Times in order: those that count within a window, and those at which something is due.
-//!
-//! This file owns how such times are kept, added and counted at a cost that does not grow with their number. It must never
-//! say what they mean, and never read a clock. Times are seconds.
+//! Ordered times: counts of events within a window, and schedules of keys that become due. Times are seconds.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// Times outside the window are dropped once they are the first of this many equal parts of all that are kept.
+/// Times outside the window are dropped once they make up at least one part in this many of all kept times.
 const KEPT_PER_DROPPED: usize = 8;
 /// Rounding error of sums of times (seconds).
 const ROUNDING_S: f64 = 1e-6;
 
-/// A time that can stand in an ordered structure.
+/// A time with a total order, for use as a key in ordered collections.
 #[derive(Clone, Copy, Debug)]
 pub struct OrderedTime(pub f64);
 
@@ -35,7 +32,7 @@
     }
 }
 
-/// Adds a time, and drops those up to `window_start` once they are many.
+/// Inserts a time in order. Times up to `window_start` are dropped once they are a large enough share of all.
 pub fn add(times: &mut Vec<f64>, at: f64, window_start: f64) {
     if times.last().is_none_or(|last| *last <= at) {
         times.push(at);
@@ -47,7 +44,7 @@
     }
 }
 
-/// How many times are later than `window_start`.
+/// Returns the number of times later than `window_start`.
 pub fn count_since(times: &[f64], window_start: f64) -> usize {
     times.len() - times.partition_point(|at| *at <= window_start)
 }
@@ -55,14 +52,14 @@
 /// A key and the time at which it is due.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Due<K> {
-    /// The time.
+    /// Time at which the key is due.
     pub at: f64,
-    /// The key.
+    /// Key that is due.
     pub key: K,
 }
 
-/// Keys, each with the time at which it is due. A key that is put in again stays at its old time too: whoever takes
-/// it out there finds that it has moved. Keys are stored by the millisecond, so that one costs no search.
+/// Keys with the times at which they are due. Inserting a key again does not remove its earlier entry; the caller must
+/// recognise an outdated entry when it is taken out. Entries are grouped by millisecond, so that most insertions are cheap.
 pub struct Schedule<K> {
     slots: BTreeMap<u64, Vec<Due<K>>>,
 }
@@ -75,20 +72,20 @@
     }
 }
 
-/// The millisecond of a time, by which keys are stored.
+/// Returns the millisecond of a time, by which entries are grouped.
 fn slot_of(at: f64) -> u64 {
     (at.max(0.0) * 1000.0) as u64
 }
 
 impl<K: Ord + Copy> Schedule<K> {
-    /// Puts a key in.
+    /// Inserts a key.
     pub fn put(&mut self, at: f64, key: K) {
         let slot = self.slots.entry(slot_of(at)).or_default();
         slot.push(Due { at, key });
     }
 
-    /// Takes out what is due, in the order of the keys, and what by rounding alone may not be due yet: the caller checks
-    /// each once more and puts it back.
+    /// Removes and returns the entries that are due, in the order of their keys. The limit includes a rounding error, so an
+    /// entry may not be due yet; the caller must check each and insert it again.
     pub fn take_due(&mut self, now: f64) -> Vec<Due<K>> {
         let limit = now + ROUNDING_S;
         let mut due = Vec::new();
--- a/src/decisions/time_window/tests.rs
+++ b/src/decisions/time_window/tests.rs
@@ -1,8 +1,8 @@
-//! Times within a window, and the order in which keys are due.
+//! Tests of the count of times within a window, and of the order in which keys are due.
 
 use super::*;
 
-/// Whatever is dropped, and in whatever order times are added, those within the window are all counted.
+/// All times within the window are counted, in whatever order times are added and whichever old ones are dropped.
 #[test]
 fn all_times_within_the_window_are_counted() {
     let (mut times, mut all) = (Vec::new(), Vec::new());
@@ -12,7 +12,7 @@
         all.push(at);
         let expected = all.iter().filter(|other| **other > at - 1.4).count();
         assert_eq!(count_since(&times, at - 1.4), expected);
-        assert!(times.len() < 200, "{} are kept", times.len());
+        assert!(times.len() < 200, "{} times are kept", times.len());
     }
 }
 
@@ -22,13 +22,13 @@
 }
 
 #[test]
-fn due_keys_come_in_their_own_order() {
+fn due_entries_are_returned_in_the_order_of_their_keys() {
     let mut schedule = Schedule::default();
     [(3.0, 'c'), (1.0, 'b'), (1.5, 'a')]
         .into_iter()
         .for_each(|(at, key)| schedule.put(at, key));
-    schedule.put(0.5, 'c'); // sooner: whoever sees it again at 3.0 knows that it has moved
-    schedule.put(1.5004, 'd'); // in the same millisecond, and not due yet
+    schedule.put(0.5, 'c'); // earlier; the entry at 3.0 is out of date and is returned too
+    schedule.put(1.5004, 'd'); // in the same millisecond, but not due yet
     assert_eq!(
         take_due(&mut schedule, 1.5),
         [(1.5, 'a'), (1.0, 'b'), (0.5, 'c')]
--- a/src/decisions/two_phase.rs
+++ b/src/decisions/two_phase.rs
@@ -1,52 +1,49 @@
-//! Queries in two phases: whether a query has a first phase, in which its parts are pre-checked, and how its time is divided.
+//! Queries in two phases: decides whether a query has a first phase, in which its parts are pre-checked, and how long that
+//! lasts.
 //!
-//! This file owns what is learned of phases by class: how often a pre-checked part may match, how many pre-checks are answered
-//! in time, and how long pre-checks and full attempts take. From that it says whether a query has a first phase and when that
-//! ends. It must never place a part, never send, retry or reject anything, never stand in for the answer of a leaf server,
-//! and never read a clock.
-//!
-//! A first phase pays where the work it saves exceeds its own: of each pre-checked part, the share that is answered in time
-//! and does not match need not be sent in full. The work of a pre-check, as a share of a full attempt's, is judged by the
-//! least latency of either lately, where neither waited. Where phases don't pay, one query in so many has a first phase all
-//! the same, to see whether they would by now.
+//! A first phase pays if it saves more work than it costs. The parts whose pre-check is answered in time without a match
+//! need not be sent in full. The work of a pre-check relative to a full attempt is estimated from the lowest recent
+//! latencies of both, which contain no queueing. While phases do not pay, an occasional query has a first phase as a trial,
+//! to detect whether they would pay again.
 
 use crate::decisions::api::{ClassSettings, Effect, Outcome};
 use crate::decisions::learned_state::Latencies;
 use crate::decisions::wire_pair::wire_as_pair;
 use miniserde::{Deserialize, Serialize};
 
-/// Weight of a new answer in the running shares.
+/// Weight of a new sample in the smoothed shares.
 const SMOOTHING: f64 = 0.02;
-/// Answers to pre-checks, and to full attempts, before anything is concluded.
+/// Number of answered pre-checks, and of answered full attempts, from which the saved share is known.
 const MIN_ANSWERS: u32 = 20;
 /// Least share of the full work that must be saved, beyond the work of the first phase.
 const MIN_SAVED_SHARE: f64 = 0.05;
-/// The first phase may take this multiple of the 95th percentile of pre-checks.
+/// Length of the first phase, as a multiple of the 95th percentile of pre-check latencies.
 const PHASE_PER_P95: f64 = 1.25;
-/// Time constant with which a least latency grows older (seconds).
+/// Time constant with which a recorded least latency grows (seconds).
 const MIN_LATENCY_DECAY_S: f64 = 120.0;
-/// Least work of a pre-check, as a share of a full attempt's.
+/// Least work of a pre-check, as a share of the work of a full attempt.
 const MIN_PRE_CHECK_WORK: f64 = 0.02;
-/// Futile trials after which trials become no rarer; each halves their rate.
+/// Largest number of futile trials that are counted. Each of them halves the rate of trials.
 const MAX_FUTILE_TRIALS: u32 = 4;
-/// Growth of the saved share that makes a trial a success.
+/// Least growth of the saved share by which a trial counts as a success.
 const MIN_GROWTH_OF_SAVED_SHARE: f64 = 0.02;
-/// First guesses at latencies, as shares of the latency objective.
+/// Initial estimates of latencies, as shares of the latency objective.
 const INITIAL_PRE_CHECK_MEDIAN: f64 = 0.03;
 const INITIAL_PRE_CHECK_P95: f64 = 0.12;
 const INITIAL_FULL_MEDIAN: f64 = 0.1;
 const INITIAL_FULL_P95: f64 = 0.35;
 
-/// The operators' settings.
+/// The operators' settings for two-phase queries.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TwoPhaseSettings {
-    /// Places of the classes that may have two phases; those that are not idempotent are ignored.
+    /// Indices of the classes that may have two phases. Classes that are not idempotent are ignored.
     pub classes: Vec<usize>,
-    /// Queries of fewer parts have one phase.
+    /// Least number of parts of a query with two phases.
     pub min_parts: u32,
     /// Largest share of a query's useful time for the first phase.
     pub max_share: f64,
-    /// Where phases don't pay, one query in this many tries them again, and down to a sixteenth of that when futile.
+    /// Number of queries between two trials while phases do not pay. The interval grows up to 16 times as long if trials
+    /// are futile.
     pub trial_interval_queries: u32,
 }
 
@@ -61,12 +58,12 @@
     }
 }
 
-/// The least latency that was seen lately.
+/// The least latency seen recently.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MinLatency {
-    /// The latency (seconds); 0 before any answer.
+    /// The latency (seconds); 0 before the first answer.
     pub latency_s: f64,
-    /// When it was last updated.
+    /// Time of the last update.
     pub updated_at: f64,
 }
 
@@ -76,7 +73,7 @@
 });
 
 impl MinLatency {
-    /// Takes a latency (seconds). What was seen long ago counts for less and less.
+    /// Records a latency (seconds). The recorded minimum grows with time, so that old samples lose their influence.
     fn add(&mut self, latency_s: f64, now: f64) {
         let age_s = (now - self.updated_at).max(0.0);
         let grown_s = self.latency_s * (age_s / MIN_LATENCY_DECAY_S).exp();
@@ -94,56 +91,57 @@
     }
 }
 
-/// What was learned of one class. It is handed to a successor in this form; the names on the wire must not change.
+/// The statistics of one class. This is the form in which they are handed to a successor, so the names on the wire must not
+/// change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PhaseStatistics {
-    /// The name of the class.
+    /// Name of the class.
     pub class: String,
-    /// Running share of the answered pre-checks by which a part may match.
+    /// Smoothed share of the answered pre-checks that found a possible match.
     #[serde(rename = "matching")]
     pub match_rate: f64,
-    /// Running share of the pre-checks that were answered in time.
+    /// Smoothed share of the pre-checks that were answered in time.
     #[serde(rename = "in_time")]
     pub answered_rate: f64,
-    /// Answered pre-checks, up to the number that is enough for a conclusion.
+    /// Number of answered pre-checks, counted up to `MIN_ANSWERS`.
     #[serde(rename = "words")]
     pub pre_check_answers: u32,
-    /// Answered full attempts, likewise.
+    /// Number of answered full attempts, counted up to `MIN_ANSWERS`.
     #[serde(rename = "answers")]
     pub full_answers: u32,
-    /// Latencies of pre-checks.
+    /// Latency quantiles of pre-checks.
     #[serde(rename = "word_s")]
     pub pre_check_latencies: Latencies,
-    /// Latencies of full attempts.
+    /// Latency quantiles of full attempts.
     #[serde(rename = "answer_s")]
     pub full_latencies: Latencies,
-    /// Least latency of a pre-check lately.
+    /// Lowest recent latency of a pre-check.
     #[serde(rename = "least_word")]
     pub min_pre_check_latency: MinLatency,
-    /// Least latency of a full attempt lately.
+    /// Lowest recent latency of a full attempt.
     #[serde(rename = "least_answer")]
     pub min_full_latency: MinLatency,
-    /// Queries since phases were last tried where they don't pay.
+    /// Number of queries since the last trial while phases do not pay.
     #[serde(rename = "since_try")]
     pub queries_since_trial: u32,
-    /// How many such trials in a row brought no improvement.
+    /// Number of consecutive trials without an improvement.
     #[serde(rename = "vain")]
     pub futile_trials: u32,
-    /// Saved share at the last such trial.
+    /// Saved share at the last trial.
     #[serde(rename = "saved_then")]
     pub saved_share_at_trial: f64,
 }
 
-/// How phases did since the start. Counters never go down.
+/// The counters of two-phase queries since the start. They never decrease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PhaseMetrics {
     /// Queries that had a first phase.
     pub two_phase: u64,
-    /// Queries of such classes that had none.
+    /// Queries of the same class that had no first phase.
     pub one_phase: u64,
-    /// Pre-checks by which nothing matches: these parts were pruned.
+    /// Pre-checks that found no match, by which a part was pruned.
     pub pruned: u64,
-    /// Pre-checks by which something may match.
+    /// Pre-checks that found a possible match.
     pub matching: u64,
     /// Pre-checks without an answer.
     pub unanswered: u64,
@@ -155,7 +153,7 @@
     metrics: PhaseMetrics,
 }
 
-/// The phases of one mixer, by class.
+/// The two-phase decisions and statistics of one mixer.
 pub struct TwoPhasePlanner {
     settings: TwoPhaseSettings,
     classes: Vec<Class>,
@@ -185,7 +183,7 @@
         }
     }
 
-    /// Whether these can be statistics of this module: what another process hands over is checked.
+    /// Returns whether the values are possible. Statistics from another process are checked before they are used.
     fn is_plausible(&self) -> bool {
         let is_share = |share: f64| (0.0..=1.0).contains(&share);
         let latencies = [
@@ -204,7 +202,7 @@
             && self.min_full_latency.is_plausible()
     }
 
-    /// Work of a pre-check, as a share of a full attempt's.
+    /// Returns the work of a pre-check, as a share of the work of a full attempt.
     pub fn pre_check_work(&self) -> f64 {
         if self.min_full_latency.latency_s <= 0.0 {
             return MIN_PRE_CHECK_WORK;
@@ -213,8 +211,8 @@
         work.clamp(MIN_PRE_CHECK_WORK, 1.0)
     }
 
-    /// Where phases don't pay: counts a query, and returns whether it tries them. Futile trials become rarer, down to a bound;
-    /// one that brought an improvement is soon followed by the next.
+    /// Counts a query while phases do not pay, and returns whether the query is a trial. The interval between trials
+    /// doubles with each futile one, up to a limit; after an improvement the next trial follows soon.
     fn count_for_trial(&mut self, trial_interval_queries: u32) -> bool {
         self.queries_since_trial += 1;
         let rarity = 1 << self.futile_trials.min(MAX_FUTILE_TRIALS);
@@ -233,17 +231,19 @@
         true
     }
 
-    /// Share of the full work that a first phase saves, less its own work; none before enough answers.
+    /// Returns the share of the full work that a first phase saves, minus the work of its pre-checks. Returns `None` before
+    /// there are enough answers.
     pub fn saved_share(&self) -> Option<f64> {
         let is_known = self.pre_check_answers >= MIN_ANSWERS && self.full_answers >= MIN_ANSWERS;
         is_known.then(|| self.answered_rate * (1.0 - self.match_rate) - self.pre_check_work())
     }
 
-    /// Takes whether a pre-check was answered; one that timed out took longer than was waited for it.
+    /// Records whether a pre-check was answered in time.
     fn count_pre_check(&mut self, outcome: Outcome, is_answered: bool, latency_objective_s: f64) {
         let answered = f64::from(u8::from(is_answered));
         self.answered_rate += SMOOTHING * (answered - self.answered_rate);
-        // If these were left out, the latencies could only ever shrink.
+        // The latency of a pre-check that timed out is unknown, but longer than the timeout. Leaving it out would bias the
+        // latencies downwards.
         if outcome == Outcome::TimedOut {
             let latencies = &mut self.pre_check_latencies;
             latencies.add(f64::MAX);
@@ -253,7 +253,7 @@
     }
 
     fn add_pre_check_answer(&mut self, is_match: bool, latency_s: f64, now: f64) {
-        // The first answers count for more, since nothing is known before them.
+        // The first answers have more weight, because the initial estimate is arbitrary.
         let weight = SMOOTHING.max(1.0 / f64::from(self.pre_check_answers + 1));
         let matching = f64::from(u8::from(is_match));
         self.match_rate += weight * (matching - self.match_rate);
@@ -280,19 +280,20 @@
 }
 
 impl TwoPhasePlanner {
-    /// TwoPhasePlanner of which nothing is known. `names` and `rules` are those of all classes, in the order of their places.
+    /// Creates a planner without statistics. `names` and `class_settings` are those of all classes, in the order of their
+    /// indices.
     pub fn new(
         settings: &TwoPhaseSettings,
         names: &[String],
-        rules: &[ClassSettings],
+        class_settings: &[ClassSettings],
     ) -> TwoPhasePlanner {
-        let is_idempotent = |place: &&usize| {
-            let rules = rules.get(**place);
-            rules.is_some_and(|rules| rules.effect == Effect::Idempotent)
+        let is_idempotent = |index: &&usize| {
+            let class_settings = class_settings.get(**index);
+            class_settings.is_some_and(|class_settings| class_settings.effect == Effect::Idempotent)
         };
-        let class = |place: &usize| {
-            let latency_objective_s = rules[*place].latency_objective_s;
-            let name = names.get(*place).map_or("", String::as_str);
+        let class = |index: &usize| {
+            let latency_objective_s = class_settings[*index].latency_objective_s;
+            let name = names.get(*index).map_or("", String::as_str);
             Class {
                 latency_objective_s,
                 statistics: PhaseStatistics::new(name, latency_objective_s),
@@ -306,19 +307,19 @@
         }
     }
 
-    /// What was learned, for a successor or for other settings.
+    /// Returns the statistics of all classes, for a successor or for new settings.
     pub fn statistics(&self) -> Vec<PhaseStatistics> {
         let classes = self.classes.iter();
         classes.map(|class| class.statistics.clone()).collect()
     }
 
-    /// Statistics and metrics of each class.
+    /// Returns the statistics and metrics of each class.
     pub fn classes(&self) -> impl Iterator<Item = (&PhaseStatistics, &PhaseMetrics)> {
         let classes = self.classes.iter();
         classes.map(|class| (&class.statistics, &class.metrics))
     }
 
-    /// Takes over what was learned of classes with the same names. What is not plausible is ignored.
+    /// Takes over the statistics of classes with the same names. Implausible statistics are ignored.
     pub fn inherit(&mut self, inherited: Vec<PhaseStatistics>) {
         for statistics in inherited {
             if !statistics.is_plausible() {
@@ -330,7 +331,7 @@
         }
     }
 
-    /// Takes over the metrics from the former settings, since counters never go down.
+    /// Takes over the metrics of the planner with the former settings, because counters must never decrease.
     pub fn keep_metrics(&mut self, former: &TwoPhasePlanner) {
         for class in &mut self.classes {
             let name = &class.statistics.class;
@@ -342,8 +343,9 @@
         }
     }
 
-    /// Length of the first phase of a query (seconds); none if it has one phase. `timeout_s` is how long the client waits,
-    /// and `above` the number of parts above which the client wants two phases, where it says so.
+    /// Returns the length of the first phase of a query (seconds), or `None` for a query in one phase. `timeout_s` is the
+    /// time that the client waits. `only_above_parts` is the client's own limit: queries with more parts than that get two
+    /// phases.
     pub fn plan(
         &mut self,
         class: &str,
@@ -378,7 +380,7 @@
         planned_s
     }
 
-    /// Takes the end of an attempt that took `took_s` (seconds). The class is given by its name, since its place may have
+    /// Records the end of an attempt that took `took_s` (seconds). The class is given by name, because its index may have
     /// changed since the attempt was sent.
     pub fn attempt_ended(
         &mut self,
@@ -395,7 +397,7 @@
         let is_answered = matches!(outcome, Outcome::Ok | Outcome::Matches);
         if is_pre_check {
             class.metrics.count_pre_check(outcome);
-            // Nobody waited for it any more, or it was never sent: that shows nothing of phases.
+            // An attempt that was cancelled or never sent gives no information on latencies.
             if matches!(outcome, Outcome::Cancelled | Outcome::Superseded) {
                 return;
             }
@@ -419,8 +421,9 @@
 }
 
 impl Class {
-    /// Length of a first phase (seconds): as long as late pre-checks take, if that leaves time for full attempts before the
-    /// latency objective, and for late ones before the client's timeout. None if it does not.
+    /// Returns the length of a first phase (seconds): long enough for late pre-checks, if that leaves time for a full
+    /// attempt of median latency before the latency objective, and for a late one before the client's timeout. Otherwise
+    /// returns `None`.
     fn first_phase_s(&self, timeout_s: f64, max_share: f64) -> Option<f64> {
         let useful_s = self.latency_objective_s.min(timeout_s);
         let late_pre_check_s = PHASE_PER_P95 * self.statistics.pre_check_latencies.p95_s;
--- a/src/decisions/wire_pair.rs
+++ b/src/decisions/wire_pair.rs
@@ -1,26 +1,24 @@
-//! Structs of two fields that go over the wire as an array of two, as the handover has always had them.
-//!
-//! This file owns that form. It must never depend on what the fields mean.
+//! Serialization of structs with two fields as an array of two elements, which the handover format requires.
 
 use miniserde::de::{Seq as ReadSeq, Visitor};
 use miniserde::ser::{Fragment, Seq as WriteSeq};
 use miniserde::{make_place, Deserialize, Error, Serialize};
 
-/// A struct of two fields, which go over the wire in this order.
+/// A struct of two fields that are serialized in this order.
 pub(crate) trait WirePair: Sized {
     /// Type of the first field.
     type First: Deserialize;
     /// Type of the second field.
     type Second: Deserialize;
 
-    /// The struct with these fields.
+    /// Creates the struct from its fields.
     fn from_pair(first: Self::First, second: Self::Second) -> Self;
 
-    /// Its fields.
+    /// Returns the fields.
     fn to_pair(&self) -> [&dyn Serialize; 2];
 }
 
-/// Implements the wire form of a [`WirePair`], by its two fields.
+/// Implements [`WirePair`] and its serialization for a struct with the given two fields.
 macro_rules! wire_as_pair {
     ($name:ident { $first:ident: $first_type:ty, $second:ident: $second_type:ty }) => {
         impl crate::decisions::wire_pair::WirePair for $name {
@@ -64,7 +62,7 @@
     }
 }
 
-/// The wire form of a pair.
+/// Serializes a pair.
 pub(crate) fn write(pair: &impl WirePair) -> Fragment<'_> {
     Fragment::Seq(Box::new(PairWriter {
         fields: pair.to_pair(),
@@ -109,7 +107,7 @@
     }
 }
 
-/// Where a pair is read to; anything but an array of these two fields is an error.
+/// Returns the visitor that deserializes a pair. Anything except an array of the two fields is an error.
 pub(crate) fn read<P: WirePair>(out: &mut Option<P>) -> &mut dyn Visitor {
     Place::new(out)
 }
--- a/src/decisions/wire_pair/tests.rs
+++ b/src/decisions/wire_pair/tests.rs
@@ -1,4 +1,4 @@
-//! The wire form of structs of two fields.
+//! Tests of the serialization of structs with two fields.
 
 use miniserde::json;
 
@@ -24,7 +24,7 @@
     names: Vec<String>
 });
 
-/// The form is that of a tuple, alone and in a list.
+/// The serialized form is that of a tuple, alone and in a list.
 #[rstest::rstest]
 #[case("[1.25,2.5]")]
 #[case("[0.0,1.7976931348623157e308]")]
