--- a/src/net/handover/messages.rs
+++ b/src/net/handover/messages.rs
@@ -6,7 +6,7 @@
 use crate::decisions::api::{PredecessorLoad, ReplicaLoad, SentAttempt};
 use crate::decisions::learned_state::LearnedState;
 use crate::decisions::two_phase::PhaseStatistics;
-use crate::endpoints::lease::HandedLease;
+use crate::endpoints::lease::LeaseHandover;
 use crate::net::runtime::Runtime;
 use crate::requests::process_load::ProcessLoad;
 use miniserde::{json, Deserialize, Serialize};
@@ -85,7 +85,7 @@
     /// The names of its tenants, likewise.
     pub(super) tenants: Vec<String>,
     /// Its lease on the list; releases before leases send none.
-    pub(in crate::net) lease: Option<HandedLease>,
+    pub(in crate::net) lease: Option<LeaseHandover>,
     /// What its decision module has learned.
     #[serde(rename = "beliefs")]
     pub(super) learned_state: LearnedState,
@@ -143,16 +143,16 @@
     /// The load of this process. Attempts count as reported from now on.
     pub(super) fn of(runtime: &mut Runtime, connections: ConnectionCounts) -> LoadMessage {
         let ProcessLoad {
-            ids,
-            held,
+            request_ids,
+            open_count,
             attempts,
-        } = runtime.coordinator.load();
+        } = runtime.coordinator.take_process_load();
         let name = |id| runtime.directory.name(id).map(String::from);
         let in_flight = attempts.in_flight.into_iter();
         let sent = attempts.sent.into_iter();
         LoadMessage {
-            ids,
-            held: held as u32,
+            ids: request_ids,
+            held: open_count as u32,
             clients: connections.clients as u32,
             replicas: connections.replicas as u32,
             in_flight: in_flight
@@ -198,8 +198,8 @@
                 .collect(),
         };
         ProcessLoad {
-            ids: self.ids,
-            held: self.held as usize,
+            request_ids: self.ids,
+            open_count: self.held as usize,
             attempts,
         }
     }
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -17,7 +17,7 @@
 use crate::net::runtime::Runtime;
 use crate::net::socket::listen;
 use crate::net::timer_queue::TimerQueue;
-use crate::net::tokens::{LISTENERS, PROTOCOLS, REREAD, SIGNALS};
+use crate::net::tokens::{LISTENERS, PROTOCOLS, RELOAD, SIGNALS};
 use crate::net::{admin, handover};
 use crate::requests::coordinator::Coordinator;
 use mio::net::{TcpListener, UnixStream};
@@ -36,7 +36,7 @@
 pub(super) fn start(mut options: Options, signals: Signals) -> Result<Mixer, NetError> {
     // VRRP opens and closes the listeners by itself, so there is none to take over.
     let inherited = options.inherited.take().filter(|_| options.vrrp.is_none());
-    let known_list = options.known.take();
+    let known_list = options.known_list.take();
     let admin_address = options.operator;
     let store = options.store.take();
     let vrrp = options.vrrp.take();
@@ -58,7 +58,7 @@
         mixer.lifecycle.begin_inheriting();
     }
     if let Some(known) = &known_list {
-        mixer.take_list(known);
+        mixer.apply_list(known);
     }
     if let Some(inherited) = inherited {
         mixer.set_up_handover(inherited)?;
@@ -71,7 +71,7 @@
     runtime
         .coordinator
         .start(runtime.now, &mut runtime.commands);
-    mixer.settle();
+    mixer.process_commands();
     Ok(mixer)
 }
 
@@ -89,8 +89,8 @@
     ];
     let open = open_listeners(poll.registry(), addresses, is_listening)?;
     let stop = watch_pipe(poll.registry(), signals.stop, SIGNALS)?;
-    let reread = watch_pipe(poll.registry(), signals.reread, REREAD)?;
-    let max_connections = max_connections(options.sockets, is_inheriting);
+    let reload = watch_pipe(poll.registry(), signals.reload, RELOAD)?;
+    let max_connections = max_connections(options.max_sockets, is_inheriting);
     let setup = RuntimeSetup {
         name: options.name,
         seed: options.seed,
@@ -100,20 +100,24 @@
     let discovery = DiscoveryClient::new(
         options.discovery,
         &runtime.deployment.policy,
-        options.memory,
+        options.max_memory_bytes,
         runtime.now,
         runtime.rng.rand_float(),
     );
     Ok(Mixer {
         runtime,
         listeners: Listeners::new(open, addresses),
-        clients: ClientConnections::new(options.sockets, options.memory, options.search_tenant),
-        replicas: ReplicaConnections::new(options.memory, max_connections),
+        clients: ClientConnections::new(
+            options.max_sockets,
+            options.max_memory_bytes,
+            options.search_tenant,
+        ),
+        replicas: ReplicaConnections::new(options.max_memory_bytes, max_connections),
         discovery,
         lifecycle: Lifecycle::new(stop, options.drain_s),
         reload: Reload::new(
-            reread,
-            signals.config,
+            reload,
+            signals.config_path,
             options.key_paths,
             options.file_discovery,
         ),
@@ -141,8 +145,8 @@
         name: setup.name,
         clock,
         now,
-        turn_began_at: now,
-        previous_turn_at: now,
+        iteration_started_at: now,
+        previous_iteration_at: now,
         timers: TimerQueue::default(),
         log: Log::new(now),
         rng: oorandom::Rand64::new(u128::from(setup.seed) + 1),
@@ -158,7 +162,7 @@
 /// Connections to clients and replicas that the limit on descriptors allows.
 fn max_connections(max_descriptors: usize, is_inheriting: bool) -> usize {
     let handover = if is_inheriting {
-        handover::DESCRIPTORS
+        handover::RESERVED_DESCRIPTORS
     } else {
         0
     };
