--- a/src/decisions/aggregator.rs
+++ b/src/decisions/aggregator.rs
@@ -94,13 +94,15 @@
         let is_ejected = |replica: &Replica| {
             (0..replica.statistics.classes.len()).all(|class| replica.is_ejected(class))
         };
-        let is_avoided = |replica: &Replica| match replica.entry.lifecycle {
+        let is_unavailable = |replica: &Replica| match replica.entry.lifecycle {
             Lifecycle::Ready => is_ejected(replica),
             Lifecycle::Draining => true,
             Lifecycle::Removed => false,
         };
         let replicas = self.replicas.iter();
-        replicas.filter(|(_, replica)| is_avoided(replica)).count()
+        replicas
+            .filter(|(_, replica)| is_unavailable(replica))
+            .count()
     }
 
     /// Returns the state that a successor needs so that both processes together respect the limits of one.
@@ -257,7 +259,7 @@
     /// Updates the values that depend on time alone: the decay window, the random draws of the slow start and the prices.
     fn update_prices(&mut self) {
         self.decay_window_s =
-            latency::decay_window_s(&self.statistics, self.replicas.listed(), self.now);
+            latency::decay_window_s(&self.statistics, self.replicas.listed_count(), self.now);
         self.slow_start_draws.redraw_due(
             &mut self.replicas,
             self.settings.overload_window_s,
--- a/src/decisions/api.rs
+++ b/src/decisions/api.rs
@@ -19,7 +19,7 @@
 /// The effect of executing a part more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Effect {
-    /// A part may be repeated at any time.
+    /// A part may be repeated any number of times.
     #[default]
     Idempotent,
     /// Replicas discard repeats within a window that starts with the first attempt that may have been executed.
--- a/src/decisions/attempts.rs
+++ b/src/decisions/attempts.rs
@@ -5,7 +5,7 @@
 
 use crate::decisions::aggregator::Aggregator;
 use crate::decisions::api::*;
-use crate::decisions::learning::{EndedAttempt, Learner};
+use crate::decisions::learning::{EndedAttempt, OutcomeRecorder};
 use crate::decisions::query::{Attempt, Part, Query};
 use crate::decisions::replica::Replica;
 use crate::decisions::replica_selection::best_holder;
@@ -84,7 +84,11 @@
     /// flight.
     fn choose_replica(&self, id: PartId, part: &Part) -> Option<ReplicaId> {
         let view = self.view();
-        let tried: Vec<ReplicaId> = part.attempts.iter().map(|it| it.replica).collect();
+        let tried: Vec<ReplicaId> = part
+            .attempts
+            .iter()
+            .map(|attempt| attempt.replica)
+            .collect();
         let choice = best_holder(&view, id, &tried).or_else(|| {
             let in_flight = part.in_flight().map(|(_, attempt)| attempt.replica);
             let in_flight: Vec<ReplicaId> = in_flight.collect();
@@ -109,9 +113,8 @@
         idle_s: f64,
     ) -> bool {
         let is_likely_lost = self.outliers.idle_losses.is_likely_lost(self.now, idle_s);
-        let is_counted_unresponsive = replica.is_ejected(part.class) && !replica.has_answered_last;
-        idle_s > 0.0
-            && (is_likely_lost || query.first_reset_at.is_some() || is_counted_unresponsive)
+        let is_unresponsive = replica.is_ejected(part.class) && !replica.has_answered_last;
+        idle_s > 0.0 && (is_likely_lost || query.first_reset_at.is_some() || is_unresponsive)
     }
 
     /// Returns the pre-check that an attempt of the part is sent as. Only the first attempt of a part is a pre-check; if it
@@ -149,7 +152,7 @@
                 .count_attempt(self.now, planned.is_retry, self.now, self.retention_s);
         }
         if !planned.is_retry {
-            hedging::add_credit(&mut self.statistics, self.replicas.listed());
+            hedging::add_credit(&mut self.statistics, self.replicas.listed_count());
         }
         let replica = self.replicas.get_mut(planned.replica);
         let replica = replica.expect("a holder is in the replica table");
@@ -237,7 +240,7 @@
         true
     }
 
-    /// Sends a spare part, which a complete answer does not need, in index of a late one. Returns whether a part was sent.
+    /// Sends a spare part, which a complete answer does not need, in place of a late one. Returns whether a part was sent.
     fn send_spare(&mut self, late: PartId, out: &mut Vec<Action>) -> bool {
         let Some(query) = self.queries.query_of(&self.queries.parts[&late]) else {
             return false;
@@ -278,7 +281,7 @@
         } else {
             self.queries.recount_part(end.part, &self.replicas);
         }
-        self.learn(&ended);
+        self.record_outcome(&ended);
         let Some(query) = query else {
             return;
         };
@@ -299,8 +302,8 @@
         self.check_query(query, out);
     }
 
-    fn learn(&mut self, ended: &EndedAttempt) {
-        let mut learner = Learner {
+    fn record_outcome(&mut self, ended: &EndedAttempt) {
+        let mut recorder = OutcomeRecorder {
             settings: &self.settings,
             statistics: &mut self.statistics,
             service_time: &mut self.service_time,
@@ -308,7 +311,7 @@
             prices: &mut self.prices,
             now: self.now,
         };
-        learner.attempt_ended(&mut self.replicas, ended);
+        recorder.attempt_ended(&mut self.replicas, ended);
     }
 }
 
--- a/src/decisions/learning.rs
+++ b/src/decisions/learning.rs
@@ -24,7 +24,7 @@
 }
 
 /// The parts of an aggregator's state that change when an attempt ends.
-pub(crate) struct Learner<'a> {
+pub(crate) struct OutcomeRecorder<'a> {
     pub(crate) settings: &'a Settings,
     pub(crate) statistics: &'a mut Statistics,
     pub(crate) service_time: &'a mut ServiceTimeEstimate,
@@ -33,7 +33,7 @@
     pub(crate) now: f64,
 }
 
-impl Learner<'_> {
+impl OutcomeRecorder<'_> {
     /// Records the end of an attempt. Must be called exactly once for each attempt.
     pub(crate) fn attempt_ended(&mut self, replicas: &mut ReplicaTable, ended: &EndedAttempt) {
         let Some(replica) = replicas.get_mut(ended.attempt.replica) else {
--- a/src/decisions/outlier_detection.rs
+++ b/src/decisions/outlier_detection.rs
@@ -28,7 +28,7 @@
 }
 
 /// The data for the check of one attempt without an answer.
-struct UnresponsiveAttempt {
+struct UnansweredAttempt {
     measured_class: usize,
     sent_at: f64,
     connection_idle_s: f64,
@@ -103,7 +103,7 @@
             };
             let relative_latency = replica.statistics.relative_latency.unwrap_or(0.0);
             let known_latency_s = service_time.average_s * relative_latency;
-            let unresponsive = UnresponsiveAttempt {
+            let unanswered = UnansweredAttempt {
                 measured_class: attempt.measured_class,
                 sent_at,
                 connection_idle_s: attempt.connection_idle_s,
@@ -111,52 +111,48 @@
                 objective_s: settings.classes[attempt.measured_class].latency_objective_s,
                 now,
             };
-            self.eject_class(replica, attempt, &unresponsive);
-            self.eject_whole(replica, &unresponsive);
+            self.eject_class(replica, attempt, &unanswered);
+            self.eject_whole(replica, &unanswered);
         }
     }
 
-    /// Counts an unresponsive attempt against its replica's class, once.
+    /// Counts an unanswered attempt against its replica's class, once.
     fn eject_class(
         &mut self,
         replica: &mut Replica,
         attempt: &mut Attempt,
-        unresponsive: &UnresponsiveAttempt,
+        unanswered: &UnansweredAttempt,
     ) {
         if attempt.is_counted_unresponsive
-            || unresponsive.now - unresponsive.sent_at <= unresponsive.unresponsive_after_s
+            || unanswered.now - unanswered.sent_at <= unanswered.unresponsive_after_s
         {
             return;
         }
         attempt.is_counted_unresponsive = true;
-        let statistics = &mut replica.statistics.classes[unresponsive.measured_class];
-        let weight = if statistics.last_answer_at > unresponsive.sent_at {
+        let statistics = &mut replica.statistics.classes[unanswered.measured_class];
+        let weight = if statistics.last_answer_at > unanswered.sent_at {
             1
         } else {
             FAILURES_TO_EJECT
         };
         let ejection = &mut statistics.ejection;
-        let has_changed =
-            ejection.count_failure(unresponsive.now, unresponsive.objective_s, weight);
+        let has_changed = ejection.count_failure(unanswered.now, unanswered.objective_s, weight);
         self.count_change(has_changed);
-        let answered_nothing = replica.statistics.last_answer_at <= unresponsive.sent_at;
-        if answered_nothing && self.idle_losses.part_lost(unresponsive.connection_idle_s) {
-            replica.lost_after_idle_s = Some(unresponsive.connection_idle_s);
+        let answered_nothing = replica.statistics.last_answer_at <= unanswered.sent_at;
+        if answered_nothing && self.idle_losses.part_lost(unanswered.connection_idle_s) {
+            replica.lost_after_idle_s = Some(unanswered.connection_idle_s);
         }
     }
 
     /// Ejects the whole replica if it has answered nothing since the attempt was sent.
-    fn eject_whole(&mut self, replica: &mut Replica, unresponsive: &UnresponsiveAttempt) {
-        let unanswered_since = replica.statistics.last_answer_at.max(unresponsive.sent_at);
+    fn eject_whole(&mut self, replica: &mut Replica, unanswered: &UnansweredAttempt) {
+        let unanswered_since = replica.statistics.last_answer_at.max(unanswered.sent_at);
         let ejection = &mut replica.statistics.ejection;
-        if unresponsive.now - unanswered_since > unresponsive.unresponsive_after_s
+        if unanswered.now - unanswered_since > unanswered.unresponsive_after_s
             && !ejection.is_ejected()
         {
-            let has_changed = ejection.count_failure(
-                unresponsive.now,
-                unresponsive.objective_s,
-                FAILURES_TO_EJECT,
-            );
+            let has_changed =
+                ejection.count_failure(unanswered.now, unanswered.objective_s, FAILURES_TO_EJECT);
             self.count_change(has_changed);
         }
     }
--- a/src/decisions/price.rs
+++ b/src/decisions/price.rs
@@ -125,10 +125,11 @@
             let class = due.key.class;
             let objective_s = settings.classes[class].latency_objective_s;
             let replica = replicas.get_mut(due.key.replica);
-            let statistics = replica.and_then(|it| it.statistics.classes.get_mut(class));
+            let statistics = replica.and_then(|replica| replica.statistics.classes.get_mut(class));
             // If the end of an interval has moved, the schedule has an entry for the new end too, and this entry is out of
             // date.
-            let statistics = statistics.filter(|it| it.interval_end(objective_s) == due.at);
+            let statistics =
+                statistics.filter(|statistics| statistics.interval_end(objective_s) == due.at);
             if let Some(statistics) = statistics {
                 statistics.update_price(now, objective_s);
                 self.due.put(statistics.interval_end(objective_s), due.key);
--- a/src/decisions/query_lifecycle.rs
+++ b/src/decisions/query_lifecycle.rs
@@ -133,13 +133,15 @@
             * (1.0 - view.own_load_share());
         // A query for which a partial answer is allowed omits the parts that its tokens do not cover.
         let is_affordable = |price: f64| price <= tokens;
-        let chosen: Vec<PartId> = query_price
+        let affordable_parts: Vec<PartId> = query_price
             .parts
             .iter()
             .filter(|part| part.price.is_some_and(is_affordable))
             .map(|part| part.id)
             .collect();
-        let weights = chosen.iter().map(|part| self.queries.parts[part].weight);
+        let weights = affordable_parts
+            .iter()
+            .map(|part| self.queries.parts[part].weight);
         let affordable_weight: f64 = weights.sum();
         let is_below_partial_share = affordable_weight + WEIGHT_ROUNDING < class.min_partial_share;
         let is_crash_inducing =
@@ -148,7 +150,7 @@
         if is_below_partial_share || tokens < congestion_price || is_crash_inducing {
             return self.reject(id, query_price.max_price.max(congestion_price), out);
         }
-        self.send_first(id, chosen, out);
+        self.send_first(id, affordable_parts, out);
     }
 
     /// Sends the parts of an admitted query, or only the first part as a probe while queries may be crash-inducing.
@@ -288,7 +290,7 @@
         query.quiet = None;
     }
 
-    /// Ends a query in whatever state it is.
+    /// Ends a query and removes it, in any state.
     pub(super) fn end_query(&mut self, id: QueryId, out: &mut Vec<Action>) {
         self.end_step(id, out);
         self.queries.remove(id);
--- a/src/decisions/replica_table.rs
+++ b/src/decisions/replica_table.rs
@@ -10,7 +10,7 @@
     by_cell: Vec<Vec<ReplicaId>>,
     /// Time from which nothing may be sent according to the endpoint list.
     pub(crate) valid_until: f64,
-    listed: usize,
+    listed_count: usize,
 }
 
 impl ReplicaTable {
@@ -20,14 +20,14 @@
             replicas: BTreeMap::new(),
             by_cell: Vec::new(),
             valid_until: f64::INFINITY,
-            listed: 1,
+            listed_count: 1,
         }
     }
 
     /// Returns the number of listed replicas, without removed ones, and at least 1.
     #[inline]
-    pub(crate) fn listed(&self) -> usize {
-        self.listed
+    pub(crate) fn listed_count(&self) -> usize {
+        self.listed_count
     }
 
     /// Returns the replica with this id.
@@ -132,7 +132,7 @@
 
     fn index_cells(&mut self, cells: u32) {
         let is_listed = |replica: &&Replica| replica.entry.lifecycle != Lifecycle::Removed;
-        self.listed = self.replicas.values().filter(is_listed).count().max(1);
+        self.listed_count = self.replicas.values().filter(is_listed).count().max(1);
         self.by_cell = vec![Vec::new(); cells as usize];
         for replica in self.replicas.values() {
             if let Some(cell) = self.by_cell.get_mut(replica.entry.cell as usize) {
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -63,7 +63,7 @@
 
 fn quota_at_present(view: &View, capacity: f64) -> Quota {
     let sent = view.statistics.recent_first_attempts() as f64;
-    let parts_per_s = sent / SEND_RATE_WINDOW_S / view.replicas.listed() as f64;
+    let parts_per_s = sent / SEND_RATE_WINDOW_S / view.replicas.listed_count() as f64;
     quota(view.settings, capacity, parts_per_s)
 }
 
--- a/src/decisions/time_window.rs
+++ b/src/decisions/time_window.rs
@@ -59,7 +59,8 @@
 }
 
 /// Keys with the times at which they are due. Inserting a key again does not remove its earlier entry; the caller must
-/// recognise an outdated entry when it is taken out. Entries are grouped by millisecond, so that most insertions are cheap.
+/// recognise an outdated entry when it is taken out. Entries are grouped by millisecond, so that an insertion needs no search
+/// among those of the same millisecond.
 pub struct Schedule<K> {
     slots: BTreeMap<u64, Vec<Due<K>>>,
 }
--- a/src/decisions/view.rs
+++ b/src/decisions/view.rs
@@ -35,7 +35,7 @@
         &self.settings.classes[class]
     }
 
-    /// Returns whether parts of the class may be repeated at any time.
+    /// Returns whether parts of the class may be repeated any number of times.
     #[inline]
     pub(crate) fn is_idempotent(&self, class: usize) -> bool {
         self.class(class).effect == Effect::Idempotent
