--- a/src/net/discovery/connection.rs
+++ b/src/net/discovery/connection.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Call {
     /// Request for the complete list, answered at once.
-    WholeList,
+    CompleteList,
     /// Request for the changes since a revision, answered at once.
     Changes {
         /// Revision since which changes are requested.
@@ -44,7 +44,7 @@
     /// Returns the bytes of the HTTP request.
     pub fn request_bytes(self, host: &str) -> Vec<u8> {
         let query = match self {
-            Call::WholeList => String::new(),
+            Call::CompleteList => String::new(),
             Call::Changes { since } => format!("?index={since}&wait=0"),
             Call::Watch { since, wait_s } => {
                 format!("?index={since}&wait={}", (wait_s * 1000.0) as u64)
@@ -204,7 +204,7 @@
         }
         match reason {
             DiscoveryError::Status(_) => CallEnd::Refused,
-            // The mixer keeps using the last list, as the log says, because no call can deliver this one.
+            // No call can deliver a list above the limit, so no answer counts as missing and the last list stays in use.
             DiscoveryError::ListTooLarge { .. } => CallEnd::Refused,
             _ if self.has_unusable_answer => CallEnd::Refused,
             _ if self.answer_arriving_since().is_some() => CallEnd::CutOff,
--- a/src/simulator/pipe/batch.rs
+++ b/src/simulator/pipe/batch.rs
@@ -1,7 +1,4 @@
-//! Batches: the events that the simulator sends.
-//!
-//! This file owns the layout of their records, and the numbered lists that later records refer to. It must never know what
-//! an event brings about.
+//! Decoding of batches, in which the simulator sends events. Records may refer to numbered lists defined by earlier records.
 
 use super::cursor::Cursor;
 use super::error::{FieldError, WireError};
@@ -10,18 +7,18 @@
 use crate::decisions::api::*;
 use std::sync::Arc;
 
-/// Bytes of a list's entry.
+/// Length of an entry of a list (bytes).
 const LIST_ENTRY_BYTES: usize = 21;
-/// Numbers that lists may have, from 0.
+/// Number of lists that may be defined; their numbers start at 0.
 const MAX_LISTS: usize = 16;
-/// Bytes of a stream's start after its instance.
+/// Length of a FIRST record after its instance (bytes).
 const STREAM_START_BYTES: usize = 17;
-/// The client gave an estimate of the work.
+/// Flag: the record has a cost estimate of the client.
 const FLAG_COST_HINT: u16 = 1;
-/// The client marked the query as a retry of its own.
+/// Flag: the client marked the query as a retry.
 const FLAG_CLIENT_RETRY: u16 = 2;
 
-/// The codes of the records.
+/// Codes of the kinds of records.
 mod code {
     pub(super) const INIT: u8 = 1;
     pub(super) const ENDPOINTS: u8 = 2;
@@ -36,7 +33,7 @@
     pub(super) const CATALOG: u8 = 11;
 }
 
-/// The name of the record with that code, if there is one.
+/// Returns the name of a kind of record, or `None` for an unknown code.
 fn record_name(code: u8) -> Option<&'static str> {
     Some(match code {
         code::INIT => "INIT",
@@ -54,52 +51,53 @@
     })
 }
 
-/// One record of a batch.
+/// A record of a batch.
 #[derive(Debug, PartialEq)]
 pub enum Record {
     /// An instance starts.
     Init {
-        /// Its number.
+        /// Number of the instance.
         instance: u32,
-        /// Its seed.
+        /// Seed of the instance's random numbers.
         seed: u64,
-        /// Its settings.
+        /// Settings of the instance.
         settings: Box<Settings>,
     },
     /// An instance has crashed.
     Crash {
-        /// Its number.
+        /// Number of the instance.
         instance: u32,
     },
     /// An event for an instance.
     Event {
-        /// Its number.
+        /// Number of the instance.
         instance: u32,
-        /// The event.
+        /// Event for the instance's [`Aggregator`](crate::Aggregator).
         event: Event,
     },
-    /// A record without an event for the module: a numbered list, a stream's start, a peer's message.
+    /// A record without an event for the decision module: the definition of a list, the start of a stream, or a message between
+    /// instances.
     NoEvent,
 }
 
-/// A decoded batch.
+/// A decoded batch of records.
 #[derive(Debug, PartialEq)]
 pub struct Batch {
-    /// The time of all its events.
+    /// Time of all events of the batch (seconds).
     pub now: f64,
-    /// Its records, in order.
+    /// Records in the order in which they were sent.
     pub records: Vec<Record>,
 }
 
-/// Decodes batches; holds the numbered lists that the simulator has defined.
+/// A decoder of batches, which stores the lists that the simulator has defined.
 #[derive(Debug, Default)]
 pub struct Decoder {
     lists: [Option<Arc<[ReplicaEntry]>>; MAX_LISTS],
 }
 
 impl Decoder {
-    /// Decodes a complete frame, as [`read_frame`](super::read_frame) returns it.
-    pub fn batch(&mut self, frame: &[u8]) -> Result<Batch, WireError> {
+    /// Decodes a complete frame as returned by [`read_frame`](super::read_frame).
+    pub fn decode_batch(&mut self, frame: &[u8]) -> Result<Batch, WireError> {
         let mut cursor = Cursor::new(frame, LENGTH_BYTES, 0, "header");
         let count = cursor.u32()?;
         let now = cursor.f64()?;
@@ -109,15 +107,15 @@
         let mut records = Vec::new();
         for record in 0..count {
             cursor.record = record;
-            records.push(self.record(&mut cursor)?);
+            records.push(self.decode_record(&mut cursor)?);
         }
         match cursor.remaining() {
             0 => Ok(Batch { now, records }),
-            left => Err(WireError::TrailingBytes(left)),
+            remaining => Err(WireError::TrailingBytes(remaining)),
         }
     }
 
-    fn record(&mut self, cursor: &mut Cursor) -> Result<Record, WireError> {
+    fn decode_record(&mut self, cursor: &mut Cursor) -> Result<Record, WireError> {
         let at = cursor.offset();
         cursor.name = "code";
         let code = cursor.u8()?;
@@ -128,12 +126,12 @@
         };
         cursor.name = name;
         if code == code::CATALOG {
-            self.define_list(cursor)?;
+            self.decode_list_definition(cursor)?;
             return Ok(Record::NoEvent);
         }
         let instance = cursor.u32()?;
         let event = match code {
-            code::INIT => return init(instance, cursor),
+            code::INIT => return decode_init(instance, cursor),
             code::CRASH_NOW => return Ok(Record::Crash { instance }),
             code::FIRST => {
                 cursor.take(STREAM_START_BYTES)?;
@@ -143,19 +141,19 @@
                 skip_datagram(cursor)?;
                 return Ok(Record::NoEvent);
             }
-            code::ENDPOINTS => self.endpoints(cursor)?,
-            code::INGRESS => query_or_part(cursor)?,
-            code::DONE => attempt_ended(cursor)?,
+            code::ENDPOINTS => self.decode_list_event(cursor)?,
+            code::INGRESS => decode_query_or_part(cursor)?,
+            code::DONE => decode_attempt_end(cursor)?,
             code::TIMED_OUT_CLIENT => Event::ClientDisconnected(QueryId(cursor.u32()?)),
             code::DEADLINE_HIT => Event::Timer(cursor.u64()?),
-            code::PING_RESULT => probe_ended(cursor)?,
+            code::PING_RESULT => decode_probe_end(cursor)?,
             _ => return Err(unknown_code),
         };
         Ok(Record::Event { instance, event })
     }
 
-    /// Defines a numbered list.
-    fn define_list(&mut self, cursor: &mut Cursor) -> Result<(), WireError> {
+    /// Decodes and stores a numbered list.
+    fn decode_list_definition(&mut self, cursor: &mut Cursor) -> Result<(), WireError> {
         let number = usize::from(cursor.u8()?);
         let count = cursor.u32()? as usize;
         if number >= MAX_LISTS {
@@ -169,18 +167,18 @@
         let mut entries = Vec::new();
         let mut inner = Cursor::new(bytes, 0, cursor.record, cursor.name);
         for _ in 0..count {
-            entries.push(entry(&mut inner)?);
+            entries.push(decode_list_entry(&mut inner)?);
         }
         self.lists[number] = Some(entries.into());
         Ok(())
     }
 
-    /// An instance is notified of a numbered list, or of a failed call for one.
-    fn endpoints(&self, cursor: &mut Cursor) -> Result<Event, WireError> {
+    /// Decodes the notification of an instance about a list, or about a failed call for one.
+    fn decode_list_event(&self, cursor: &mut Cursor) -> Result<Event, WireError> {
         let kind = cursor.u8()?;
         cursor.u64()?; // not used
         let number = usize::from(cursor.u8()?);
-        let full = match kind {
+        let is_full = match kind {
             2 => return Ok(Event::ListFailed),
             0 | 4 => true,
             3 => false,
@@ -188,7 +186,7 @@
         };
         match self.lists.get(number) {
             Some(Some(entries)) => Ok(Event::List {
-                is_full: full,
+                is_full,
                 entries: entries.clone(),
             }),
             _ => Err(cursor.invalid(FieldError::UndefinedList(number))),
@@ -196,7 +194,7 @@
     }
 }
 
-fn init(instance: u32, cursor: &mut Cursor) -> Result<Record, WireError> {
+fn decode_init(instance: u32, cursor: &mut Cursor) -> Result<Record, WireError> {
     let seed = cursor.u64()?;
     let length = cursor.u32()? as usize;
     let text = cursor.take(length)?;
@@ -208,9 +206,9 @@
     })
 }
 
-fn probe_ended(cursor: &mut Cursor) -> Result<Event, WireError> {
+fn decode_probe_end(cursor: &mut Cursor) -> Result<Event, WireError> {
     let replica = ReplicaId(cursor.u32()?);
-    let outcome = outcome(cursor)?;
+    let outcome = decode_outcome(cursor)?;
     let took_s = cursor.f64()?;
     cursor.skip_load_report()?;
     Ok(Event::Probed {
@@ -220,7 +218,7 @@
     })
 }
 
-/// Skips a message between instances; this mixer sends none.
+/// Skips a message between instances, which this mixer does not use.
 fn skip_datagram(cursor: &mut Cursor) -> Result<(), WireError> {
     cursor.u16()?;
     let length = usize::from(cursor.u16()?);
@@ -228,7 +226,7 @@
     Ok(())
 }
 
-fn entry(cursor: &mut Cursor) -> Result<ReplicaEntry, WireError> {
+fn decode_list_entry(cursor: &mut Cursor) -> Result<ReplicaEntry, WireError> {
     let id = ReplicaId(cursor.u32()?);
     let zone = cursor.u8()?;
     cursor.u8()?; // not used
@@ -251,7 +249,7 @@
     })
 }
 
-fn query_or_part(cursor: &mut Cursor) -> Result<Event, WireError> {
+fn decode_query_or_part(cursor: &mut Cursor) -> Result<Event, WireError> {
     let id = cursor.u32()?;
     let class = cursor.u16()?;
     let tenant = cursor.u32()?;
@@ -262,7 +260,7 @@
     let shard = cursor.f32()?;
     let amount = cursor.f32()?;
     let flags = cursor.u16()?;
-    // A query has no shard; its parts follow as records of their own.
+    // A negative shard marks a query, whose parts follow as separate records.
     if shard < 0.0 {
         return Ok(Event::Query(NewQuery {
             id: QueryId(id),
@@ -285,12 +283,12 @@
     }))
 }
 
-fn attempt_ended(cursor: &mut Cursor) -> Result<Event, WireError> {
+fn decode_attempt_end(cursor: &mut Cursor) -> Result<Event, WireError> {
     let part = PartId(cursor.u32()?);
     let took_s = cursor.f64()?;
     let replica = ReplicaId(cursor.u32()?);
     let attempt = cursor.u8()?;
-    let outcome = outcome(cursor)?;
+    let outcome = decode_outcome(cursor)?;
     cursor.u8()?; // not used
     cursor.skip_load_report()?;
     Ok(Event::AttemptEnded(AttemptEnd {
@@ -302,7 +300,7 @@
     }))
 }
 
-fn outcome(cursor: &mut Cursor) -> Result<Outcome, WireError> {
+fn decode_outcome(cursor: &mut Cursor) -> Result<Outcome, WireError> {
     Ok(match cursor.u8()? {
         0 => Outcome::Ok,
         5 => Outcome::Error,
