--- a/src/endpoints/directory.rs
+++ b/src/endpoints/directory.rs
@@ -50,7 +50,7 @@
     /// Protocol that the replica uses.
     pub wire_format: WireFormat,
     /// Whether new requests may be sent to the replica.
-    pub ready: bool,
+    pub is_ready: bool,
     /// Last load report, as the replica sent it.
     pub load: Option<String>,
     /// Time since which no new requests may be sent to the replica.
@@ -66,7 +66,7 @@
     pub fn state(&self) -> ServerState {
         match self.unready_since {
             _ if self.is_removed() => ServerState::Removed,
-            _ if self.ready => ServerState::Ready,
+            _ if self.is_ready => ServerState::Ready,
             since => ServerState::Draining {
                 since: since.unwrap_or(f64::NEG_INFINITY),
             },
@@ -237,8 +237,8 @@
         let Some(endpoint) = self.endpoints.get_mut(&id) else {
             return;
         };
-        endpoint.unready_since = endpoint.unready_since.filter(|_| !endpoint.ready);
-        set_membership(&mut self.unready, id, !endpoint.ready);
+        endpoint.unready_since = endpoint.unready_since.filter(|_| !endpoint.is_ready);
+        set_membership(&mut self.unready, id, !endpoint.is_ready);
         set_membership(&mut self.removed, id, endpoint.is_removed());
     }
 
@@ -270,7 +270,7 @@
             .collect();
         for id in unlisted {
             if let Some(endpoint) = self.endpoints.get_mut(&id) {
-                endpoint.ready = false;
+                endpoint.is_ready = false;
                 endpoint.listed = None;
             }
             self.update_indexes(id);
@@ -323,7 +323,7 @@
         if entry.lifecycle == Lifecycle::Ready && self.drain_marks.contains(&endpoint.name) {
             entry.lifecycle = Lifecycle::Draining;
         }
-        endpoint.ready = entry.lifecycle == Lifecycle::Ready;
+        endpoint.is_ready = entry.lifecycle == Lifecycle::Ready;
         self.update_indexes(id);
         Some(entry)
     }
--- a/src/endpoints/directory/tests.rs
+++ b/src/endpoints/directory/tests.rs
@@ -33,7 +33,7 @@
 fn assert_indexes_match(directory: &Directory) {
     let endpoints = || directory.endpoints.iter();
     let unready: BTreeSet<ReplicaId> = endpoints()
-        .filter(|(_, endpoint)| !endpoint.ready)
+        .filter(|(_, endpoint)| !endpoint.is_ready)
         .map(|(id, _)| *id)
         .collect();
     let removed: BTreeSet<ReplicaId> = endpoints()
@@ -46,7 +46,7 @@
     );
     assert_eq!(
         directory.has_ready(),
-        endpoints().any(|(_, endpoint)| endpoint.ready)
+        endpoints().any(|(_, endpoint)| endpoint.is_ready)
     );
     assert_eq!(
         directory.listed_count(),
--- a/src/endpoints/lease.rs
+++ b/src/endpoints/lease.rs
@@ -42,9 +42,9 @@
 /// The list counts as in use for this time after a request (seconds).
 const IN_USE_S: f64 = 6.0;
 
-/// Reason for which the lease is or is not in force.
+/// The evidence on which the lease is based, as shown in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Basis {
+pub enum LeaseBasis {
     /// No discovery is configured: operators provide the list.
     NoDiscovery,
     /// The list is from before the start and was not confirmed yet.
@@ -53,19 +53,19 @@
     Confirmed,
     /// The last call failed.
     Unreachable,
-    /// An answer that discovery may have written was not received.
+    /// An answer that discovery may have written was not received, so that the list may be outdated.
     AnswerMissing,
 }
 
-impl Basis {
+impl LeaseBasis {
     /// Returns the text for the log.
     pub fn label(self) -> &'static str {
         match self {
-            Basis::NoDiscovery => "no discovery is configured",
-            Basis::Unconfirmed => "not confirmed by discovery yet",
-            Basis::Confirmed => "confirmed by discovery",
-            Basis::Unreachable => "discovery is unreachable",
-            Basis::AnswerMissing => "an answer of discovery may be missing",
+            LeaseBasis::NoDiscovery => "no discovery is configured",
+            LeaseBasis::Unconfirmed => "not confirmed by discovery yet",
+            LeaseBasis::Confirmed => "confirmed by discovery",
+            LeaseBasis::Unreachable => "discovery is unreachable",
+            LeaseBasis::AnswerMissing => "an answer of discovery may be missing",
         }
     }
 }
@@ -389,14 +389,14 @@
         now < self.expires_at(now)
     }
 
-    /// Returns the reason for which the lease is or is not in force now.
-    pub fn basis(&self, now: f64) -> Basis {
+    /// Returns the evidence on which the lease is based now.
+    pub fn basis(&self, now: f64) -> LeaseBasis {
         match (self.has_discovery, self.failed_call_at, self.confirmed_at) {
-            (false, _, _) => Basis::NoDiscovery,
-            _ if self.missing_answers.needs_call(now) => Basis::AnswerMissing,
-            (true, Some(_), _) => Basis::Unreachable,
-            (true, None, Some(_)) => Basis::Confirmed,
-            (true, None, None) => Basis::Unconfirmed,
+            (false, _, _) => LeaseBasis::NoDiscovery,
+            _ if self.missing_answers.needs_call(now) => LeaseBasis::AnswerMissing,
+            (true, Some(_), _) => LeaseBasis::Unreachable,
+            (true, None, Some(_)) => LeaseBasis::Confirmed,
+            (true, None, None) => LeaseBasis::Unconfirmed,
         }
     }
 
--- a/src/endpoints/lease/tests.rs
+++ b/src/endpoints/lease/tests.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn without_discovery_the_lease_never_ends() {
+fn without_discovery_the_lease_never_expires() {
     let lease = ListLease::new(false, GRACE_S, STARTED_AT);
     assert!(lease.is_in_force(STARTED_AT + 1e9) && !lease.needs_call(STARTED_AT + 1e9));
 }
@@ -111,7 +111,7 @@
 /// A first call that stays unanswered counts as failed while it is still in flight. After the first answer, calls in flight do
 /// not count.
 #[test]
-fn an_unanswered_first_call_counts_as_failed_after_a_time() {
+fn an_unanswered_first_call_counts_as_failed_after_the_slow_call_time() {
     let mut lease = lease();
     lease.call_made(STARTED_AT + 1.0);
     assert!(!lease.is_in_force(STARTED_AT + 2.1) && lease.is_in_force(STARTED_AT + 2.2));
--- a/src/endpoints/missing_answers.rs
+++ b/src/endpoints/missing_answers.rs
@@ -32,7 +32,7 @@
 /// Length of a queue of calls that needs no spreading, because calls time out only after 2 s (seconds).
 const MAX_UNSPREAD_QUEUE_S: f64 = 1.0;
 /// Maximum duration of a call that counts as prompt, which shows that discovery has no queue (seconds).
-pub const PROMPT_S: f64 = 0.05;
+pub const MAX_PROMPT_CALL_S: f64 = 0.05;
 /// Number of consecutive retries after which the delay doubles with each retry.
 const RETRIES_BEFORE_BACKOFF: u32 = 3;
 /// Maximum of the doubled delay if the spread is shorter than this (seconds): a small fleet continues to retry within the drain
--- a/src/net/client/platform.rs
+++ b/src/net/client/platform.rs
@@ -362,7 +362,7 @@
     let entry = |endpoint: &Endpoint| EndpointJson {
         name: endpoint.name.clone(),
         address: endpoint.address.map(|address| address.to_string()),
-        is_ready: endpoint.ready,
+        is_ready: endpoint.is_ready,
         connections: endpoint.connections.len(),
         load: endpoint.load.clone(),
     };
--- a/src/net/discovery/connection.rs
+++ b/src/net/discovery/connection.rs
@@ -1,6 +1,6 @@
 //! A connection to discovery: writes one call at a time, reads its answer, and classifies how the call ended.
 
-use crate::endpoints::missing_answers::{CallEnd, PROMPT_S};
+use crate::endpoints::missing_answers::{CallEnd, MAX_PROMPT_CALL_S};
 use crate::net::http::{HttpError, Message, MessageReader};
 use crate::net::socket::{is_connected, write_available};
 use mio::net::TcpStream;
@@ -76,7 +76,7 @@
 impl OpenCall {
     /// Returns whether discovery answers the call at once and the call was made just now.
     pub(super) fn is_prompt(&self, now: f64) -> bool {
-        !self.call.is_watch() && now < self.made_at + PROMPT_S
+        !self.call.is_watch() && now < self.made_at + MAX_PROMPT_CALL_S
     }
 }
 
--- a/src/net/discovery/lease.rs
+++ b/src/net/discovery/lease.rs
@@ -1,6 +1,6 @@
 //! Publishes the lease on the endpoint list: to the decision module, to the log, and to the timer that renews the lease.
 
-use crate::endpoints::lease::{Basis, ListLease};
+use crate::endpoints::lease::{LeaseBasis, ListLease};
 use crate::net::runtime::Runtime;
 use crate::net::timer_queue::Deadline;
 use crate::net::timer_queue::TIMER_TOLERANCE_S;
@@ -15,7 +15,7 @@
 /// State of a lease as shown in the log.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct LeaseState {
-    basis: Basis,
+    basis: LeaseBasis,
     is_in_force: bool,
 }
 
@@ -31,7 +31,7 @@
     fn default() -> LeasePublisher {
         LeasePublisher {
             logged: LeaseState {
-                basis: Basis::NoDiscovery,
+                basis: LeaseBasis::NoDiscovery,
                 is_in_force: true,
             },
             check_at: None,
@@ -53,7 +53,7 @@
             .set_list_lease(now, lease.expires_at(now), &mut runtime.commands);
         self.log(runtime, lease, revision);
         let next_at = lease.next_check_at(now);
-        if lease.basis(now) != Basis::NoDiscovery && Some(next_at) != self.check_at {
+        if lease.basis(now) != LeaseBasis::NoDiscovery && Some(next_at) != self.check_at {
             self.check_at = Some(next_at);
             runtime.timers.add(next_at, Deadline::ListLease);
         }
--- a/src/net/replica/pool.rs
+++ b/src/net/replica/pool.rs
@@ -160,7 +160,7 @@
         let wire_format = endpoint.wire_format;
         let required = Requirements {
             address: endpoint.address,
-            is_ready: endpoint.ready,
+            is_ready: endpoint.is_ready,
             max_parts: runtime.deployment.streams_per_connection,
             silence_s,
         };
