--- a/crates/wharfhub-testbed/src/daemon.rs
+++ b/crates/wharfhub-testbed/src/daemon.rs
@@ -55,7 +55,7 @@
     leaf_servers: &[SocketAddr],
     search: &[u32],
 ) -> String {
-    let knowing = scenario.some_leaf_servers(10, scenario.knowing);
+    let knowing = scenario.draw_leaf_servers(10, scenario.pre_check_share);
     let endpoint = |(index, address): (usize, &SocketAddr)| {
         let leaf_server = index as u32;
         let (queue_capacity, cell) = (
--- a/crates/wharfhub-testbed/src/world/clients.rs
+++ b/crates/wharfhub-testbed/src/emulator/clients.rs
@@ -1,13 +1,13 @@
 //! The clients of a scenario: they send, leave, retry, and take answers.
 
-use super::{Event, Mixer, Open, World, NOTICE_S, START_S, TOO_SHORT_S};
-use crate::rules::{Ended, Piece};
+use super::{Emulator, Event, Mixer, Open, NOTICE_S, START_S, TOO_SHORT_S};
+use crate::rules::{AnswerPart, RequestOutcome};
 use crate::site::Query;
 use crate::tally;
 use rand::Rng;
 use wharfhub::requests::coordinator::{FinalAnswer, PartRequest, QueryRequest};
 
-impl World<'_> {
+impl Emulator<'_> {
     /// The mixer that a try goes to: another one with each; whoever stands before them knows of the dead after a while.
     pub(super) fn front(&self, query: &Query, tried: u32) -> usize {
         let count = self.mixers.len();
@@ -24,8 +24,8 @@
         let query = &self.queries[number];
         let class = &self.scenario.site.classes[query.class];
         let timeout_s = query.at + START_S + query.timeout_s - self.now;
-        let leaves_s = query.leaves_s.min(timeout_s);
-        let hints = self.scenario.site.hints;
+        let disconnects_after_s = query.disconnects_after_s.min(timeout_s);
+        let hints = self.scenario.site.has_cost_hints;
         let part = |part: &crate::site::Part| PartRequest {
             shard: part.shard,
             weight: part.weight,
@@ -40,7 +40,7 @@
             key: query.key,
             is_client_retry: tried > 0 && self.scenario.site.retries.2,
             timeout_s,
-            idempotency_key: (!class.safe()).then(|| format!("k{number}")),
+            idempotency_key: (!class.is_retryable()).then(|| format!("k{number}")),
             parts: query.parts.iter().map(part).collect(),
             ..QueryRequest::default()
         };
@@ -51,7 +51,7 @@
             self.tally.tries[tally::FAILED] += 1;
             return self.again(number, tried, None, true);
         }
-        self.taken += 1;
+        self.requests += 1;
         self.rules.asked(&id);
         let caller = (number as u64) << 8 | u64::from(tried);
         let mut taken = None;
@@ -73,7 +73,7 @@
             },
         );
         self.drive(mixer, |_, _, out| out.append(&mut commands));
-        self.at(self.now + leaves_s, Event::Leave(number, tried));
+        self.at(self.now + disconnects_after_s, Event::Leave(number, tried));
     }
 
     pub(super) fn leave(&mut self, number: usize, tried: u32) {
@@ -85,12 +85,17 @@
         let query = &self.queries[number];
         let id = format!("q{number}-{tried}");
         if took_s >= open.timeout_s - 1e-6 {
-            self.rules.broke(format!(
+            self.rules.record_violation(format!(
                 "lost: {id} had no final answer when its time was up"
             ));
         }
-        self.rules
-            .ended(&id, query, &Ended::Left, took_s, open.timeout_s);
+        self.rules.ended(
+            &id,
+            query,
+            &RequestOutcome::Abandoned,
+            took_s,
+            open.timeout_s,
+        );
         let ended_s = self.now - START_S - query.at;
         self.tally.query(self.scenario, query, None, ended_s);
         self.drive(open.mixer, |coordinator, now, out| {
@@ -104,7 +109,7 @@
         let Some(open) = self.open.remove(&(number, tried)) else {
             return self
                 .rules
-                .broke(format!("answers: {id} got an answer that nobody waits for"));
+                .record_violation(format!("answers: {id} got an answer that nobody waits for"));
         };
         let took_s = self.now - open.asked_at;
         let query = &self.queries[number];
@@ -174,8 +179,9 @@
             .unwrap_or(backoff_s);
         let left_s = query.timeout_s - since_s - again_s;
         // What may have run and must not run twice is not asked again by itself.
-        let may =
-            notified_s.is_some() || unreachable || self.scenario.site.classes[query.class].safe();
+        let may = notified_s.is_some()
+            || unreachable
+            || self.scenario.site.classes[query.class].is_retryable();
         if tried < max && left_s > TOO_SHORT_S && may {
             self.at(self.now + again_s, Event::Ask(number, tried + 1));
         } else {
@@ -185,18 +191,18 @@
 }
 
 /// What the judge is given of an answer.
-fn ended(answer: &FinalAnswer) -> Ended<'_> {
+fn ended(answer: &FinalAnswer) -> RequestOutcome<'_> {
     match answer {
         FinalAnswer::Answered {
             complete, values, ..
         } => {
             let pieces = values.iter().enumerate().filter_map(|(index, value)| {
                 let value = value.as_deref()?;
-                Some(Piece { index, value })
+                Some(AnswerPart { index, value })
             });
-            Ended::Answered(*complete, pieces.collect())
+            RequestOutcome::Answered(*complete, pieces.collect())
         }
-        FinalAnswer::Rejected { retry_after_s, .. } => Ended::Refused(*retry_after_s),
-        FinalAnswer::Failed { .. } => Ended::Failed,
+        FinalAnswer::Rejected { retry_after_s, .. } => RequestOutcome::Rejected(*retry_after_s),
+        FinalAnswer::Failed { .. } => RequestOutcome::Failed,
     }
 }
--- a/crates/wharfhub-testbed/src/world/faults.rs
+++ b/crates/wharfhub-testbed/src/emulator/faults.rs
@@ -2,13 +2,13 @@
 //!
 //! This file owns the effect of each fault. When it begins and ends is the scenario's, and whom it concerns is drawn once.
 
-use super::{Event, World, DRAINED_S, START_S};
+use super::{Emulator, Event, DRAINED_S, START_S};
 use crate::model::{Pauses, ServerFault};
 use crate::site::Fault;
 use rand::Rng;
 use wharfhub::decisions::api::Lifecycle;
 
-impl World<'_> {
+impl Emulator<'_> {
     /// A fault of the scenario begins or ends.
     pub(super) fn fault(&mut self, number: usize, begins: bool) {
         let scenario = self.scenario;
@@ -34,7 +34,7 @@
             self.next_turn(leaf_server);
         }
         match fault {
-            Fault::LinksSilent(rate) if begins => self.silence_links(*rate, number),
+            Fault::SilentConnections(rate) if begins => self.silence_links(*rate, number),
             Fault::ZoneLoss(zone, true) => self.lose_mixers(*zone, begins),
             _ => {}
         }
@@ -64,7 +64,7 @@
                 });
             }
             Fault::Drain(_) => self.notify(leaf_server, Lifecycle::Draining),
-            Fault::Slow(_) | Fault::Burst(_) | Fault::LinksSilent(_) => {}
+            Fault::Slow(_) | Fault::Burst(_) | Fault::SilentConnections(_) => {}
         }
     }
 
@@ -82,7 +82,7 @@
                 self.dies(leaf_server);
                 self.at(self.now + DRAINED_S, Event::Restart(leaf_server));
             }
-            Fault::Slow(_) | Fault::Burst(_) | Fault::LinksSilent(_) => {}
+            Fault::Slow(_) | Fault::Burst(_) | Fault::SilentConnections(_) => {}
         }
     }
 
@@ -95,7 +95,7 @@
             if at >= until {
                 break;
             }
-            self.at(at, Event::LinksSilent);
+            self.at(at, Event::SilentConnections);
         }
     }
 
--- a/crates/wharfhub-testbed/src/world/leaf_servers.rs
+++ b/crates/wharfhub-testbed/src/emulator/leaf_servers.rs
@@ -1,6 +1,6 @@
 //! Connections between mixers and leaf servers, the work of leaf servers, and their faults.
 
-use super::{carrier, Event, Job, Task, World, CONNECT_S, NEAR_S};
+use super::{carrier, Emulator, Event, Job, Task, CONNECT_S, NEAR_S};
 use crate::links::Way;
 use crate::model::{Arrival, Arriving, ServerFault};
 use crate::rules;
@@ -9,15 +9,16 @@
 use wharfhub::decisions::api::{Lifecycle, Outcome};
 use wharfhub::requests::coordinator::{AttemptKey, CallPart};
 
-impl World<'_> {
+impl Emulator<'_> {
     /// One way between a mixer and a leaf server.
     pub(super) fn delay_s(&mut self, mixer: usize, leaf_server: u32) -> f64 {
         let near = self.scenario.mixer_zone(mixer as u32) == self.scenario.zone(leaf_server);
-        let far_s = self.scenario.site.far_s;
+        let inter_zone_delay_s = self.scenario.site.inter_zone_delay_s;
         if near {
             NEAR_S
         } else {
-            self.rng.random_range(far_s.0..far_s.1)
+            self.rng
+                .random_range(inter_zone_delay_s.0..inter_zone_delay_s.1)
         }
     }
 
@@ -76,7 +77,7 @@
             _ => {}
         }
         self.handshakes += 1;
-        let work_s = self.scenario.site.handshake_s;
+        let work_s = self.scenario.site.handshake_work_s;
         if work_s <= 0.0 || self.scenario.ideal {
             self.at(self.now, Event::Up(mixer, incarnation, leaf_server, link));
             return;
@@ -160,7 +161,7 @@
             (shard, part.pre_check),
         );
         if part.pre_check && !self.knowing[leaf_server as usize] {
-            self.rules.broke(format!(
+            self.rules.record_violation(format!(
                 "phases: box {leaf_server} does not know them, and was asked ahead"
             ));
         }
--- a/crates/wharfhub-testbed/src/world/mod.rs
+++ b/crates/wharfhub-testbed/src/emulator/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::links::{Carrier, Links};
 use crate::model::LeafServer;
-use crate::rules::Rules;
+use crate::rules::RuleChecker;
 use crate::site::{Fault, Query, Scenario};
 use crate::tally::{self, Tally};
 use rand::Rng;
@@ -86,7 +86,7 @@
     Tell(usize, ReplicaEntry),
     Fault(usize, bool),
     Restart(u32),
-    LinksSilent,
+    SilentConnections,
 }
 
 struct Due {
@@ -137,9 +137,9 @@
     /// The sums.
     pub tally: Tally,
     /// What the judge says.
-    pub rules: Rules,
+    pub rules: RuleChecker,
     /// Queries asked, tries included.
-    pub taken: u64,
+    pub requests: u64,
     /// Handshakes that began at leaf servers.
     pub handshakes: u64,
     /// Time that the cores spent, all mixers together (seconds of this machine).
@@ -149,7 +149,7 @@
 }
 
 /// A scenario being played.
-pub struct World<'a> {
+pub struct Emulator<'a> {
     scenario: &'a Scenario,
     deployment: Rc<Deployment>,
     queries: Vec<Query>,
@@ -169,8 +169,8 @@
     slow: f64,
     rng: ChaCha8Rng,
     tally: Tally,
-    rules: Rules,
-    taken: u64,
+    rules: RuleChecker,
+    requests: u64,
     digest: u64,
     commands: Vec<Command>,
 }
@@ -181,22 +181,22 @@
 }
 
 /// Plays a scenario to its end.
-pub fn play(scenario: &Scenario) -> Result<Run, config::SettingsError> {
+pub fn run(scenario: &Scenario) -> Result<Run, config::SettingsError> {
     let deployment: Deployment = config::decode(scenario.settings().as_bytes())?;
-    let mut world = World::new(scenario, deployment);
-    world.run();
-    Ok(world.over())
+    let mut emulator = Emulator::new(scenario, deployment);
+    emulator.run();
+    Ok(emulator.over())
 }
 
-impl<'a> World<'a> {
-    fn new(scenario: &'a Scenario, deployment: Deployment) -> World<'a> {
+impl<'a> Emulator<'a> {
+    fn new(scenario: &'a Scenario, deployment: Deployment) -> Emulator<'a> {
         let mut knowing = vec![false; scenario.leaf_servers as usize];
         scenario
-            .some_leaf_servers(10, scenario.knowing)
+            .draw_leaf_servers(10, scenario.pre_check_share)
             .into_iter()
             .for_each(|leaf_server| knowing[leaf_server as usize] = true);
         let concerned = |(number, (_, _, fault)): (usize, &(f64, f64, Fault))| match fault {
-            Fault::Slow(_) | Fault::Burst(_) | Fault::LinksSilent(_) => Vec::new(),
+            Fault::Slow(_) | Fault::Burst(_) | Fault::SilentConnections(_) => Vec::new(),
             Fault::ZoneLoss(zone, _) => (0..scenario.leaf_servers)
                 .filter(|leaf_server| scenario.zone(*leaf_server) == *zone)
                 .collect(),
@@ -205,9 +205,9 @@
             | Fault::Drain(share)
             | Fault::SomeSlow(share, _)
             | Fault::Fails(share, _)
-            | Fault::Pauses(share, ..) => scenario.some_leaf_servers(20 + number as u64, *share),
+            | Fault::Pauses(share, ..) => scenario.draw_leaf_servers(20 + number as u64, *share),
         };
-        let mut world = World {
+        let mut emulator = Emulator {
             scenario,
             deployment: Rc::new(deployment),
             queries: scenario.queries(),
@@ -229,19 +229,19 @@
             slow: 1.0,
             rng: scenario.rng(2),
             tally: Tally::new(scenario),
-            rules: Rules::new(scenario, SLACK_S),
-            taken: 0,
+            rules: RuleChecker::new(scenario, SLACK_S),
+            requests: 0,
             digest: 0xcbf2_9ce4_8422_2325,
             commands: Vec::new(),
         };
-        world.mixers = (0..scenario.mixers)
-            .map(|number| world.mixer(number))
+        emulator.mixers = (0..scenario.mixers)
+            .map(|number| emulator.mixer(number))
             .collect();
-        world
+        emulator
     }
 
     fn mixer(&self, number: u32) -> Mixer {
-        let links = Links::new(self.scenario.mixers, self.scenario.site.idle_s);
+        let links = Links::new(self.scenario.mixers, self.scenario.site.idle_timeout_s);
         Mixer {
             coordinator: Some(self.coordinator(number, 0)),
             incarnation: 0,
@@ -299,15 +299,15 @@
     }
 
     fn over(mut self) -> Run {
-        self.rules.over();
+        self.rules.finish();
         for _ in self.leaf_servers.iter().filter(|one| one.collapsed) {
             self.rules
-                .broke("cold: a box was pushed over while cold".into());
+                .record_violation("cold: a box was pushed over while cold".into());
         }
         Run {
             tally: self.tally,
             rules: self.rules,
-            taken: self.taken,
+            requests: self.requests,
             handshakes: self.handshakes,
             cpu_s: self.mixers.iter().map(|mixer| mixer.cpu_ns).sum::<u64>() as f64 / 1e9,
             digest: self.digest,
@@ -470,7 +470,7 @@
             Event::Tell(mixer, entry) => self.notified(mixer, entry),
             Event::Fault(number, begins) => self.fault(number, begins),
             Event::Restart(leaf_server) => self.restart(leaf_server),
-            Event::LinksSilent => self.silence_link(),
+            Event::SilentConnections => self.silence_link(),
         }
     }
 
@@ -508,7 +508,7 @@
             return;
         }
         (at.incarnation, at.died_at) = (at.incarnation + 1, self.now);
-        at.links = Links::new(self.scenario.mixers, self.scenario.site.idle_s);
+        at.links = Links::new(self.scenario.mixers, self.scenario.site.idle_timeout_s);
         at.flights.clear();
         self.rules.mixer_died(mixer as u32);
         let held: Vec<(usize, u32)> = self
--- a/crates/wharfhub-testbed/src/experiments/data_path.rs
+++ b/crates/wharfhub-testbed/src/experiments/data_path.rs
@@ -12,10 +12,10 @@
 use crate::fit::Point;
 use crate::load::{self, Load};
 use crate::report::{chart, Estimate, Line, Table};
-use crate::rules::Rules;
+use crate::rules::RuleChecker;
 use crate::site::{cardiff, Class, Fault, Layout, Part, Query, Scenario, Site};
 use crate::standin::{self, lock, Shared};
-use crate::{tally, world};
+use crate::{emulator, tally};
 use cost_law::{CostLaw, MAX_COST_RATIO};
 use rand::Rng;
 use rand_distr::{Distribution, Exp};
@@ -137,8 +137,8 @@
         parts: (parts, parts, 0.0),
         work_s: PLANNED_PART_S,
         latency_objective_s: LATENCY_TARGET_S,
-        give_up_s: CLIENT_WAIT_S,
-        floor: 1.0,
+        client_timeout_s: CLIENT_WAIT_S,
+        min_share: 1.0,
         ..cardiff().classes.remove(0)
     };
     let plain = cardiff();
@@ -172,7 +172,7 @@
         faults,
         ..Scenario::default()
     };
-    scenario.load *= FLEET_QUERIES_PER_S / scenario.rate();
+    scenario.load *= FLEET_QUERIES_PER_S / scenario.queries_per_s();
     scenario
 }
 
@@ -195,7 +195,7 @@
         key,
         parts,
         timeout_s: CLIENT_WAIT_S,
-        leaves_s: f64::MAX,
+        disconnects_after_s: f64::MAX,
         mixer: 0,
     }
 }
@@ -206,7 +206,7 @@
     let shared = Arc::new(Shared {
         queries,
         start: Instant::now() + Duration::from_secs_f64(START_S),
-        rules: Mutex::new(Rules::new(&scenario, SLACK_S)),
+        rules: Mutex::new(RuleChecker::new(&scenario, SLACK_S)),
         work: Mutex::new((vec![0.0; scenario.site.classes.len()], 0, 0)),
         scenario,
     });
@@ -222,10 +222,10 @@
 /// sockets it may have been written before that answer, and only the order of reading is seen here.
 fn broken_rules(shared: &Shared) -> Vec<String> {
     let mut rules = lock(&shared.rules);
-    rules.over();
+    rules.finish();
     let undecided = |what: &&String| shared.scenario.site.attempts.1 && what.starts_with("ended: ");
     rules
-        .broken
+        .violations
         .iter()
         .filter(|what| !undecided(what))
         .map(|what| format!("broken: {what}"))
@@ -256,12 +256,12 @@
     let rig = start(scenario, queries, "sizes")?;
     std::thread::sleep(Duration::from_secs_f64(START_S));
     let mixer = vec![rig.daemon.address];
-    Load::new(&rig.shared, mixer.clone()).play_in_turn(0..SIZES.len() * QUERIES_A_ROUND);
+    Load::new(&rig.shared, mixer.clone()).run_closed_loop(0..SIZES.len() * QUERIES_A_ROUND);
     let load = Load::new(&rig.shared, mixer);
     let mut costs = vec![Vec::new(); SIZES.len()];
     for block in SIZES.len()..rounds * SIZES.len() {
         let before = rig.daemon.usage()?;
-        load.play_in_turn(block * QUERIES_A_ROUND..(block + 1) * QUERIES_A_ROUND);
+        load.run_closed_loop(block * QUERIES_A_ROUND..(block + 1) * QUERIES_A_ROUND);
         let spent_s = rig.daemon.usage()?.cpu_s - before.cpu_s;
         costs[block % SIZES.len()].push(spent_s * 1e6 / QUERIES_A_ROUND as f64);
     }
@@ -404,7 +404,7 @@
     }
     let rig = start(scenario, queries, "planned")?;
     let before = rig.daemon.usage()?;
-    let load = load::play(&rig.shared, vec![rig.daemon.address]);
+    let load = load::run_open_loop(&rig.shared, vec![rig.daemon.address]);
     let after = rig.daemon.usage()?;
     let (of_time, others): (Vec<_>, Vec<_>) = broken_rules(&rig.shared)
         .into_iter()
@@ -454,14 +454,14 @@
         seconds: VIRTUAL_S,
         site: Site {
             layout,
-            next_to: true,
+            has_consecutive_shards: true,
             classes: vec![class],
             ..plain.site
         },
         ideal: true,
         ..plain
     };
-    scenario.load *= FLEET_QUERIES_PER_S / f64::from(MIXERS) / scenario.rate();
+    scenario.load *= FLEET_QUERIES_PER_S / f64::from(MIXERS) / scenario.queries_per_s();
     scenario
 }
 
@@ -475,18 +475,18 @@
     ]);
     for holders in HOLDERS {
         let scenario = scenario_with_holders(options.seed, holders);
-        let run = world::play(&scenario)?;
+        let run = emulator::run(&scenario)?;
         short.extend(
             run.rules
-                .broken
+                .violations
                 .iter()
                 .map(|what| format!("broken: {what}")),
         );
         table.row(vec![
             holders.to_string(),
             scenario.leaf_servers.to_string(),
-            run.taken.to_string(),
-            format!("{:.0}", run.cpu_s * 1e6 / run.taken.max(1) as f64),
+            run.requests.to_string(),
+            format!("{:.0}", run.cpu_s * 1e6 / run.requests.max(1) as f64),
         ]);
     }
     println!("core and module alone, queries of 180 parts at 163/s in virtual time:");
--- a/crates/wharfhub-testbed/src/experiments/decisions.rs
+++ b/crates/wharfhub-testbed/src/experiments/decisions.rs
@@ -7,9 +7,9 @@
 
 use super::two_phase::PHASES;
 use super::{Failure, Options, Verdict};
+use crate::emulator::{self, Run};
 use crate::report::{chart, Estimate, Line, Table};
 use crate::site::{cardiff, szeged, Class, Fault, Scenario, Site};
-use crate::world::{self, Run};
 use std::path::Path;
 
 const RATES: [f64; 3] = [50.0, 500.0, 5000.0];
@@ -51,7 +51,7 @@
         ideal: true,
         ..Scenario::default()
     };
-    scenario.load *= rate / scenario.rate();
+    scenario.load *= rate / scenario.queries_per_s();
     scenario
 }
 
@@ -83,7 +83,7 @@
         },
         phases,
         faults,
-        leaving: 0.05,
+        disconnecting_share: 0.05,
         ..Scenario::default()
     }
 }
@@ -107,14 +107,14 @@
     }
 
     fn play(&mut self) -> Result<Run, Failure> {
-        let run = world::play(&self.scenario)?;
+        let run = emulator::run(&self.scenario)?;
         self.min_cost_us = self
             .min_cost_us
-            .min(run.cpu_s * 1e6 / run.taken.max(1) as f64);
+            .min(run.cpu_s * 1e6 / run.requests.max(1) as f64);
         if *self.digest.get_or_insert(run.digest) != run.digest {
             return Err(Failure::Other("two plays of one day differ".into()));
         }
-        self.broken += run.rules.count as usize;
+        self.broken += run.rules.violation_count as usize;
         Ok(run)
     }
 
@@ -224,7 +224,7 @@
         for (site, phases) in [(cardiff(), false), (cardiff(), true), (szeged(), false)] {
             let name = site.name;
             let mut cell = Cell::new(faulty_scenario(site, parts, phases, options.seed));
-            let taken = cell.play()?.taken;
+            let taken = cell.play()?.requests;
             broken += cell.broken;
             let phases = if phases { "on" } else { "off" };
             table.row(vec![
--- a/crates/wharfhub-testbed/src/experiments/deployments.rs
+++ b/crates/wharfhub-testbed/src/experiments/deployments.rs
@@ -6,7 +6,7 @@
 use super::{parallel, Failure, Options, Verdict};
 use crate::report::{chart, Estimate, Line, Table};
 use crate::site::{cardiff, szeged, Fault, Layout, Scenario, Site};
-use crate::{tally, world};
+use crate::{emulator, tally};
 
 /// Scenarios of a cell, and their length (seconds).
 const DAYS: (u64, u64) = (20, 4);
@@ -65,7 +65,7 @@
         kind(
             "links fall silent",
             0.5,
-            vec![(0.1, 0.9, Fault::LinksSilent(0.15))],
+            vec![(0.1, 0.9, Fault::SilentConnections(0.15))],
         ),
         kind("dead, back cold", 0.5, vec![(0.25, 0.55, Fault::Dead(0.2))]),
         kind(
@@ -125,7 +125,7 @@
 }
 
 fn play(scenario: &Scenario) -> Result<Played, Failure> {
-    let run = world::play(scenario)?;
+    let run = emulator::run(scenario)?;
     let asked = run.tally.tries[tally::ASKED].max(1) as f64;
     let (late, unanswered) = run.tally.lost();
     Ok(Played {
@@ -136,7 +136,7 @@
         attempts: run.tally.sends as f64 / asked,
         waste: run.tally.waste(),
         handshakes: run.handshakes,
-        broken: run.rules.broken,
+        broken: run.rules.violations,
     })
 }
 
@@ -172,8 +172,8 @@
 /// The scenarios of all cells, cell by cell, at both sites and both paces.
 fn jobs(kinds: &[Kind], seeds: std::ops::Range<u64>, seconds: f64) -> Vec<Job> {
     let swift = [
-        cardiff().faster("cardiff x4", FASTER),
-        szeged().faster("szeged x4", FASTER),
+        cardiff().with_faster_service("cardiff x4", FASTER),
+        szeged().with_faster_service("szeged x4", FASTER),
     ];
     let sites: Vec<Site> = [cardiff(), szeged()].into_iter().chain(swift).collect();
     let mut jobs = Vec::new();
--- a/crates/wharfhub-testbed/src/experiments/tail.rs
+++ b/crates/wharfhub-testbed/src/experiments/tail.rs
@@ -5,10 +5,10 @@
 
 use super::data_path::{scenario_with_holders, PLANNED_HOLDERS};
 use super::{parallel, Failure, Options, Verdict};
+use crate::emulator;
 use crate::report::Table;
 use crate::site::{Fault, Scenario};
 use crate::tally;
-use crate::world;
 
 /// Slow leaf servers of 5,220: none, one, one in a thousand, one in a hundred. The quick run plays one in a thousand alone.
 const SLOW_SERVERS: [u32; 4] = [0, 1, 5, 52];
@@ -56,7 +56,7 @@
         .collect();
     let scenarios: Vec<Scenario> = cases.iter().map(|case| scenario(options, *case)).collect();
     let runs = parallel(&scenarios, |scenario| {
-        world::play(scenario).map_err(Failure::from)
+        emulator::run(scenario).map_err(Failure::from)
     });
     let columns = [
         "slow of 5220",
@@ -77,7 +77,7 @@
         table.row(vec![
             case.slow_servers.to_string(),
             if case.hedging { "on" } else { "off" }.into(),
-            run.taken.to_string(),
+            run.requests.to_string(),
             format!("{in_time:.4}"),
             format!("{late:.4}"),
             format!("{unanswered:.4}"),
@@ -85,7 +85,7 @@
         ]);
         short.extend(
             run.rules
-                .broken
+                .violations
                 .iter()
                 .map(|what| format!("broken: {what}")),
         );
--- a/crates/wharfhub-testbed/src/experiments/two_phase.rs
+++ b/crates/wharfhub-testbed/src/experiments/two_phase.rs
@@ -5,10 +5,10 @@
 
 use super::{parallel, Failure, Options, Verdict};
 use crate::report::{chart, Estimate, Line, Table};
-use crate::rules::Rules;
+use crate::rules::RuleChecker;
 use crate::site::{Fault, Scenario};
 use crate::standin::{self, Shared};
-use crate::{daemon, load, tally, world};
+use crate::{daemon, emulator, load, tally};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
@@ -89,9 +89,9 @@
         phases: Some(PHASES.into()),
         ..off.clone()
     };
-    let (off, on) = (world::play(&off)?, world::play(&on)?);
+    let (off, on) = (emulator::run(&off)?, emulator::run(&on)?);
     let both = |value: fn(&tally::Tally) -> f64| [value(&off.tally), value(&on.tally)];
-    let rules = [off.rules.broken, on.rules.broken];
+    let rules = [off.rules.violations, on.rules.violations];
     Ok(Pair {
         service: both(tally::Tally::service),
         area_work: both(|tally| tally.work_s[AREA]),
@@ -120,7 +120,7 @@
         queries: scenario.queries(),
         scenario: scenario.clone(),
         start: Instant::now() + Duration::from_secs_f64(START_S),
-        rules: Mutex::new(Rules::new(scenario, SLACK_S)),
+        rules: Mutex::new(RuleChecker::new(scenario, SLACK_S)),
         work: Mutex::new((vec![0.0; scenario.site.classes.len()], 0, 0)),
     });
     let leaf_servers: Result<Vec<_>, _> = (0..scenario.leaf_servers)
@@ -146,19 +146,19 @@
     let mixers = (0..scenario.mixers)
         .map(start)
         .collect::<Result<Vec<_>, _>>()?;
-    let load = load::play(&shared, mixers.iter().map(|mixer| mixer.address).collect());
+    let load = load::run_open_loop(&shared, mixers.iter().map(|mixer| mixer.address).collect());
     drop(mixers);
     let tally = standin::lock(&load.tally).clone();
     let work = standin::lock(&shared.work).clone();
     let mut rules = standin::lock(&shared.rules);
-    rules.over();
+    rules.finish();
     let latency = standin::lock(&load.latency)[AREA].clone();
     let late = standin::lock(&load.lateness).value_at_quantile(0.99);
     let ms = |quantile| latency.value_at_quantile(quantile) as f64 / 1000.0;
     Ok(Real {
         service: tally.service(),
         area_each: work.0[AREA] / tally.answered[AREA].max(1) as f64,
-        broken: rules.broken.clone(),
+        broken: rules.violations.clone(),
         answered: tally.tries[tally::ANSWERED],
         words: work.2,
         p50_p99_ms: (ms(0.5), ms(0.99)),
@@ -170,7 +170,7 @@
 fn run_real(options: &Options) -> Verdict {
     let scenarios = real_scenarios(options);
     let played = parallel(&scenarios, |scenario| {
-        Ok::<_, Failure>((play_real(scenario)?, world::play(scenario)?))
+        Ok::<_, Failure>((play_real(scenario)?, emulator::run(scenario)?))
     });
     let mut comparison = Comparison::new();
     for (scenario, played) in scenarios.iter().zip(played) {
--- a/crates/wharfhub-testbed/src/fleet/queries.rs
+++ b/crates/wharfhub-testbed/src/fleet/queries.rs
@@ -5,7 +5,7 @@
 
 use super::catalog::{ListedServer, Phase};
 use crate::daemon::{self, Daemon};
-use crate::rules::Rules;
+use crate::rules::RuleChecker;
 use crate::site::Scenario;
 use crate::standin::{self, lock, Shared};
 use crate::{load, tally};
@@ -46,7 +46,7 @@
         let shared = Arc::new(Shared {
             queries: scenario.queries(),
             start: Instant::now() + Duration::from_secs_f64(UNTIL_FIRST_QUERY_S),
-            rules: Mutex::new(Rules::new(&scenario, SLACK_S)),
+            rules: Mutex::new(RuleChecker::new(&scenario, SLACK_S)),
             work: Mutex::new((vec![0.0; scenario.site.classes.len()], 0, 0)),
             scenario,
         });
@@ -78,15 +78,15 @@
     /// Sends the scenario's queries and waits for the last answer.
     pub fn play(&self) -> QueryOutcome {
         let addresses = self.daemons.iter().map(|daemon| daemon.address).collect();
-        let load = load::play(&self.shared, addresses);
+        let load = load::run_open_loop(&self.shared, addresses);
         let tries = lock(&load.tally).tries;
         let mut rules = lock(&self.shared.rules);
-        rules.over();
+        rules.finish();
         let (asked, answered) = (tries[tally::ASKED], tries[tally::ANSWERED]);
         QueryOutcome {
             asked,
             answered,
-            broken: rules.broken.clone(),
+            broken: rules.violations.clone(),
         }
     }
 }
--- a/crates/wharfhub-testbed/src/fleet/setup.rs
+++ b/crates/wharfhub-testbed/src/fleet/setup.rs
@@ -104,7 +104,7 @@
 impl MixerSettings {
     /// As JSON that the daemon's decoder reads: the testbed's deployment, with lists that have to be asked for.
     pub fn text(&self) -> String {
-        let site = cardiff().faster("fleet", 1.0 / self.target_factor);
+        let site = cardiff().with_faster_service("fleet", 1.0 / self.target_factor);
         let scenario = Scenario {
             mixers: self.replicas,
             leaf_servers: self.cells,
--- a/crates/wharfhub-testbed/src/lib.rs
+++ b/crates/wharfhub-testbed/src/lib.rs
@@ -5,6 +5,7 @@
 #![warn(missing_docs)]
 
 pub mod daemon;
+pub mod emulator;
 pub mod experiments;
 pub mod fit;
 pub mod fleet;
@@ -18,4 +19,3 @@
 pub mod soak;
 pub mod standin;
 pub mod tally;
-pub mod world;
--- a/crates/wharfhub-testbed/src/load.rs
+++ b/crates/wharfhub-testbed/src/load.rs
@@ -4,7 +4,7 @@
 //! as in the emulator. An open loop must never send sooner or later because an answer is slow. Beside it there is one
 //! client in a closed loop, for measurements of what a single query costs.
 
-use crate::rules::{self, Ended, Piece};
+use crate::rules::{self, AnswerPart, RequestOutcome};
 use crate::site::{Query, Scenario};
 use crate::standin::{lock, Shared};
 use crate::tally::{self, Tally};
@@ -61,7 +61,7 @@
 }
 
 /// Sends all that the scenario asks to these mixers, each query when it is due, and waits for the last answer.
-pub fn play(shared: &Arc<Shared>, mixers: Vec<SocketAddr>) -> Load {
+pub fn run_open_loop(shared: &Arc<Shared>, mixers: Vec<SocketAddr>) -> Load {
     let load = Load::new(shared, mixers);
     std::thread::scope(|scope| {
         for (number, query) in shared.queries.iter().enumerate() {
@@ -100,7 +100,7 @@
     }
 
     /// One client sends these queries of the scenario one after the other, each as soon as the one before is over.
-    pub fn play_in_turn(&self, numbers: Range<usize>) {
+    pub fn run_closed_loop(&self, numbers: Range<usize>) {
         for number in numbers {
             let query = Query {
                 at: self.shared.now(),
@@ -130,25 +130,25 @@
                         Ok(body) => {
                             return self.answered(&id, query, &body, (took_s, since_s, timeout_s))
                         }
-                        Err(_) => Ended::Failed,
+                        Err(_) => RequestOutcome::Failed,
                     }
                 }
                 Ok(answer) if [429, 503].contains(&answer.status) => {
                     notified_s = Some(answer.retry_after_s);
-                    Ended::Refused(answer.retry_after_s)
+                    RequestOutcome::Rejected(answer.retry_after_s)
                 }
-                Ok(_) => Ended::Failed,
+                Ok(_) => RequestOutcome::Failed,
                 Err(_) => {
-                    lock(&shared.rules).broke(format!(
+                    lock(&shared.rules).record_violation(format!(
                         "lost: {id} had no final answer when its time was up"
                     ));
-                    Ended::Left
+                    RequestOutcome::Abandoned
                 }
             };
             lock(&shared.rules).ended(&id, query, &ended, took_s, timeout_s);
             let kind = match ended {
-                Ended::Refused(_) => tally::REFUSED,
-                Ended::Left => tally::LEFT,
+                RequestOutcome::Rejected(_) => tally::REFUSED,
+                RequestOutcome::Abandoned => tally::LEFT,
                 _ => tally::FAILED,
             };
             lock(&self.tally).tries[kind] += 1;
@@ -157,7 +157,7 @@
             let again_s = notified_s
                 .filter(|notified| *notified > 0.0)
                 .unwrap_or(backoff_s);
-            let may = notified_s.is_some() || class.safe();
+            let may = notified_s.is_some() || class.is_retryable();
             if tried >= max || query.timeout_s - since_s - again_s <= TOO_SHORT_S || !may {
                 return lock(&self.tally).query(scenario, query, None, since_s);
             }
@@ -187,7 +187,7 @@
             .collect();
         let pieces = made
             .iter()
-            .map(|(index, value)| Piece {
+            .map(|(index, value)| AnswerPart {
                 index: *index,
                 value,
             })
@@ -195,7 +195,7 @@
         lock(&self.shared.rules).ended(
             id,
             query,
-            &Ended::Answered(body.full, pieces),
+            &RequestOutcome::Answered(body.full, pieces),
             took_s,
             timeout_s,
         );
@@ -234,7 +234,7 @@
         };
         let parts = query.parts.iter().map(part).collect::<Vec<_>>().join(",");
         let body = format!("{{\"tablets\":[{parts}],\"statement\":\"{number}\"}}");
-        let key = if class.safe() {
+        let key = if class.is_retryable() {
             String::new()
         } else {
             format!("Idempotency-Key: k{number}\r\n")
--- a/crates/wharfhub-testbed/src/rules.rs
+++ b/crates/wharfhub-testbed/src/rules.rs
@@ -21,7 +21,7 @@
 
 /// A part of an answer as its client got it.
 #[derive(Clone, Debug)]
-pub struct Piece<'a> {
+pub struct AnswerPart<'a> {
     /// Its place among the query's parts.
     pub index: usize,
     /// Its value.
@@ -30,15 +30,15 @@
 
 /// How a try ended, as its client saw it.
 #[derive(Clone, Debug)]
-pub enum Ended<'a> {
+pub enum RequestOutcome<'a> {
     /// Answered, and whether it was called whole.
-    Answered(bool, Vec<Piece<'a>>),
+    Answered(bool, Vec<AnswerPart<'a>>),
     /// Refused, with the time to come back (seconds).
-    Refused(f64),
+    Rejected(f64),
     /// Failed.
     Failed,
     /// The client's time was up, or it left.
-    Left,
+    Abandoned,
 }
 
 #[derive(Default)]
@@ -55,38 +55,38 @@
 }
 
 /// The judge of one run.
-pub struct Rules {
+pub struct RuleChecker {
     scenario: Scenario,
     tries: BTreeMap<String, Try>,
     notified: BTreeMap<(u32, u32), f64>, // when a mixer was told that a leaf server drains or is gone
     starts: BTreeMap<(u32, u32), f64>, // the latest start of a leaf server that a mixer was told of
     slack_s: f64,
     /// What was broken, in words.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// How often.
-    pub count: u64,
+    pub violation_count: u64,
 }
 
-impl Rules {
+impl RuleChecker {
     /// A judge; every time limit is so much longer (seconds).
-    pub fn new(scenario: &Scenario, slack_s: f64) -> Rules {
+    pub fn new(scenario: &Scenario, slack_s: f64) -> RuleChecker {
         let (tries, notified, starts) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-        Rules {
+        RuleChecker {
             scenario: scenario.clone(),
             tries,
             notified,
             starts,
             slack_s,
-            broken: Vec::new(),
-            count: 0,
+            violations: Vec::new(),
+            violation_count: 0,
         }
     }
 
     /// Notes a violation.
-    pub fn broke(&mut self, what: String) {
-        self.count += 1;
-        if self.broken.len() < MAX_NOTIFIED {
-            self.broken.push(what);
+    pub fn record_violation(&mut self, what: String) {
+        self.violation_count += 1;
+        if self.violations.len() < MAX_NOTIFIED {
+            self.violations.push(what);
         }
     }
 
@@ -130,23 +130,23 @@
             .filter(|notified| now > **notified + self.scenario.site.drain_grace_s + self.slack_s)
         {
             let late = now - notified;
-            self.broke(format!(
+            self.record_violation(format!(
                 "drain: {id}.{shard} went to box {leaf_server} {late:.3} s after it was told"
             ));
         }
         if !self.scenario.holds(leaf_server, shard) {
-            self.broke(format!(
+            self.record_violation(format!(
                 "placement: {id}.{shard} went to box {leaf_server}, which does not hold it"
             ));
         }
-        if pre_check && !class.safe() {
-            self.broke(format!(
+        if pre_check && !class.is_retryable() {
+            self.record_violation(format!(
                 "phases: {id}.{shard} of {} was asked ahead",
                 class.name
             ));
         }
         let slack_s = self.slack_s;
-        let (safe, window_s, name) = (class.safe(), class.window_s, class.name);
+        let (safe, window_s, name) = (class.is_retryable(), class.dedup_window_s, class.name);
         let entry = self.tries.entry(id.to_string()).or_default();
         let (over, sends) = (entry.ended, entry.parts.entry(shard).or_default());
         let after_s = sends.ran_from.map_or(0.0, |first| now - first);
@@ -155,18 +155,18 @@
         sends.out += 1;
         let (attempts, out) = (sends.attempts, sends.out);
         if over {
-            self.broke(format!(
+            self.record_violation(format!(
                 "ended: {id}.{shard} was sent after its final answer"
             ));
         }
         if late {
-            self.broke(format!("repeat: {id}.{shard} of {name} was sent again beyond its window, {after_s:.3} s after the first"));
+            self.record_violation(format!("repeat: {id}.{shard} of {name} was sent again beyond its window, {after_s:.3} s after the first"));
         }
         if attempts > self.scenario.site.attempts.0 as usize {
-            self.broke(format!("attempts: {id}.{shard} was sent {attempts} times"));
+            self.record_violation(format!("attempts: {id}.{shard} was sent {attempts} times"));
         }
         if out > 1 && !self.scenario.site.attempts.1 {
-            self.broke(format!(
+            self.record_violation(format!(
                 "copies: {out} attempts of {id}.{shard} are out at once"
             ));
         }
@@ -200,31 +200,38 @@
     }
 
     /// A try ended; `took_s` of the `timeout_s` that its client waits (seconds).
-    pub fn ended(&mut self, id: &str, query: &Query, ended: &Ended, took_s: f64, timeout_s: f64) {
+    pub fn ended(
+        &mut self,
+        id: &str,
+        query: &Query,
+        ended: &RequestOutcome,
+        took_s: f64,
+        timeout_s: f64,
+    ) {
         let entry = self.tries.entry(id.to_string()).or_default();
         let ran = entry.parts.values().any(|part| part.ran_from.is_some());
         let again = std::mem::replace(&mut entry.ended, true);
         let class = self.scenario.site.classes[query.class].clone();
         if again {
-            return self.broke(format!("answers: {id} got a second final answer"));
+            return self.record_violation(format!("answers: {id} got a second final answer"));
         }
-        if took_s > timeout_s + self.slack_s && !matches!(ended, Ended::Left) {
-            self.broke(format!(
+        if took_s > timeout_s + self.slack_s && !matches!(ended, RequestOutcome::Abandoned) {
+            self.record_violation(format!(
                 "time: {id} was answered {took_s:.3} s into {timeout_s:.3} s"
             ));
         }
         match ended {
-            Ended::Answered(complete, pieces) => {
+            RequestOutcome::Answered(complete, pieces) => {
                 let share: f64 = pieces
                     .iter()
                     .map(|piece| query.parts[piece.index].weight)
                     .sum();
-                if share + SUM_SLACK < class.floor {
-                    self.broke(format!(
+                if share + SUM_SLACK < class.min_share {
+                    self.record_violation(format!(
                         "floor: {id} was answered from a share of {share:.3}"
                     ));
                 } else if *complete && share + SUM_SLACK < 1.0 {
-                    self.broke(format!(
+                    self.record_violation(format!(
                         "whole: {id} was called whole at a share of {share:.3}"
                     ));
                 }
@@ -232,18 +239,18 @@
                     self.honest(id, query, piece);
                 }
             }
-            Ended::Refused(_) if !class.safe() && ran => {
-                self.broke(format!(
+            RequestOutcome::Rejected(_) if !class.is_retryable() && ran => {
+                self.record_violation(format!(
                     "refusal: {id} of {} was refused after a box took it",
                     class.name
                 ));
             }
-            Ended::Refused(_) | Ended::Failed | Ended::Left => {}
+            RequestOutcome::Rejected(_) | RequestOutcome::Failed | RequestOutcome::Abandoned => {}
         }
     }
 
     /// A value must be made by a leaf server that holds the part, for this very request; a word must be true.
-    fn honest(&mut self, id: &str, query: &Query, piece: &Piece) {
+    fn honest(&mut self, id: &str, query: &Query, piece: &AnswerPart) {
         let part = query.parts[piece.index];
         let word = piece.value.ends_with(" none");
         let leaf_server = piece
@@ -256,12 +263,12 @@
                 && piece.value == value(id, part.shard, leaf_server, word)
         });
         if !made {
-            self.broke(format!(
+            self.record_violation(format!(
                 "value: {id}.{} was answered with {:?}",
                 part.shard, piece.value
             ));
         } else if word && part.matches {
-            self.broke(format!("pruned: {id}.{} has a match", part.shard));
+            self.record_violation(format!("pruned: {id}.{} has a match", part.shard));
         }
     }
 
@@ -277,7 +284,7 @@
     }
 
     /// The scenario is over: tries without an answer are lost.
-    pub fn over(&mut self) {
+    pub fn finish(&mut self) {
         let lost: Vec<String> = self
             .tries
             .iter()
@@ -285,7 +292,7 @@
             .map(|(id, _)| id.clone())
             .collect();
         for id in lost {
-            self.broke(format!("lost: {id} got no final answer"));
+            self.record_violation(format!("lost: {id} got no final answer"));
         }
     }
 }
--- a/crates/wharfhub-testbed/src/site/mod.rs
+++ b/crates/wharfhub-testbed/src/site/mod.rs
@@ -27,22 +27,22 @@
     /// An answer within this time earns all (seconds).
     pub latency_objective_s: f64,
     /// A client's total wait (seconds).
-    pub give_up_s: f64,
+    pub client_timeout_s: f64,
     /// What a late answer earns.
     pub late_weight: f64,
     /// Its worth.
     pub priority_weight: f64,
     /// Least share for an answer in part.
-    pub floor: f64,
+    pub min_share: f64,
     /// `retryable` or `dedup`.
     pub effect: &'static str,
     /// How long repeats are dropped (seconds).
-    pub window_s: f64,
+    pub dedup_window_s: f64,
 }
 
 impl Class {
     /// Whether it is safe to repeat.
-    pub fn safe(&self) -> bool {
+    pub fn is_retryable(&self) -> bool {
         self.effect == "retryable"
     }
 }
@@ -58,7 +58,7 @@
 
 /// How service is counted.
 #[derive(Clone, Copy, Debug)]
-pub struct Goal {
+pub struct ScoringRule {
     /// Weights of the whole scenario, its worst 10 s, the worst class and the worst tenant.
     pub weights: [f64; 4],
     /// Points taken off where all fail after the latency objective only, and where as much work is wasted as was asked for.
@@ -77,11 +77,11 @@
     /// Its machine rooms.
     pub zones: &'static [&'static str],
     /// One way between two rooms (seconds, at least and at most).
-    pub far_s: (f64, f64),
+    pub inter_zone_delay_s: (f64, f64),
     /// How shards lie.
     pub layout: Layout,
     /// Whether a query's shards are neighbours; otherwise they go by its key.
-    pub next_to: bool,
+    pub has_consecutive_shards: bool,
     /// The classes.
     pub classes: Vec<Class>,
     /// The tenants, with their shares.
@@ -89,9 +89,9 @@
     /// What traffic beyond a share is worth.
     pub over_quota_weight: f64,
     /// How service is counted.
-    pub goal: Goal,
+    pub goal: ScoringRule,
     /// Whether queries carry a guess at their parts' work.
-    pub hints: bool,
+    pub has_cost_hints: bool,
     /// Parts of a call at most, and its work beside theirs (seconds).
     pub call: (u32, f64),
     /// Attempts of one part, and whether two may be out at once.
@@ -101,9 +101,9 @@
     /// Nothing new so long after being told of a drain (seconds).
     pub drain_grace_s: f64,
     /// A leaf server closes what stood idle for so long (seconds).
-    pub idle_s: f64,
+    pub idle_timeout_s: f64,
     /// Work of a handshake at a leaf server (core seconds).
-    pub handshake_s: f64,
+    pub handshake_work_s: f64,
     /// What its leaf servers are made of, without their pauses.
     pub leaf_servers: LeafServerSetup,
     /// Leaf servers pause for so long, so often (seconds, at least and at most each).
@@ -113,12 +113,12 @@
 impl Site {
     /// The same deployment with service times so many times shorter: work, latency objectives and waits of clients shrink, and as many more queries come.
     /// Rooms, lists, pauses and cold starts keep their time.
-    pub fn faster(self, name: &'static str, times: f64) -> Site {
+    pub fn with_faster_service(self, name: &'static str, times: f64) -> Site {
         let faster = |class: Class| Class {
             work_s: class.work_s / times,
             latency_objective_s: class.latency_objective_s / times,
-            give_up_s: class.give_up_s / times,
-            window_s: class.window_s / times,
+            client_timeout_s: class.client_timeout_s / times,
+            dedup_window_s: class.dedup_window_s / times,
             ..class
         };
         let classes = self.classes.into_iter().map(faster).collect();
--- a/crates/wharfhub-testbed/src/site/profiles.rs
+++ b/crates/wharfhub-testbed/src/site/profiles.rs
@@ -1,6 +1,6 @@
 //! The operators' deployments, as their accounts describe them.
 
-use super::{Class, Goal, Layout, Site};
+use super::{Class, Layout, ScoringRule, Site};
 use crate::model::LeafServerSetup;
 
 /// Florists in Wales: a ring, calls of one part, hedged requests, leaf servers that stop nothing.
@@ -8,9 +8,9 @@
     Site {
         name: "cardiff",
         zones: &["cardiff-bay", "newport-east"],
-        far_s: (0.0014, 0.0026),
+        inter_zone_delay_s: (0.0014, 0.0026),
         layout: Layout::Ring(2, 2),
-        next_to: false,
+        has_consecutive_shards: false,
         classes: cardiff_classes(),
         tenants: &[
             ("tegid-direct", 0.51),
@@ -18,19 +18,19 @@
             ("garden-gate", 0.19),
         ],
         over_quota_weight: 0.2,
-        goal: Goal {
+        goal: ScoringRule {
             weights: [0.35, 0.35, 0.2, 0.1],
             late_fail: 0.11,
             waste: 0.058,
             by_work: true,
         },
-        hints: true,
+        has_cost_hints: true,
         call: (1, 0.0),
         attempts: (4, true),
         retries: (2, (0.1, 0.6), false),
         drain_grace_s: 0.5,
-        idle_s: 15.0,
-        handshake_s: 0.0012,
+        idle_timeout_s: 15.0,
+        handshake_work_s: 0.0012,
         leaf_servers: LeafServerSetup {
             cores: 2,
             slots: 2,
@@ -53,12 +53,12 @@
         parts: (4, 4, 0.4),
         work_s: 0.15,
         latency_objective_s: 1.5,
-        give_up_s: 3.0,
+        client_timeout_s: 3.0,
         late_weight: 0.1,
         priority_weight: 2.0,
-        floor: 0.7,
+        min_share: 0.7,
         effect: "retryable",
-        window_s: 2.5,
+        dedup_window_s: 2.5,
     };
     let slot = Class {
         name: "slot-check",
@@ -68,7 +68,7 @@
         latency_objective_s: 1.2,
         late_weight: 0.3,
         priority_weight: 1.0,
-        floor: 1.0,
+        min_share: 1.0,
         ..area.clone()
     };
     let hold = Class {
@@ -76,8 +76,8 @@
         share: 0.22,
         parts: (1, 2, 0.0),
         work_s: 0.12,
-        give_up_s: 5.0,
-        floor: 1.0,
+        client_timeout_s: 5.0,
+        min_share: 1.0,
         effect: "dedup",
         ..area.clone()
     };
@@ -90,9 +90,9 @@
     Site {
         name: "szeged",
         zones: &["room-a", "room-b", "room-c"],
-        far_s: (0.00042, 0.00078),
+        inter_zone_delay_s: (0.00042, 0.00078),
         layout: Layout::Sets(4, 2),
-        next_to: true,
+        has_consecutive_shards: true,
         classes: szeged_classes(),
         tenants: &[
             ("gepgyar-north", 0.41),
@@ -101,19 +101,19 @@
             ("muszaki-egyetem", 0.09),
         ],
         over_quota_weight: 0.05,
-        goal: Goal {
+        goal: ScoringRule {
             weights: [0.5, 0.2, 0.2, 0.1],
             late_fail: 0.03,
             waste: 0.081,
             by_work: false,
         },
-        hints: false,
+        has_cost_hints: false,
         call: (8, 0.051),
         attempts: (3, false),
         retries: (1, (0.075, 0.6), true),
         drain_grace_s: 2.0,
-        idle_s: 30.0,
-        handshake_s: 0.0011,
+        idle_timeout_s: 30.0,
+        handshake_work_s: 0.0011,
         leaf_servers: LeafServerSetup {
             cores: 2,
             slots: 6,
@@ -136,12 +136,12 @@
         parts: (4, 4, 0.5),
         work_s: 0.13,
         latency_objective_s: 2.5,
-        give_up_s: 7.5,
+        client_timeout_s: 7.5,
         late_weight: 0.1,
         priority_weight: 5.0,
-        floor: 1.0,
+        min_share: 1.0,
         effect: "retryable",
-        window_s: 5.0,
+        dedup_window_s: 5.0,
     };
     let lookup = Class {
         name: "grade-lookup",
@@ -149,7 +149,7 @@
         parts: (4, 7, 0.15),
         work_s: 0.095,
         latency_objective_s: 1.5,
-        give_up_s: 4.0,
+        client_timeout_s: 4.0,
         late_weight: 0.3,
         priority_weight: 1.0,
         ..report.clone()
@@ -160,9 +160,9 @@
         parts: (4, 4, 0.4),
         work_s: 0.12,
         latency_objective_s: 2.0,
-        give_up_s: 5.0,
+        client_timeout_s: 5.0,
         priority_weight: 3.0,
-        floor: 0.5,
+        min_share: 0.5,
         ..report.clone()
     };
     vec![report, lookup, search]
--- a/crates/wharfhub-testbed/src/site/queries.rs
+++ b/crates/wharfhub-testbed/src/site/queries.rs
@@ -47,7 +47,7 @@
     /// How long the client waits in all (seconds).
     pub timeout_s: f64,
     /// The client leaves after this time, whatever comes (seconds).
-    pub leaves_s: f64,
+    pub disconnects_after_s: f64,
     /// Which mixer it starts at.
     pub mixer: usize,
 }
@@ -70,7 +70,7 @@
     fn of(scenario: &Scenario) -> Distributions {
         let variance = WORK_CV * WORK_CV;
         Distributions {
-            gaps: Exp::new(scenario.rate()).expect("a scenario has a load above 0"),
+            gaps: Exp::new(scenario.queries_per_s()).expect("a scenario has a load above 0"),
             keys: Zipf::new(KEYS, KEY_SKEW).expect("there are keys"),
             work: Gamma::new(1.0 / variance, variance).expect("work has a spread"),
         }
@@ -128,8 +128,8 @@
             .map(|shard| self.draw_part(shard, class, count, distributions, rng))
             .collect();
         let wait_share = rng.random_range(MIN_WAIT_SHARE..=MAX_WAIT_SHARE);
-        let is_leaving = rng.random::<f64>() < self.leaving;
-        let leaves_s = if is_leaving {
+        let is_leaving = rng.random::<f64>() < self.disconnecting_share;
+        let disconnects_after_s = if is_leaving {
             rng.random_range(MIN_LEAVING_S..MAX_LEAVING_S)
         } else {
             f64::MAX
@@ -141,8 +141,8 @@
             tenant,
             key,
             parts,
-            timeout_s: classes[class].give_up_s * wait_share,
-            leaves_s,
+            timeout_s: classes[class].client_timeout_s * wait_share,
+            disconnects_after_s,
             mixer,
         }
     }
@@ -151,7 +151,7 @@
     fn shards_of_key(&self, key: u64, class: usize, count: usize) -> Vec<usize> {
         let mut by_key = ChaCha8Rng::seed_from_u64(key * 31 + class as u64);
         let all = self.shards() as usize;
-        if self.site.next_to {
+        if self.site.has_consecutive_shards {
             let first = by_key.random_range(0..all);
             (0..count).map(|step| (first + step) % all).collect()
         } else {
--- a/crates/wharfhub-testbed/src/site/scenario.rs
+++ b/crates/wharfhub-testbed/src/site/scenario.rs
@@ -30,7 +30,7 @@
     /// So many times as much is asked.
     Burst(f64),
     /// Connections to leaf servers fall silent in both directions, so many a second, though they stay open.
-    LinksSilent(f64),
+    SilentConnections(f64),
 }
 
 /// A deployment under load for some time, with faults.
@@ -57,7 +57,7 @@
     /// The operators' setting of phases, as JSON; none where they are off.
     pub phases: Option<String>,
     /// Share of the leaf servers that know phases.
-    pub knowing: f64,
+    pub pre_check_share: f64,
     /// What goes wrong, from when to when (seconds of the scenario).
     pub faults: Vec<(f64, f64, Fault)>,
     /// The list tells changes so much later (seconds, at least and at most).
@@ -65,7 +65,7 @@
     /// Every part takes just its class's work, and leaf servers have cores without end.
     pub ideal: bool,
     /// Share of the clients that leave early.
-    pub leaving: f64,
+    pub disconnecting_share: f64,
 }
 
 impl Default for Scenario {
@@ -81,11 +81,11 @@
             pre_check_work: 0.08,
             pre_check_first: true,
             phases: None,
-            knowing: 1.0,
+            pre_check_share: 1.0,
             faults: Vec::new(),
             lag_s: (0.8, 3.0),
             ideal: false,
-            leaving: 0.0,
+            disconnecting_share: 0.0,
         }
     }
 }
@@ -167,7 +167,7 @@
     }
 
     /// Queries a second, by the load.
-    pub fn rate(&self) -> f64 {
+    pub fn queries_per_s(&self) -> f64 {
         let work = |class: &Class| {
             let (min, max) = self.parts_of(class);
             let parts = (min + max) as f64 / 2.0;
@@ -185,7 +185,7 @@
     }
 
     /// Which leaf servers know phases, and which a fault concerns: a share of them, drawn.
-    pub fn some_leaf_servers(&self, purpose: u64, share: f64) -> Vec<u32> {
+    pub fn draw_leaf_servers(&self, purpose: u64, share: f64) -> Vec<u32> {
         let mut all: Vec<u32> = (0..self.leaf_servers).collect();
         all.shuffle(&mut self.rng(purpose));
         all.truncate((share * f64::from(self.leaf_servers)).round() as usize);
--- a/crates/wharfhub-testbed/src/site/settings_json.rs
+++ b/crates/wharfhub-testbed/src/site/settings_json.rs
@@ -21,10 +21,10 @@
          \"windowS\":{},\"worth\":{}}}",
         class.name,
         class.latency_objective_s,
-        class.give_up_s,
+        class.client_timeout_s,
         class.effect,
         class.late_weight,
-        class.window_s,
+        class.dedup_window_s,
         class.priority_weight
     )
 }
@@ -64,7 +64,7 @@
 
     fn tenants_json(&self) -> String {
         joined(self.site.tenants.iter().map(|(name, share)| {
-            let allowance = share * self.rate() * QUOTA_SLACK;
+            let allowance = share * self.queries_per_s() * QUOTA_SLACK;
             format!("{{\"name\":\"{name}\",\"share\":{share},\"allowancePerS\":{allowance}}}")
         }))
     }
@@ -80,20 +80,20 @@
             site.replication_factor(),
             self.shards(),
             by_class(site, |_| 1.0),
-            by_class(site, |class| class.floor),
+            by_class(site, |class| class.min_share),
             by_class(site, |_| 0.9),
         )
     }
 
     fn permissions_json(&self) -> String {
         let (max_attempts, hedging) = self.site.attempts;
-        let load_per_mixer = self.rate() / f64::from(self.mixers);
+        let load_per_mixer = self.queries_per_s() / f64::from(self.mixers);
         let in_flight = (load_per_mixer * IN_FLIGHT_PER_QUERY * IN_FLIGHT_S).max(MIN_IN_FLIGHT);
         format!(
             "\"permissions\":{{\"cancelling\":true,\"connIdleS\":{},\"connectTimeoutS\":0.25,\
              \"maxRetryAfterS\":2.0,\"mostHeld\":{in_flight:.0},\"retryAfter\":true,\
              \"secondCopies\":{hedging},\"sendCap\":{max_attempts},\"streamsPerConn\":32}}",
-            self.site.idle_s,
+            self.site.idle_timeout_s,
         )
     }
 
--- a/crates/wharfhub-testbed/src/standin.rs
+++ b/crates/wharfhub-testbed/src/standin.rs
@@ -5,7 +5,7 @@
 //! but its own.
 
 use crate::model::{Arrival, Arriving, LeafServer, ServerFault};
-use crate::rules::{self, Rules};
+use crate::rules::{self, RuleChecker};
 use crate::site::{Fault, Query, Scenario};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -39,7 +39,7 @@
     /// When it began.
     pub start: Instant,
     /// The judge.
-    pub rules: Mutex<Rules>,
+    pub rules: Mutex<RuleChecker>,
     /// Work of all leaf servers by class (core seconds), attempts, and words.
     pub work: Mutex<(Vec<f64>, u64, u64)>,
 }
@@ -126,7 +126,7 @@
 fn own_slowdown(scenario: &Scenario, number: u32) -> f64 {
     let slowdown = |(_, _, fault): &(f64, f64, Fault)| match fault {
         Fault::SomeSlow(share, factor) => scenario
-            .some_leaf_servers(SLOW_SERVERS_DRAW, *share)
+            .draw_leaf_servers(SLOW_SERVERS_DRAW, *share)
             .contains(&number)
             .then_some(*factor),
         _ => None,
--- a/crates/wharfhub-testbed/src/tally.rs
+++ b/crates/wharfhub-testbed/src/tally.rs
@@ -3,7 +3,7 @@
 //! This file owns the sums. Service mixes the whole scenario, its worst 10 s, the worst class and the worst brand; what is
 //! late or wasted comes off. Worth counts by query or in proportion to its work, a client's tries as one.
 
-use crate::site::{Goal, Query, Scenario};
+use crate::site::{Query, Scenario, ScoringRule};
 
 const WINDOW_S: f64 = 10.0;
 /// What an answer in part earns of its share.
@@ -35,7 +35,7 @@
 /// The sums of one scenario.
 #[derive(Clone, Debug)]
 pub struct Tally {
-    goal: Goal,
+    goal: ScoringRule,
     complete: Sum,
     windows: Vec<Sum>,
     classes: Vec<Sum>,
--- a/crates/wharfhub-testbed/tests/compatibility.rs
+++ b/crates/wharfhub-testbed/tests/compatibility.rs
@@ -3,8 +3,8 @@
 //! A change that is meant to alter decisions takes the new digests over and says so in its commit.
 
 use rstest::rstest;
+use wharfhub_testbed::emulator;
 use wharfhub_testbed::site::{cardiff, szeged, Fault, Scenario, Site};
-use wharfhub_testbed::world;
 
 /// A scenario with faults of every kind.
 fn faulty_scenario(site: Site, phases: bool, seed: u64) -> Scenario {
@@ -28,7 +28,7 @@
         site,
         phases,
         faults,
-        leaving: 0.05,
+        disconnecting_share: 0.05,
         ..Scenario::default()
     }
 }
@@ -40,7 +40,7 @@
 #[case::sets(faulty_scenario(szeged(), false, 4), 0x2d73_5657_3660_3616)]
 #[case::sets_another_seed(faulty_scenario(szeged(), false, 5), 0x680c_fdf9_a4a2_b4d5)]
 fn decisions_are_those_of_the_former_release(#[case] scenario: Scenario, #[case] digest: u64) {
-    let run = world::play(&scenario).expect("a day that can be played");
-    assert!(run.taken > 100, "{} queries", run.taken);
+    let run = emulator::run(&scenario).expect("a day that can be played");
+    assert!(run.requests > 100, "{} queries", run.requests);
     assert_eq!(run.digest, digest, "{:#018x}", run.digest);
 }
--- a/crates/wharfhub-testbed/tests/scenarios.rs
+++ b/crates/wharfhub-testbed/tests/scenarios.rs
@@ -3,10 +3,10 @@
 use rstest::rstest;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use wharfhub_testbed::rules::{value, Ended, Piece, Rules};
+use wharfhub_testbed::rules::{value, AnswerPart, RequestOutcome, RuleChecker};
 use wharfhub_testbed::site::{szeged, Fault, Scenario, Site};
 use wharfhub_testbed::standin::{lock, open, Shared};
-use wharfhub_testbed::{daemon, load, tally, world};
+use wharfhub_testbed::{daemon, emulator, load, tally};
 
 fn phased() -> Scenario {
     let phases = Some("{\"classes\":[\"area-search\"]}".into());
@@ -28,12 +28,12 @@
 #[case::all_silent(Scenario { faults: vec![(5.0, 8.0, Fault::Silent(1.0))], ..phased() })]
 #[case::fast_errors(Scenario { faults: vec![(4.0, 12.0, Fault::Fails(0.25, 0.8))], ..phased() })]
 #[case::drains(Scenario { faults: vec![(4.0, 9.0, Fault::Drain(0.25))], ..phased() })]
-#[case::mixed_fleet(Scenario { knowing: 0.5, ..phased() })]
-#[case::clients_leave(Scenario { leaving: 0.3, ..phased() })]
+#[case::mixed_fleet(Scenario { pre_check_share: 0.5, ..phased() })]
+#[case::clients_leave(Scenario { disconnecting_share: 0.3, ..phased() })]
 #[case::all_at_once(Scenario {
     load: 1.3,
-    knowing: 0.75,
-    leaving: 0.1,
+    pre_check_share: 0.75,
+    disconnecting_share: 0.1,
     pre_check_first: false,
     faults: vec![
         (3.0, 9.0, Fault::Slow(1.8)),
@@ -49,11 +49,11 @@
             seed,
             ..scenario.clone()
         };
-        let run = world::play(&scenario).unwrap();
+        let run = emulator::run(&scenario).unwrap();
         assert!(
-            run.rules.broken.is_empty(),
+            run.rules.violations.is_empty(),
             "seed {seed}: {:?}",
-            run.rules.broken
+            run.rules.violations
         );
         assert!(
             run.tally.pruned > 0 && run.tally.tries[tally::ANSWERED] > 0,
@@ -61,7 +61,7 @@
             run.tally
         );
         assert_eq!(
-            world::play(&scenario).unwrap().digest,
+            emulator::run(&scenario).unwrap().digest,
             run.digest,
             "seed {seed} does not replay"
         );
@@ -75,7 +75,7 @@
 #[case::pauses(0.6, vec![(4.0, 14.0, Fault::Pauses(0.45, 0.5, 3.0))])]
 #[case::room_lost(0.5, vec![(4.0, 12.0, Fault::ZoneLoss(1, false))])]
 #[case::room_lost_with_mixers(0.5, vec![(4.0, 12.0, Fault::ZoneLoss(0, true))])]
-#[case::links_fall_silent(0.5, vec![(2.0, 18.0, Fault::LinksSilent(0.3))])]
+#[case::links_fall_silent(0.5, vec![(2.0, 18.0, Fault::SilentConnections(0.3))])]
 #[case::dead_and_silent(0.5, vec![(4.0, 9.0, Fault::Dead(0.2)), (6.0, 14.0, Fault::Silent(0.15))])]
 #[case::all_at_once(0.9, vec![
     (3.0, 9.0, Fault::Slow(1.8)),
@@ -98,11 +98,11 @@
             site: szeged(),
             ..Scenario::default()
         };
-        let run = world::play(&scenario).unwrap();
+        let run = emulator::run(&scenario).unwrap();
         assert!(
-            run.rules.broken.is_empty(),
+            run.rules.violations.is_empty(),
             "seed {seed}: {:?}",
-            run.rules.broken
+            run.rules.violations
         );
         assert!(
             run.tally.tries[tally::ANSWERED] > 0,
@@ -110,7 +110,7 @@
             run.tally
         );
         assert_eq!(
-            world::play(&scenario).unwrap().digest,
+            emulator::run(&scenario).unwrap().digest,
             run.digest,
             "seed {seed} does not replay"
         );
@@ -142,13 +142,13 @@
         },
         ..scenario.clone()
     };
-    let seen = |play: &dyn Fn(&mut Rules)| {
-        let mut rules = Rules::new(&single, 0.0);
+    let seen = |play: &dyn Fn(&mut RuleChecker)| {
+        let mut rules = RuleChecker::new(&single, 0.0);
         rules.asked("q1-0");
         play(&mut rules);
-        rules.broken.join("; ")
+        rules.violations.join("; ")
     };
-    let complete = |rules: &mut Rules, word: bool| {
+    let complete = |rules: &mut RuleChecker, word: bool| {
         let value = |index: usize| {
             let shard = area.parts[index].shard;
             let leaf_server = scenario.holder(shard);
@@ -158,18 +158,24 @@
         let pieces = values
             .iter()
             .enumerate()
-            .map(|(index, value)| Piece { index, value })
+            .map(|(index, value)| AnswerPart { index, value })
             .collect();
-        rules.ended("q1-0", area, &Ended::Answered(true, pieces), 0.1, 1.0);
+        rules.ended(
+            "q1-0",
+            area,
+            &RequestOutcome::Answered(true, pieces),
+            0.1,
+            1.0,
+        );
     };
-    let one = |rules: &mut Rules, complete: bool| {
+    let one = |rules: &mut RuleChecker, complete: bool| {
         let value = value("q1-0", shard, holder, false);
         rules.ended(
             "q1-0",
             area,
-            &Ended::Answered(
+            &RequestOutcome::Answered(
                 complete,
-                vec![Piece {
+                vec![AnswerPart {
                     index,
                     value: &value,
                 }],
@@ -178,18 +184,18 @@
             1.0,
         );
     };
-    type Breach<'a> = (&'a str, Box<dyn Fn(&mut Rules) + 'a>);
+    type Breach<'a> = (&'a str, Box<dyn Fn(&mut RuleChecker) + 'a>);
     let breaches: Vec<Breach> = vec![
-        ("lost", Box::new(|rules| rules.over())),
+        ("lost", Box::new(|rules| rules.finish())),
         (
             "second final",
             Box::new(|rules| {
-                (0..2).for_each(|_| rules.ended("q1-0", area, &Ended::Failed, 0.1, 1.0))
+                (0..2).for_each(|_| rules.ended("q1-0", area, &RequestOutcome::Failed, 0.1, 1.0))
             }),
         ),
         (
             "time",
-            Box::new(|rules| rules.ended("q1-0", area, &Ended::Failed, 1.2, 1.0)),
+            Box::new(|rules| rules.ended("q1-0", area, &RequestOutcome::Failed, 1.2, 1.0)),
         ),
         ("floor", Box::new(|rules| one(rules, false))),
         ("pruned", Box::new(|rules| complete(rules, true))),
@@ -207,7 +213,7 @@
         (
             "ended",
             Box::new(|rules| {
-                rules.ended("q1-0", area, &Ended::Failed, 0.1, 1.0);
+                rules.ended("q1-0", area, &RequestOutcome::Failed, 0.1, 1.0);
                 rules.sent(1.0, (0, holder), "q1-0", area, (shard, false));
             }),
         ),
@@ -244,7 +250,7 @@
                 let shard = hold.parts[0].shard;
                 rules.sent(1.0, (0, hold_at), "q1-0", hold, (shard, false));
                 rules.ran("q1-0", shard, 1.0);
-                rules.ended("q1-0", hold, &Ended::Refused(0.1), 0.1, 1.0);
+                rules.ended("q1-0", hold, &RequestOutcome::Rejected(0.1), 0.1, 1.0);
             }),
         ),
         (
@@ -254,9 +260,9 @@
                 rules.ended(
                     "q1-0",
                     area,
-                    &Ended::Answered(
+                    &RequestOutcome::Answered(
                         false,
-                        vec![Piece {
+                        vec![AnswerPart {
                             index,
                             value: &value,
                         }],
@@ -287,7 +293,7 @@
         load: 0.3,
         leaf_servers: 6,
         mixers: 1,
-        knowing: 0.7,
+        pre_check_share: 0.7,
         ..phased()
     };
     let search = [1, 4];
@@ -295,7 +301,7 @@
         queries: scenario.queries(),
         scenario: scenario.clone(),
         start: Instant::now() + Duration::from_millis(500),
-        rules: Mutex::new(Rules::new(&scenario, 0.5)),
+        rules: Mutex::new(RuleChecker::new(&scenario, 0.5)),
         work: Mutex::new((vec![0.0; 3], 0, 0)),
     });
     let leaf_servers: Vec<_> = (0..scenario.leaf_servers)
@@ -307,10 +313,10 @@
         "short-day",
     )
     .unwrap();
-    let load = load::play(&shared, vec![mixer.address]);
+    let load = load::run_open_loop(&shared, vec![mixer.address]);
     let mut rules = lock(&shared.rules);
-    rules.over();
-    assert!(rules.broken.is_empty(), "{:?}", rules.broken);
+    rules.finish();
+    assert!(rules.violations.is_empty(), "{:?}", rules.violations);
     assert!(lock(&load.tally).tries[tally::ANSWERED] > 0);
     assert!(lock(&shared.work).2 > 0, "nothing was asked ahead");
 }
--- a/crates/wharfhub-testbed/tests/standin.rs
+++ b/crates/wharfhub-testbed/tests/standin.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use wharfhub_testbed::rules::Rules;
+use wharfhub_testbed::rules::RuleChecker;
 use wharfhub_testbed::site::{cardiff, Fault, Layout, Part, Query, Scenario, Site};
 use wharfhub_testbed::standin::{self, Shared};
 
@@ -37,13 +37,13 @@
         key: 1,
         parts: vec![part],
         timeout_s: 10.0,
-        leaves_s: f64::MAX,
+        disconnects_after_s: f64::MAX,
         mixer: 0,
     };
     let shared = Arc::new(Shared {
         queries: vec![query],
         start: Instant::now(),
-        rules: Mutex::new(Rules::new(&scenario, 0.0)),
+        rules: Mutex::new(RuleChecker::new(&scenario, 0.0)),
         work: Mutex::new((vec![0.0; scenario.site.classes.len()], 0, 0)),
         scenario,
     });
