--- a/crates/wharfhub-testbed/src/emulator/clients.rs
+++ b/crates/wharfhub-testbed/src/emulator/clients.rs
@@ -1,6 +1,6 @@
 //! The clients of a scenario: they send, leave, retry, and take answers.
 
-use super::{Emulator, Event, Mixer, Open, NOTICE_S, START_S, TOO_SHORT_S};
+use super::{Emulator, Event, Mixer, OpenRequest, FAILOVER_DELAY_S, MIN_RETRY_TIME_S, START_S};
 use crate::rules::{AnswerPart, RequestOutcome};
 use crate::site::Query;
 use crate::tally;
@@ -9,18 +9,19 @@
 
 impl Emulator<'_> {
     /// The mixer that a try goes to: another one with each; whoever stands before them knows of the dead after a while.
-    pub(super) fn front(&self, query: &Query, tried: u32) -> usize {
+    pub(super) fn choose_mixer(&self, query: &Query, retry: u32) -> usize {
         let count = self.mixers.len();
-        let known_dead =
-            |mixer: &Mixer| mixer.coordinator.is_none() && self.now > mixer.died_at + NOTICE_S;
-        let first = (query.mixer + tried as usize) % count;
+        let known_dead = |mixer: &Mixer| {
+            mixer.coordinator.is_none() && self.now > mixer.died_at + FAILOVER_DELAY_S
+        };
+        let first = (query.mixer + retry as usize) % count;
         let next = (0..count).map(|step| (first + step) % count);
         next.into_iter()
             .find(|index| !known_dead(&self.mixers[*index]))
             .unwrap_or(first)
     }
 
-    pub(super) fn ask(&mut self, number: usize, tried: u32) {
+    pub(super) fn send_request(&mut self, number: usize, retry: u32) {
         let query = &self.queries[number];
         let class = &self.scenario.site.classes[query.class];
         let timeout_s = query.at + START_S + query.timeout_s - self.now;
@@ -31,29 +32,29 @@
             weight: part.weight,
             cost_hint_s: hints.then_some(part.work_s),
         };
-        let id = format!("q{number}-{tried}");
+        let id = format!("q{number}-{retry}");
         let query_request = QueryRequest {
             id: id.clone(),
             class: query.class,
             class_name: class.name.into(),
             tenant: query.tenant as u32,
             key: query.key,
-            is_client_retry: tried > 0 && self.scenario.site.retries.2,
+            is_client_retry: retry > 0 && self.scenario.site.retries.2,
             timeout_s,
             idempotency_key: (!class.is_retryable()).then(|| format!("k{number}")),
             parts: query.parts.iter().map(part).collect(),
             ..QueryRequest::default()
         };
-        let mixer = self.front(query, tried);
+        let mixer = self.choose_mixer(query, retry);
         self.tally.tries[tally::ASKED] += 1;
         if self.mixers[mixer].coordinator.is_none() {
             // Nobody listens there.
             self.tally.tries[tally::FAILED] += 1;
-            return self.again(number, tried, None, true);
+            return self.retry_or_finish(number, retry, None, true);
         }
         self.requests += 1;
-        self.rules.asked(&id);
-        let caller = (number as u64) << 8 | u64::from(tried);
+        self.rules.request_started(&id);
+        let caller = (number as u64) << 8 | u64::from(retry);
         let mut taken = None;
         let asked_at = self.now;
         // The answer may come at once.
@@ -63,9 +64,9 @@
             commands.append(out);
         });
         let Some(request) = taken else { return };
-        self.open.insert(
-            (number, tried),
-            Open {
+        self.open_requests.insert(
+            (number, retry),
+            OpenRequest {
                 mixer,
                 request,
                 asked_at,
@@ -73,23 +74,26 @@
             },
         );
         self.drive(mixer, |_, _, out| out.append(&mut commands));
-        self.at(self.now + disconnects_after_s, Event::Leave(number, tried));
+        self.schedule(
+            self.now + disconnects_after_s,
+            Event::ClientDisconnects(number, retry),
+        );
     }
 
-    pub(super) fn leave(&mut self, number: usize, tried: u32) {
-        let Some(open) = self.open.remove(&(number, tried)) else {
+    pub(super) fn client_disconnects(&mut self, number: usize, retry: u32) {
+        let Some(open) = self.open_requests.remove(&(number, retry)) else {
             return;
         };
         let took_s = self.now - open.asked_at;
         self.tally.tries[tally::LEFT] += 1;
         let query = &self.queries[number];
-        let id = format!("q{number}-{tried}");
+        let id = format!("q{number}-{retry}");
         if took_s >= open.timeout_s - 1e-6 {
             self.rules.record_violation(format!(
                 "lost: {id} had no final answer when its time was up"
             ));
         }
-        self.rules.ended(
+        self.rules.request_ended(
             &id,
             query,
             &RequestOutcome::Abandoned,
@@ -103,18 +107,19 @@
         });
     }
 
-    /// A mixer's final answer to the attempt `tried` of a query.
-    pub(super) fn reply(&mut self, number: usize, tried: u32, answer: FinalAnswer) {
-        let id = format!("q{number}-{tried}");
-        let Some(open) = self.open.remove(&(number, tried)) else {
+    /// A mixer's final answer to the attempt `retry` of a query.
+    pub(super) fn receive_final_answer(&mut self, number: usize, retry: u32, answer: FinalAnswer) {
+        let id = format!("q{number}-{retry}");
+        let Some(open) = self.open_requests.remove(&(number, retry)) else {
             return self
                 .rules
                 .record_violation(format!("answers: {id} got an answer that nobody waits for"));
         };
         let took_s = self.now - open.asked_at;
         let query = &self.queries[number];
-        let ended = ended(&answer);
-        self.rules.ended(&id, query, &ended, took_s, open.timeout_s);
+        let ended = request_outcome(&answer);
+        self.rules
+            .request_ended(&id, query, &ended, took_s, open.timeout_s);
         let retry_after_s = match answer {
             FinalAnswer::Answered {
                 complete,
@@ -134,7 +139,7 @@
                 None
             }
         };
-        self.again(number, tried, retry_after_s, false);
+        self.retry_or_finish(number, retry, retry_after_s, false);
     }
 
     /// Sums up an answer, by which parts are in and which of these were pruned by a pre-check.
@@ -163,27 +168,30 @@
     }
 
     /// A try ended without an answer: the client tries again, or its query is over.
-    pub(super) fn again(
+    pub(super) fn retry_or_finish(
         &mut self,
         number: usize,
-        tried: u32,
-        notified_s: Option<f64>,
+        retry: u32,
+        retry_after_s: Option<f64>,
         unreachable: bool,
     ) {
         let (max, backoff_s, _) = self.scenario.site.retries;
         let backoff_s = self.rng.random_range(backoff_s.0..backoff_s.1);
         let query = &self.queries[number];
         let since_s = self.now - START_S - query.at;
-        let again_s = notified_s
-            .filter(|notified| *notified > 0.0)
+        let retry_delay_s = retry_after_s
+            .filter(|delay_s| *delay_s > 0.0)
             .unwrap_or(backoff_s);
-        let left_s = query.timeout_s - since_s - again_s;
+        let left_s = query.timeout_s - since_s - retry_delay_s;
         // What may have run and must not run twice is not asked again by itself.
-        let may = notified_s.is_some()
+        let may_retry = retry_after_s.is_some()
             || unreachable
             || self.scenario.site.classes[query.class].is_retryable();
-        if tried < max && left_s > TOO_SHORT_S && may {
-            self.at(self.now + again_s, Event::Ask(number, tried + 1));
+        if retry < max && left_s > MIN_RETRY_TIME_S && may_retry {
+            self.schedule(
+                self.now + retry_delay_s,
+                Event::SendRequest(number, retry + 1),
+            );
         } else {
             self.tally.query(self.scenario, query, None, since_s);
         }
@@ -191,7 +199,7 @@
 }
 
 /// What the judge is given of an answer.
-fn ended(answer: &FinalAnswer) -> RequestOutcome<'_> {
+fn request_outcome(answer: &FinalAnswer) -> RequestOutcome<'_> {
     match answer {
         FinalAnswer::Answered {
             complete, values, ..
--- a/crates/wharfhub-testbed/src/emulator/faults.rs
+++ b/crates/wharfhub-testbed/src/emulator/faults.rs
@@ -2,7 +2,7 @@
 //!
 //! This file owns the effect of each fault. When it begins and ends is the scenario's, and whom it concerns is drawn once.
 
-use super::{Emulator, Event, DRAINED_S, START_S};
+use super::{Emulator, Event, DRAIN_PHASE_S, START_S};
 use crate::model::{Pauses, ServerFault};
 use crate::site::Fault;
 use rand::Rng;
@@ -10,32 +10,34 @@
 
 impl Emulator<'_> {
     /// A fault of the scenario begins or ends.
-    pub(super) fn fault(&mut self, number: usize, begins: bool) {
+    pub(super) fn fault_changes(&mut self, number: usize, begins: bool) {
         let scenario = self.scenario;
         let fault = &scenario.faults[number].2;
-        let concerned: Vec<u32> = match fault {
+        let affected: Vec<u32> = match fault {
             Fault::Slow(_) => (0..scenario.leaf_servers).collect(),
-            _ => self.concerned[number].clone(),
+            _ => self.affected_servers[number].clone(),
         };
-        for leaf_server in &concerned {
-            self.turn(*leaf_server);
+        for leaf_server in &affected {
+            self.advance(*leaf_server);
         }
         if let Fault::Slow(factor) = fault {
-            self.slow = if begins { *factor } else { 1.0 };
+            self.slowdown = if begins { *factor } else { 1.0 };
         }
-        for leaf_server in &concerned {
+        for leaf_server in &affected {
             if begins {
                 self.fault_begins(fault, *leaf_server);
             } else {
                 self.fault_ends(fault, *leaf_server);
             }
         }
-        for leaf_server in concerned {
-            self.next_turn(leaf_server);
+        for leaf_server in affected {
+            self.schedule_next_event(leaf_server);
         }
         match fault {
-            Fault::SilentConnections(rate) if begins => self.silence_links(*rate, number),
-            Fault::ZoneLoss(zone, true) => self.lose_mixers(*zone, begins),
+            Fault::SilentConnections(rate) if begins => {
+                self.schedule_silent_connections(*rate, number)
+            }
+            Fault::ZoneLoss(zone, true) => self.stop_or_restart_mixers(*zone, begins),
             _ => {}
         }
     }
@@ -45,25 +47,25 @@
         let server = &mut self.leaf_servers[leaf_server as usize];
         match fault {
             Fault::Dead(_) => {
-                self.dies(leaf_server);
-                self.notify(leaf_server, Lifecycle::Removed);
+                self.server_dies(leaf_server);
+                self.send_list_updates(leaf_server, Lifecycle::Removed);
             }
             Fault::ZoneLoss(..) => {
                 server.fault = ServerFault::Lost;
-                self.notify(leaf_server, Lifecycle::Removed);
+                self.send_list_updates(leaf_server, Lifecycle::Removed);
             }
             Fault::Silent(_) => server.fault = ServerFault::Silent,
             Fault::Fails(_, share) => server.fault = ServerFault::Fails(*share),
-            Fault::SomeSlow(_, factor) => server.slower = *factor,
+            Fault::SomeSlow(_, factor) => server.slowdown = *factor,
             Fault::Pauses(_, for_s, every_s) => {
-                let from_s = self.now + self.rng.random_range(0.0..*every_s);
+                let first_at = self.now + self.rng.random_range(0.0..*every_s);
                 server.setup.pauses = Some(Pauses {
-                    every_s: *every_s,
-                    for_s: *for_s,
-                    from_s,
+                    period_s: *every_s,
+                    duration_s: *for_s,
+                    first_at,
                 });
             }
-            Fault::Drain(_) => self.notify(leaf_server, Lifecycle::Draining),
+            Fault::Drain(_) => self.send_list_updates(leaf_server, Lifecycle::Draining),
             Fault::Slow(_) | Fault::Burst(_) | Fault::SilentConnections(_) => {}
         }
     }
@@ -72,22 +74,22 @@
     fn fault_ends(&mut self, fault: &Fault, leaf_server: u32) {
         let server = &mut self.leaf_servers[leaf_server as usize];
         match fault {
-            Fault::Dead(_) | Fault::ZoneLoss(..) => self.restart(leaf_server),
+            Fault::Dead(_) | Fault::ZoneLoss(..) => self.restart_server(leaf_server),
             Fault::Silent(_) | Fault::Fails(..) => server.fault = ServerFault::None,
-            Fault::SomeSlow(..) => server.slower = 1.0,
+            Fault::SomeSlow(..) => server.slowdown = 1.0,
             Fault::Pauses(..) => {
                 server.setup.pauses = self.scenario.leaf_server_setup(leaf_server).pauses;
             }
             Fault::Drain(_) => {
-                self.dies(leaf_server);
-                self.at(self.now + DRAINED_S, Event::Restart(leaf_server));
+                self.server_dies(leaf_server);
+                self.schedule(self.now + DRAIN_PHASE_S, Event::Restart(leaf_server));
             }
             Fault::Slow(_) | Fault::Burst(_) | Fault::SilentConnections(_) => {}
         }
     }
 
     /// Draws when connections fall silent, so many a second until the fault ends.
-    fn silence_links(&mut self, rate: f64, number: usize) {
+    fn schedule_silent_connections(&mut self, rate: f64, number: usize) {
         let until = START_S + self.scenario.faults[number].1;
         let mut at = self.now;
         loop {
@@ -95,12 +97,12 @@
             if at >= until {
                 break;
             }
-            self.at(at, Event::SilentConnections);
+            self.schedule(at, Event::ConnectionGoesSilent);
         }
     }
 
     /// The mixers of a lost machine room die with it, and return at its end.
-    fn lose_mixers(&mut self, zone: u8, begins: bool) {
+    fn stop_or_restart_mixers(&mut self, zone: u8, begins: bool) {
         for mixer in 0..self.mixers.len() {
             if self.scenario.mixer_zone(mixer as u32) != zone {
                 continue;
@@ -108,7 +110,7 @@
             if begins {
                 self.mixer_dies(mixer, true);
             } else {
-                self.mixer_returns(mixer);
+                self.restart_mixer(mixer);
             }
         }
     }
--- a/crates/wharfhub-testbed/src/emulator/leaf_servers.rs
+++ b/crates/wharfhub-testbed/src/emulator/leaf_servers.rs
@@ -1,8 +1,8 @@
 //! Connections between mixers and leaf servers, the work of leaf servers, and their faults.
 
-use super::{carrier, Emulator, Event, Job, Task, CONNECT_S, NEAR_S};
-use crate::links::Way;
-use crate::model::{Arrival, Arriving, ServerFault};
+use super::{selection_context, Emulator, Event, Job, Task, CONNECT_TIMEOUT_S, SAME_ZONE_DELAY_S};
+use crate::connections::Selection;
+use crate::model::{Admission, IncomingJob, ServerFault};
 use crate::rules;
 use rand::Rng;
 use std::rc::Rc;
@@ -15,7 +15,7 @@
         let near = self.scenario.mixer_zone(mixer as u32) == self.scenario.zone(leaf_server);
         let inter_zone_delay_s = self.scenario.site.inter_zone_delay_s;
         if near {
-            NEAR_S
+            SAME_ZONE_DELAY_S
         } else {
             self.rng
                 .random_range(inter_zone_delay_s.0..inter_zone_delay_s.1)
@@ -23,7 +23,7 @@
     }
 
     /// Sends a call on a connection that takes it, or on a new one; gives the attempts that none takes.
-    pub(super) fn call(
+    pub(super) fn send_call(
         &mut self,
         mixer: usize,
         leaf_server: u32,
@@ -39,38 +39,52 @@
         if parts.is_empty() {
             return Vec::new();
         }
-        let carrier = carrier(&self.deployment, coordinator, now);
-        match at.links.choose(leaf_server, parts.len(), &carrier) {
-            Way::Up(link) => self.send(mixer, leaf_server, link, parts),
-            Way::Opening(link) => self.mixers[mixer].links.wait(leaf_server, link, parts),
-            Way::New(link) => {
-                self.mixers[mixer].links.wait(leaf_server, link, parts);
+        let context = selection_context(&self.deployment, coordinator, now);
+        match at.pool.select(leaf_server, parts.len(), &context) {
+            Selection::Open(connection) => {
+                self.send_on_connection(mixer, leaf_server, connection, parts)
+            }
+            Selection::Connecting(connection) => {
+                self.mixers[mixer]
+                    .pool
+                    .queue(leaf_server, connection, parts)
+            }
+            Selection::New(connection) => {
+                self.mixers[mixer]
+                    .pool
+                    .queue(leaf_server, connection, parts);
                 let delay_s = self.delay_s(mixer, leaf_server);
                 let incarnation = self.mixers[mixer].incarnation;
-                self.at(
+                self.schedule(
                     now + 2.0 * delay_s,
-                    Event::Shakes(leaf_server, mixer, incarnation, link),
+                    Event::HandshakeArrives(leaf_server, mixer, incarnation, connection),
                 );
-                self.at(
-                    now + CONNECT_S,
-                    Event::NeverUp(mixer, incarnation, leaf_server, link),
+                self.schedule(
+                    now + CONNECT_TIMEOUT_S,
+                    Event::ConnectFailed(mixer, incarnation, leaf_server, connection),
                 );
             }
-            Way::Full => return parts.into_iter().map(|part| part.attempt).collect(),
+            Selection::PoolFull => return parts.into_iter().map(|part| part.attempt).collect(),
         }
         Vec::new()
     }
 
     /// A handshake reaches a leaf server.
-    pub(super) fn shakes(&mut self, leaf_server: u32, mixer: usize, incarnation: u32, link: u64) {
-        self.turn(leaf_server);
+    pub(super) fn handshake_arrives(
+        &mut self,
+        leaf_server: u32,
+        mixer: usize,
+        incarnation: u32,
+        connection: u64,
+    ) {
+        self.advance(leaf_server);
         let server = &mut self.leaf_servers[leaf_server as usize];
         match server.fault {
             ServerFault::Lost => return,
             ServerFault::Dead => {
-                self.at(
+                self.schedule(
                     self.now,
-                    Event::NeverUp(mixer, incarnation, leaf_server, link),
+                    Event::ConnectFailed(mixer, incarnation, leaf_server, connection),
                 );
                 return;
             }
@@ -79,28 +93,40 @@
         self.handshakes += 1;
         let work_s = self.scenario.site.handshake_work_s;
         if work_s <= 0.0 || self.scenario.ideal {
-            self.at(self.now, Event::Up(mixer, incarnation, leaf_server, link));
+            self.schedule(
+                self.now,
+                Event::Connected(mixer, incarnation, leaf_server, connection),
+            );
             return;
         }
-        server.work_on(Task::Handshake(mixer, incarnation, link), work_s);
-        self.next_turn(leaf_server);
+        server.add_priority_work(Task::Handshake(mixer, incarnation, connection), work_s);
+        self.schedule_next_event(leaf_server);
     }
 
     /// A connection has come up: what waited for it leaves.
-    pub(super) fn up(&mut self, mixer: usize, leaf_server: u32, link: u64) {
-        let Some(waiting) = self.mixers[mixer].links.up(leaf_server, link, self.now) else {
+    pub(super) fn connection_opened(&mut self, mixer: usize, leaf_server: u32, connection: u64) {
+        let Some(waiting) = self.mixers[mixer]
+            .pool
+            .connected(leaf_server, connection, self.now)
+        else {
             return;
         };
         let max = self.scenario.site.call.0.max(1) as usize;
         let mut waiting = waiting.into_iter().peekable();
         while waiting.peek().is_some() {
             let call: Vec<CallPart> = waiting.by_ref().take(max).collect();
-            self.send(mixer, leaf_server, link, call);
+            self.send_on_connection(mixer, leaf_server, connection, call);
         }
     }
 
     /// A call leaves on a connection. Parts that nobody waits for any more, or whose window is over, stay.
-    pub(super) fn send(&mut self, mixer: usize, leaf_server: u32, link: u64, parts: Vec<CallPart>) {
+    pub(super) fn send_on_connection(
+        &mut self,
+        mixer: usize,
+        leaf_server: u32,
+        connection: u64,
+        parts: Vec<CallPart>,
+    ) {
         let delay_s = self.delay_s(mixer, leaf_server);
         let incarnation = self.mixers[mixer].incarnation;
         let mut numbers = Vec::new();
@@ -116,9 +142,9 @@
                 late.push(part.attempt);
                 continue;
             }
-            self.judge_send(mixer, leaf_server, &part);
+            self.check_send(mixer, leaf_server, &part);
             // The work of the call itself comes with its first part.
-            let call_s = if numbers.is_empty() {
+            let call_work_s = if numbers.is_empty() {
                 self.scenario.site.call.1
             } else {
                 0.0
@@ -126,41 +152,41 @@
             let job = Job {
                 mixer,
                 incarnation,
-                link,
+                connection,
                 attempt: part.attempt,
                 query: query_number(&part.query_request.id),
                 query_request: part.query_request,
                 index: part.index,
                 pre_check: part.pre_check,
-                call_s,
+                call_work_s,
                 sent_at: self.now,
                 delay_s,
             };
             numbers.push(self.add_job(leaf_server, job));
         }
-        if !numbers.is_empty() && !self.mixers[mixer].links.silenced(leaf_server, link) {
-            self.at(self.now + delay_s, Event::Arrives(leaf_server, numbers));
+        if !numbers.is_empty() && !self.mixers[mixer].pool.is_silent(leaf_server, connection) {
+            self.schedule(self.now + delay_s, Event::CallArrives(leaf_server, numbers));
         }
         for attempt in late {
-            self.at(self.now, Event::Late(mixer, incarnation, attempt));
+            self.schedule(self.now, Event::Expired(mixer, incarnation, attempt));
         }
     }
 
     /// Counts an attempt that leaves, and has the rules check it.
-    fn judge_send(&mut self, mixer: usize, leaf_server: u32, part: &CallPart) {
+    fn check_send(&mut self, mixer: usize, leaf_server: u32, part: &CallPart) {
         let query_request = &part.query_request;
         let query = &self.queries[query_number(&query_request.id)];
         let shard = query_request.parts[part.index].shard;
         self.tally.sends += 1;
         self.tally.words += u64::from(part.pre_check);
-        self.rules.sent(
+        self.rules.part_sent(
             self.now,
             (mixer as u32, leaf_server),
             &query_request.id,
             query,
             (shard, part.pre_check),
         );
-        if part.pre_check && !self.knowing[leaf_server as usize] {
+        if part.pre_check && !self.supports_pre_check[leaf_server as usize] {
             self.rules.record_violation(format!(
                 "phases: box {leaf_server} does not know them, and was asked ahead"
             ));
@@ -173,29 +199,30 @@
         let number = self.last_job;
         let mixer = &mut self.mixers[job.mixer];
         mixer
-            .flights
-            .insert(job.attempt, (leaf_server, job.link, number));
+            .in_flight
+            .insert(job.attempt, (leaf_server, job.connection, number));
         mixer
-            .links
-            .sent(leaf_server, job.link, job.attempt, self.now);
+            .pool
+            .attempt_sent(leaf_server, job.connection, job.attempt, self.now);
         self.jobs.insert(number, job);
         number
     }
 
     /// Nobody at the mixer waits for an attempt any more.
-    pub(super) fn give_up(&mut self, mixer: usize, attempt: AttemptKey) {
+    pub(super) fn cancel_attempt(&mut self, mixer: usize, attempt: AttemptKey) {
         // What still waits for its connection is dropped when that comes up.
-        let Some((leaf_server, link, job)) = self.mixers[mixer].flights.remove(&attempt) else {
+        let Some((leaf_server, connection, job)) = self.mixers[mixer].in_flight.remove(&attempt)
+        else {
             return;
         };
         let now = self.now;
         let at = &mut self.mixers[mixer];
         if let Some(coordinator) = &at.coordinator {
-            at.links.given_up(
+            at.pool.attempt_abandoned(
                 leaf_server,
-                link,
+                connection,
                 attempt,
-                &carrier(&self.deployment, coordinator, now),
+                &selection_context(&self.deployment, coordinator, now),
             );
         }
         if let Some(known) = self.jobs.get(&job) {
@@ -204,26 +231,28 @@
                 known.query_request.parts[known.index].shard,
             );
             let delay_s = known.delay_s;
-            if !self.mixers[mixer].links.silenced(leaf_server, link) {
-                self.at(now + delay_s, Event::CalledOff(leaf_server, job));
+            if !self.mixers[mixer].pool.is_silent(leaf_server, connection) {
+                self.schedule(now + delay_s, Event::CancelArrives(leaf_server, job));
             }
         }
     }
 
     /// An answer reaches a mixer.
-    pub(super) fn received(
+    pub(super) fn answer_arrives(
         &mut self,
         mixer: usize,
-        (leaf_server, link): (u32, u64),
+        (leaf_server, connection): (u32, u64),
         attempt: AttemptKey,
         (outcome, value, sent_at): (Outcome, Option<Rc<str>>, f64),
     ) {
         let now = self.now;
-        let links = &mut self.mixers[mixer].links;
-        if links.silenced(leaf_server, link) || !links.received(leaf_server, link, attempt, now) {
+        let pool = &mut self.mixers[mixer].pool;
+        if pool.is_silent(leaf_server, connection)
+            || !pool.answer_received(leaf_server, connection, attempt, now)
+        {
             return; // it came on a connection that is over, or on which nothing comes through
         }
-        if self.mixers[mixer].flights.remove(&attempt).is_some() {
+        if self.mixers[mixer].in_flight.remove(&attempt).is_some() {
             self.drive(mixer, |coordinator, now, out| {
                 coordinator.attempt_ended(now, attempt, outcome, value, out)
             });
@@ -233,19 +262,25 @@
             return;
         };
         // The leaf server answers, so a connection of it that has long been silent is at fault itself.
-        for silent in at.links.silent(
+        for silent in at.pool.suspect_ids(
             leaf_server,
-            &carrier(&self.deployment, coordinator, now),
+            &selection_context(&self.deployment, coordinator, now),
             sent_at,
         ) {
-            self.end_link(mixer, leaf_server, silent, Outcome::Cancelled);
+            self.close_connection(mixer, leaf_server, silent, Outcome::Cancelled);
         }
     }
 
     /// A connection is over: everything out on it has its outcome.
-    pub(super) fn end_link(&mut self, mixer: usize, leaf_server: u32, link: u64, outcome: Outcome) {
-        for attempt in self.mixers[mixer].links.end(leaf_server, link) {
-            let flight = self.mixers[mixer].flights.remove(&attempt);
+    pub(super) fn close_connection(
+        &mut self,
+        mixer: usize,
+        leaf_server: u32,
+        connection: u64,
+        outcome: Outcome,
+    ) {
+        for attempt in self.mixers[mixer].pool.close(leaf_server, connection) {
+            let flight = self.mixers[mixer].in_flight.remove(&attempt);
             if let Some(known) = flight.and_then(|(_, _, job)| self.jobs.remove(&job)) {
                 self.rules.attempt_over(
                     &known.query_request.id,
@@ -265,16 +300,16 @@
     }
 
     /// All mixers' connections to a leaf server end.
-    pub(super) fn reset_links(&mut self, leaf_server: u32) {
+    pub(super) fn reset_connections(&mut self, leaf_server: u32) {
         for mixer in 0..self.mixers.len() {
             let (incarnation, delay_s) = (
                 self.mixers[mixer].incarnation,
                 self.delay_s(mixer, leaf_server),
             );
-            for link in self.mixers[mixer].links.ids(leaf_server) {
-                self.at(
+            for connection in self.mixers[mixer].pool.ids(leaf_server) {
+                self.schedule(
                     self.now + delay_s,
-                    Event::Reset(mixer, incarnation, leaf_server, link),
+                    Event::Reset(mixer, incarnation, leaf_server, connection),
                 );
             }
         }
@@ -283,37 +318,37 @@
     // ---- leaf servers
 
     /// Reckons what a leaf server has done; what has ended is answered.
-    pub(super) fn turn(&mut self, leaf_server: u32) {
-        let ended = self.leaf_servers[leaf_server as usize].turn(self.now, self.slow);
+    pub(super) fn advance(&mut self, leaf_server: u32) {
+        let ended = self.leaf_servers[leaf_server as usize].advance(self.now, self.slowdown);
         for task in ended {
             match task {
-                Task::Part(number) => self.ends(leaf_server, number),
-                Task::Handshake(mixer, incarnation, link) => {
+                Task::Part(number) => self.part_completed(leaf_server, number),
+                Task::Handshake(mixer, incarnation, connection) => {
                     let delay_s = self.delay_s(mixer, leaf_server);
-                    self.at(
+                    self.schedule(
                         self.now + delay_s,
-                        Event::Up(mixer, incarnation, leaf_server, link),
+                        Event::Connected(mixer, incarnation, leaf_server, connection),
                     );
                 }
             }
         }
     }
 
-    pub(super) fn next_turn(&mut self, leaf_server: u32) {
+    pub(super) fn schedule_next_event(&mut self, leaf_server: u32) {
         let index = leaf_server as usize;
-        self.turns[index] += 1;
-        if let Some(at) = self.leaf_servers[index].next_turn(self.now, self.slow) {
-            let turn = self.turns[index];
-            self.at(at, Event::Turn(leaf_server, turn));
+        self.event_versions[index] += 1;
+        if let Some(at) = self.leaf_servers[index].next_event_at(self.now, self.slowdown) {
+            let version = self.event_versions[index];
+            self.schedule(at, Event::Progress(leaf_server, version));
         }
     }
 
-    pub(super) fn arrive(&mut self, leaf_server: u32, numbers: Vec<u64>) {
-        self.turn(leaf_server);
+    pub(super) fn call_arrives(&mut self, leaf_server: u32, numbers: Vec<u64>) {
+        self.advance(leaf_server);
         for number in numbers {
-            self.arrives(leaf_server, number);
+            self.part_arrives(leaf_server, number);
         }
-        self.next_turn(leaf_server);
+        self.schedule_next_event(leaf_server);
     }
 
     /// Share of a part's full work that an attempt at it takes.
@@ -325,91 +360,91 @@
         }
     }
 
-    pub(super) fn arrives(&mut self, leaf_server: u32, number: u64) {
+    pub(super) fn part_arrives(&mut self, leaf_server: u32, number: u64) {
         let Some(job) = self.jobs.get(&number) else {
             return;
         };
         let part = self.queries[job.query].parts[job.index];
         let class = &self.scenario.site.classes[self.queries[job.query].class];
         let work_s = part.work_s * self.work_share(job.pre_check);
-        let (mixer, incarnation, link, attempt) =
-            (job.mixer, job.incarnation, job.link, job.attempt);
+        let (mixer, incarnation, connection, attempt) =
+            (job.mixer, job.incarnation, job.connection, job.attempt);
         let (id, sent_at, back) = (
             job.query_request.id.clone(),
             job.sent_at,
             self.now + job.delay_s,
         );
-        let first = job.pre_check && self.scenario.pre_check_first;
+        let is_prioritized = job.pre_check && self.scenario.pre_check_first;
         let task = Task::Part(number);
-        let counts_s = class.work_s + job.call_s;
-        let notified = self.rules.notified_of_start(
+        let nominal_work_s = class.work_s + job.call_work_s;
+        let sender_knows_start = self.rules.knows_start(
             mixer as u32,
             leaf_server,
             self.leaf_servers[leaf_server as usize].started_at,
         );
-        let arriving = Arriving {
+        let arriving = IncomingJob {
             job: task,
-            work_s: work_s + job.call_s,
-            counts_s,
-            first,
-            notified,
+            work_s: work_s + job.call_work_s,
+            nominal_work_s,
+            is_prioritized,
+            sender_knows_start,
         };
         let draw: f64 = self.rng.random();
         let arrival = self.leaf_servers[leaf_server as usize].arrive(self.now, arriving, draw);
         if matches!(
             arrival,
-            Arrival::Accepted | Arrival::Fails | Arrival::Swallowed
+            Admission::Accepted | Admission::Failed | Admission::Ignored
         ) {
-            self.rules.ran(&id, part.shard, sent_at);
+            self.rules.part_ran(&id, part.shard, sent_at);
         }
         let outcome = match arrival {
-            Arrival::Accepted => {
+            Admission::Accepted => {
                 self.tally.work_s[self.queries[job.query].class] += work_s;
                 self.by_leaf_server[leaf_server as usize].insert(number);
                 return;
             }
-            Arrival::Swallowed => {
+            Admission::Ignored => {
                 self.by_leaf_server[leaf_server as usize].insert(number);
                 return;
             }
-            Arrival::Full => Outcome::Rejected,
-            Arrival::Fails => Outcome::Error,
-            Arrival::Refused => Outcome::Reset,
+            Admission::QueueFull => Outcome::Rejected,
+            Admission::Failed => Outcome::Error,
+            Admission::Refused => Outcome::Reset,
         };
-        self.answers(
+        self.send_answer(
             leaf_server,
             number,
-            (mixer, incarnation, link),
+            (mixer, incarnation, connection),
             (attempt, outcome, None),
             back,
         );
     }
 
-    pub(super) fn answers(
+    pub(super) fn send_answer(
         &mut self,
         leaf_server: u32,
         number: u64,
-        (mixer, incarnation, link): (usize, u32, u64),
+        (mixer, incarnation, connection): (usize, u32, u64),
         (attempt, outcome, value): (AttemptKey, Outcome, Option<Rc<str>>),
         at: f64,
     ) {
         let job = self.jobs.remove(&number);
         let sent_at = job.as_ref().map_or(0.0, |job| job.sent_at);
         if let Some(job) = job.filter(|_| self.is_current(mixer, incarnation)) {
-            if self.mixers[mixer].flights.contains_key(&attempt) {
+            if self.mixers[mixer].in_flight.contains_key(&attempt) {
                 self.rules.attempt_over(
                     &job.query_request.id,
                     job.query_request.parts[job.index].shard,
                 );
             }
         }
-        self.at(
+        self.schedule(
             at,
-            Event::Heard(
+            Event::Answer(
                 mixer,
                 incarnation,
                 leaf_server,
-                link,
+                connection,
                 attempt,
                 (outcome, value, sent_at),
             ),
@@ -417,7 +452,7 @@
     }
 
     /// A part is done.
-    pub(super) fn ends(&mut self, leaf_server: u32, number: u64) {
+    pub(super) fn part_completed(&mut self, leaf_server: u32, number: u64) {
         let silent = matches!(
             self.leaf_servers[leaf_server as usize].fault,
             ServerFault::Silent | ServerFault::Lost
@@ -440,56 +475,57 @@
         );
         let value = (outcome == Outcome::Ok).then(|| Rc::from(value));
         let (to, back) = (
-            (job.mixer, job.incarnation, job.link),
+            (job.mixer, job.incarnation, job.connection),
             self.now + job.delay_s,
         );
         let attempt = job.attempt;
-        self.answers(leaf_server, number, to, (attempt, outcome, value), back);
+        self.send_answer(leaf_server, number, to, (attempt, outcome, value), back);
     }
 
     /// A leaf server hears that nobody waits for a part.
-    pub(super) fn called_off(&mut self, leaf_server: u32, number: u64) {
+    pub(super) fn cancel_arrives(&mut self, leaf_server: u32, number: u64) {
         if !matches!(
             self.leaf_servers[leaf_server as usize].fault,
             ServerFault::None | ServerFault::Fails(_)
         ) {
             return;
         }
-        self.turn(leaf_server);
+        self.advance(leaf_server);
         if let Some(left_s) = self.leaf_servers[leaf_server as usize].cancel(Task::Part(number)) {
             self.by_leaf_server[leaf_server as usize].remove(&number);
             if let Some(job) = self.jobs.remove(&number) {
-                self.tally.work_s[self.queries[job.query].class] -= (left_s - job.call_s).max(0.0);
+                self.tally.work_s[self.queries[job.query].class] -=
+                    (left_s - job.call_work_s).max(0.0);
             }
         }
-        self.next_turn(leaf_server);
+        self.schedule_next_event(leaf_server);
     }
 
     /// A process is gone: what it held is reset.
-    pub(super) fn dies(&mut self, leaf_server: u32) {
-        self.turn(leaf_server);
+    pub(super) fn server_dies(&mut self, leaf_server: u32) {
+        self.advance(leaf_server);
         self.leaf_servers[leaf_server as usize].die();
-        self.turns[leaf_server as usize] += 1;
+        self.event_versions[leaf_server as usize] += 1;
         self.by_leaf_server[leaf_server as usize].clear();
-        self.reset_links(leaf_server);
+        self.reset_connections(leaf_server);
     }
 
-    pub(super) fn restart(&mut self, leaf_server: u32) {
+    pub(super) fn restart_server(&mut self, leaf_server: u32) {
         if self.leaf_servers[leaf_server as usize].fault == ServerFault::Lost {
-            self.dies(leaf_server); // what was open there ends now that its machine is back
+            self.server_dies(leaf_server); // what was open there ends now that its machine is back
         }
         self.leaf_servers[leaf_server as usize].start(self.now);
-        self.notify(leaf_server, Lifecycle::Ready);
+        self.send_list_updates(leaf_server, Lifecycle::Ready);
     }
 
     /// The list tells each mixer, late.
-    pub(super) fn notify(&mut self, leaf_server: u32, lifecycle: Lifecycle) {
-        let entry = self.entry(leaf_server, lifecycle);
+    pub(super) fn send_list_updates(&mut self, leaf_server: u32, lifecycle: Lifecycle) {
+        let entry = self.replica_entry(leaf_server, lifecycle);
         for mixer in 0..self.mixers.len() {
             let lag_s = self
                 .rng
                 .random_range(self.scenario.lag_s.0..=self.scenario.lag_s.1);
-            self.at(self.now + lag_s, Event::Tell(mixer, entry));
+            self.schedule(self.now + lag_s, Event::ListUpdate(mixer, entry));
         }
     }
 }
--- a/crates/wharfhub-testbed/src/emulator/mod.rs
+++ b/crates/wharfhub-testbed/src/emulator/mod.rs
@@ -8,7 +8,7 @@
 mod faults;
 mod leaf_servers;
 
-use crate::links::{Carrier, Links};
+use crate::connections::{ConnectionPool, SelectionContext};
 use crate::model::LeafServer;
 use crate::rules::RuleChecker;
 use crate::site::{Fault, Query, Scenario};
@@ -28,28 +28,28 @@
 /// The clock at the start of a scenario: far from 0, which means long ago.
 const START_S: f64 = 1000.0;
 /// One way within a machine room (seconds).
-const NEAR_S: f64 = 0.0004;
+const SAME_ZONE_DELAY_S: f64 = 0.0004;
 /// Clients don't try again with less time left (seconds).
-const TOO_SHORT_S: f64 = 0.15;
+const MIN_RETRY_TIME_S: f64 = 0.15;
 /// What an answer may come later than the client's time, by its way.
 const SLACK_S: f64 = 0.01;
 /// A drain ends so long after it began, and the new process comes so long after that (seconds).
-const DRAINED_S: f64 = 6.0;
+const DRAIN_PHASE_S: f64 = 6.0;
 /// A connection that does not come up is given up after this time (seconds).
-const CONNECT_S: f64 = 0.25;
+const CONNECT_TIMEOUT_S: f64 = 0.25;
 /// Whoever stands before the mixers goes on sending to a dead one for so long (seconds).
-const NOTICE_S: f64 = 2.0;
+const FAILOVER_DELAY_S: f64 = 2.0;
 
 struct Job {
     mixer: usize,
     incarnation: u32, // the mixer's
-    link: u64,
+    connection: u64,
     attempt: AttemptKey,
     query_request: Rc<QueryRequest>,
     query: usize,
     index: usize,
     pre_check: bool,
-    call_s: f64, // work of the call that came with it (core seconds)
+    call_work_s: f64, // work of the call that came with it (core seconds)
     sent_at: f64,
     delay_s: f64,
 }
@@ -58,20 +58,20 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Task {
     Part(u64),
-    /// A handshake: mixer, its life, link.
+    /// A handshake: mixer, its life, connection.
     Handshake(usize, u32, u64),
 }
 
 enum Event {
-    Ask(usize, u32),
-    Leave(usize, u32),
+    SendRequest(usize, u32),
+    ClientDisconnects(usize, u32),
     Wake(usize, u32, Wake),
-    Arrives(u32, Vec<u64>),
-    Turn(u32, u64),
-    Shakes(u32, usize, u32, u64),
-    Up(usize, u32, u32, u64),
-    NeverUp(usize, u32, u32, u64),
-    Heard(
+    CallArrives(u32, Vec<u64>),
+    Progress(u32, u64),
+    HandshakeArrives(u32, usize, u32, u64),
+    Connected(usize, u32, u32, u64),
+    ConnectFailed(usize, u32, u32, u64),
+    Answer(
         usize,
         u32,
         u32,
@@ -81,36 +81,36 @@
     ),
     Reset(usize, u32, u32, u64),
     /// A repeat could not leave in its window.
-    Late(usize, u32, AttemptKey),
-    CalledOff(u32, u64),
-    Tell(usize, ReplicaEntry),
+    Expired(usize, u32, AttemptKey),
+    CancelArrives(u32, u64),
+    ListUpdate(usize, ReplicaEntry),
     Fault(usize, bool),
     Restart(u32),
-    SilentConnections,
+    ConnectionGoesSilent,
 }
 
-struct Due {
+struct ScheduledEvent {
     at: u64, // microseconds
     order: u64,
     event: Event,
 }
 
-impl PartialEq for Due {
-    fn eq(&self, other: &Due) -> bool {
+impl PartialEq for ScheduledEvent {
+    fn eq(&self, other: &ScheduledEvent) -> bool {
         (self.at, self.order) == (other.at, other.order)
     }
 }
 
-impl Eq for Due {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Due {
-    fn partial_cmp(&self, other: &Due) -> Option<std::cmp::Ordering> {
+impl PartialOrd for ScheduledEvent {
+    fn partial_cmp(&self, other: &ScheduledEvent) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Due {
-    fn cmp(&self, other: &Due) -> std::cmp::Ordering {
+impl Ord for ScheduledEvent {
+    fn cmp(&self, other: &ScheduledEvent) -> std::cmp::Ordering {
         (self.at, self.order).cmp(&(other.at, other.order))
     }
 }
@@ -119,13 +119,13 @@
     coordinator: Option<Coordinator>, // none while it is dead
     incarnation: u32,
     died_at: f64,
-    links: Links,
-    flights: BTreeMap<AttemptKey, (u32, u64, u64)>, // leaf server, link, job
-    list: BTreeMap<ReplicaId, ReplicaEntry>,        // as it was last told
+    pool: ConnectionPool,
+    in_flight: BTreeMap<AttemptKey, (u32, u64, u64)>, // leaf server, connection, job
+    endpoints: BTreeMap<ReplicaId, ReplicaEntry>,     // as it was last told
     cpu_ns: u64,
 }
 
-struct Open {
+struct OpenRequest {
     mixer: usize,
     request: RequestKey,
     asked_at: f64,
@@ -155,18 +155,18 @@
     queries: Vec<Query>,
     now: f64,
     order: u64,
-    heap: BinaryHeap<Reverse<Due>>,
+    events: BinaryHeap<Reverse<ScheduledEvent>>,
     mixers: Vec<Mixer>,
     leaf_servers: Vec<LeafServer<Task>>,
-    turns: Vec<u64>, // by leaf server: which of its turns is the next
+    event_versions: Vec<u64>, // by leaf server: which of its turns is the next
     jobs: BTreeMap<u64, Job>,
     last_job: u64,
     by_leaf_server: Vec<BTreeSet<u64>>,
     handshakes: u64,
-    knowing: Vec<bool>,
-    concerned: Vec<Vec<u32>>, // by fault
-    open: BTreeMap<(usize, u32), Open>,
-    slow: f64,
+    supports_pre_check: Vec<bool>,
+    affected_servers: Vec<Vec<u32>>, // by fault
+    open_requests: BTreeMap<(usize, u32), OpenRequest>,
+    slowdown: f64,
     rng: ChaCha8Rng,
     tally: Tally,
     rules: RuleChecker,
@@ -185,17 +185,17 @@
     let deployment: Deployment = config::decode(scenario.settings().as_bytes())?;
     let mut emulator = Emulator::new(scenario, deployment);
     emulator.run();
-    Ok(emulator.over())
+    Ok(emulator.into_run())
 }
 
 impl<'a> Emulator<'a> {
     fn new(scenario: &'a Scenario, deployment: Deployment) -> Emulator<'a> {
-        let mut knowing = vec![false; scenario.leaf_servers as usize];
+        let mut supports_pre_check = vec![false; scenario.leaf_servers as usize];
         scenario
             .draw_leaf_servers(10, scenario.pre_check_share)
             .into_iter()
-            .for_each(|leaf_server| knowing[leaf_server as usize] = true);
-        let concerned = |(number, (_, _, fault)): (usize, &(f64, f64, Fault))| match fault {
+            .for_each(|leaf_server| supports_pre_check[leaf_server as usize] = true);
+        let affected = |(number, (_, _, fault)): (usize, &(f64, f64, Fault))| match fault {
             Fault::Slow(_) | Fault::Burst(_) | Fault::SilentConnections(_) => Vec::new(),
             Fault::ZoneLoss(zone, _) => (0..scenario.leaf_servers)
                 .filter(|leaf_server| scenario.zone(*leaf_server) == *zone)
@@ -213,20 +213,20 @@
             queries: scenario.queries(),
             now: START_S,
             order: 0,
-            heap: BinaryHeap::new(),
+            events: BinaryHeap::new(),
             mixers: Vec::new(),
             leaf_servers: (0..scenario.leaf_servers)
                 .map(|leaf_server| LeafServer::new(scenario.leaf_server_setup(leaf_server)))
                 .collect(),
-            turns: vec![0; scenario.leaf_servers as usize],
+            event_versions: vec![0; scenario.leaf_servers as usize],
             jobs: BTreeMap::new(),
             last_job: 0,
             by_leaf_server: vec![BTreeSet::new(); scenario.leaf_servers as usize],
             handshakes: 0,
-            knowing,
-            concerned: scenario.faults.iter().enumerate().map(concerned).collect(),
-            open: BTreeMap::new(),
-            slow: 1.0,
+            supports_pre_check,
+            affected_servers: scenario.faults.iter().enumerate().map(affected).collect(),
+            open_requests: BTreeMap::new(),
+            slowdown: 1.0,
             rng: scenario.rng(2),
             tally: Tally::new(scenario),
             rules: RuleChecker::new(scenario, SLACK_S),
@@ -235,35 +235,35 @@
             commands: Vec::new(),
         };
         emulator.mixers = (0..scenario.mixers)
-            .map(|number| emulator.mixer(number))
+            .map(|number| emulator.new_mixer(number))
             .collect();
         emulator
     }
 
-    fn mixer(&self, number: u32) -> Mixer {
-        let links = Links::new(self.scenario.mixers, self.scenario.site.idle_timeout_s);
+    fn new_mixer(&self, number: u32) -> Mixer {
+        let pool = ConnectionPool::new(self.scenario.mixers, self.scenario.site.idle_timeout_s);
         Mixer {
-            coordinator: Some(self.coordinator(number, 0)),
+            coordinator: Some(self.new_coordinator(number, 0)),
             incarnation: 0,
             died_at: 0.0,
-            links,
-            flights: BTreeMap::new(),
-            list: BTreeMap::new(),
+            pool,
+            in_flight: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
             cpu_ns: 0,
         }
     }
 
-    fn coordinator(&self, number: u32, incarnation: u32) -> Coordinator {
+    fn new_coordinator(&self, number: u32, incarnation: u32) -> Coordinator {
         let mut own = (*self.deployment).clone();
         own.policy.zone = self.scenario.mixer_zone(number);
         let seed = self.scenario.seed * 1000 + u64::from(number) + (u64::from(incarnation) << 40);
         Coordinator::new(Rc::new(own), seed, self.now)
     }
 
-    fn at(&mut self, at: f64, event: Event) {
+    fn schedule(&mut self, at: f64, event: Event) {
         self.order += 1;
         let at = (at.max(self.now) * 1e6).round() as u64;
-        self.heap.push(Reverse(Due {
+        self.events.push(Reverse(ScheduledEvent {
             at,
             order: self.order,
             event,
@@ -273,34 +273,37 @@
     fn run(&mut self) {
         for mixer in 0..self.mixers.len() {
             let entries: Vec<_> = (0..self.scenario.leaf_servers)
-                .map(|leaf_server| self.entry(leaf_server, Lifecycle::Ready))
+                .map(|leaf_server| self.replica_entry(leaf_server, Lifecycle::Ready))
                 .collect();
-            self.mixers[mixer].list = entries.iter().map(|entry| (entry.id, *entry)).collect();
+            self.mixers[mixer].endpoints = entries.iter().map(|entry| (entry.id, *entry)).collect();
             self.drive(mixer, |coordinator, now, out| {
                 coordinator.update_endpoints(now, true, entries, out)
             });
         }
         for query in 0..self.queries.len() {
-            self.at(START_S + self.queries[query].at, Event::Ask(query, 0));
+            self.schedule(
+                START_S + self.queries[query].at,
+                Event::SendRequest(query, 0),
+            );
         }
         for (number, (from, to, _)) in self.scenario.faults.iter().enumerate() {
-            self.at(START_S + from, Event::Fault(number, true));
-            self.at(START_S + to, Event::Fault(number, false));
+            self.schedule(START_S + from, Event::Fault(number, true));
+            self.schedule(START_S + to, Event::Fault(number, false));
         }
         // After the last query a scenario runs on until all is answered.
         let end = START_S + self.scenario.seconds + 8.0;
-        while let Some(Reverse(due)) = self.heap.pop() {
+        while let Some(Reverse(due)) = self.events.pop() {
             self.now = due.at as f64 / 1e6;
             if self.now > end {
                 break;
             }
-            self.event(due.event);
+            self.handle_event(due.event);
         }
     }
 
-    fn over(mut self) -> Run {
+    fn into_run(mut self) -> Run {
         self.rules.finish();
-        for _ in self.leaf_servers.iter().filter(|one| one.collapsed) {
+        for _ in self.leaf_servers.iter().filter(|one| one.has_collapsed) {
             self.rules
                 .record_violation("cold: a box was pushed over while cold".into());
         }
@@ -314,12 +317,12 @@
         }
     }
 
-    fn entry(&self, leaf_server: u32, lifecycle: Lifecycle) -> ReplicaEntry {
+    fn replica_entry(&self, leaf_server: u32, lifecycle: Lifecycle) -> ReplicaEntry {
         let started_at = self.leaf_servers[leaf_server as usize].started_at;
         let (zone, cell, pre_check) = (
             self.scenario.zone(leaf_server),
             self.scenario.cell(leaf_server),
-            self.knowing[leaf_server as usize],
+            self.supports_pre_check[leaf_server as usize],
         );
         ReplicaEntry {
             id: replica(leaf_server),
@@ -341,7 +344,7 @@
         act(coordinator, self.now, &mut commands);
         self.mixers[mixer].cpu_ns += begun.elapsed().as_nanos() as u64;
         loop {
-            let unsent = self.carry_out(mixer, &mut commands);
+            let unsent = self.execute_commands(mixer, &mut commands);
             let Some(coordinator) = self.mixers[mixer]
                 .coordinator
                 .as_mut()
@@ -357,7 +360,7 @@
     }
 
     /// Carries out what a mixer commands; gives the attempts that never leave, and why: for want of a connection, or of need.
-    fn carry_out(
+    fn execute_commands(
         &mut self,
         mixer: usize,
         commands: &mut Vec<Command>,
@@ -369,12 +372,12 @@
                 Command::Call { replica, parts } => {
                     let leaf_server = replica.0 - 1;
                     for part in &parts {
-                        self.note(
+                        self.add_to_digest(
                             u64::from(leaf_server) << 32
                                 | u64::from(part.query_request.parts[part.index].shard) << 1,
                         );
                     }
-                    let none = self.call(mixer, leaf_server, parts).into_iter();
+                    let none = self.send_call(mixer, leaf_server, parts).into_iter();
                     unsent.extend(none.map(|attempt| (attempt, Outcome::ConnectFailed)));
                 }
                 Command::Reply {
@@ -383,22 +386,26 @@
                     took_s,
                     ..
                 } => {
-                    self.note((took_s * 1e6) as u64 ^ caller);
-                    self.reply((caller >> 8) as usize, (caller & 255) as u32, answer);
+                    self.add_to_digest((took_s * 1e6) as u64 ^ caller);
+                    self.receive_final_answer(
+                        (caller >> 8) as usize,
+                        (caller & 255) as u32,
+                        answer,
+                    );
+                }
+                Command::WakeAt { at, wake } => {
+                    self.schedule(at, Event::Wake(mixer, incarnation, wake))
                 }
-                Command::WakeAt { at, wake } => self.at(at, Event::Wake(mixer, incarnation, wake)),
                 Command::Cancel { attempt } => {
-                    self.note(3);
-                    self.give_up(mixer, attempt);
+                    self.add_to_digest(3);
+                    self.cancel_attempt(mixer, attempt);
                 }
                 Command::Withdraw { attempt } => {
-                    if self.mixers[mixer].links.withdraw_unsent(attempt) {
+                    if self.mixers[mixer].pool.withdraw_unsent(attempt) {
                         unsent.push((attempt, Outcome::Superseded));
                     }
                 }
-                Command::CloseIdle { replica } => {
-                    self.mixers[mixer].links.close_idle(replica.0 - 1)
-                }
+                Command::CloseIdle { replica } => self.mixers[mixer].pool.close_idle(replica.0 - 1),
                 // The list tells all unasked.
                 Command::Watch | Command::Log(_) => {}
             }
@@ -407,7 +414,7 @@
     }
 
     /// FNV-1a over what the mixers do.
-    fn note(&mut self, what: u64) {
+    fn add_to_digest(&mut self, what: u64) {
         self.digest = (self.digest ^ what).wrapping_mul(0x100_0000_01b3);
     }
 
@@ -415,86 +422,93 @@
         self.mixers[mixer].incarnation == incarnation && self.mixers[mixer].coordinator.is_some()
     }
 
-    fn event(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Ask(query, number) => self.ask(query, number),
-            Event::Leave(query, number) => self.leave(query, number),
+            Event::SendRequest(query, number) => self.send_request(query, number),
+            Event::ClientDisconnects(query, number) => self.client_disconnects(query, number),
             Event::Wake(mixer, incarnation, wake) if self.is_current(mixer, incarnation) => {
                 self.drive(mixer, |coordinator, now, out| {
                     coordinator.wake(now, wake, out)
                 });
             }
             Event::Wake(..) => {}
-            Event::Arrives(leaf_server, jobs) => self.arrive(leaf_server, jobs),
-            Event::Turn(leaf_server, turn) if self.turns[leaf_server as usize] == turn => {
-                self.turn(leaf_server);
-                self.next_turn(leaf_server);
+            Event::CallArrives(leaf_server, jobs) => self.call_arrives(leaf_server, jobs),
+            Event::Progress(leaf_server, version)
+                if self.event_versions[leaf_server as usize] == version =>
+            {
+                self.advance(leaf_server);
+                self.schedule_next_event(leaf_server);
             }
-            Event::Turn(..) => {}
-            Event::Shakes(leaf_server, mixer, incarnation, link) => {
-                self.shakes(leaf_server, mixer, incarnation, link)
+            Event::Progress(..) => {}
+            Event::HandshakeArrives(leaf_server, mixer, incarnation, connection) => {
+                self.handshake_arrives(leaf_server, mixer, incarnation, connection)
             }
-            Event::Up(mixer, incarnation, leaf_server, link)
+            Event::Connected(mixer, incarnation, leaf_server, connection)
                 if self.is_current(mixer, incarnation) =>
             {
-                self.up(mixer, leaf_server, link)
+                self.connection_opened(mixer, leaf_server, connection)
             }
-            Event::NeverUp(mixer, incarnation, leaf_server, link)
+            Event::ConnectFailed(mixer, incarnation, leaf_server, connection)
                 if self.is_current(mixer, incarnation) =>
             {
-                let waiting = self.mixers[mixer].links.never_up(leaf_server, link);
+                let waiting = self.mixers[mixer]
+                    .pool
+                    .connect_failed(leaf_server, connection);
                 for attempt in waiting.into_iter().map(|part| part.attempt) {
                     self.drive(mixer, |coordinator, now, out| {
                         coordinator.attempt_ended(now, attempt, Outcome::ConnectFailed, None, out);
                     });
                 }
             }
-            Event::Heard(mixer, incarnation, leaf_server, link, attempt, what)
+            Event::Answer(mixer, incarnation, leaf_server, connection, attempt, what)
                 if self.is_current(mixer, incarnation) =>
             {
-                self.received(mixer, (leaf_server, link), attempt, what);
+                self.answer_arrives(mixer, (leaf_server, connection), attempt, what);
             }
-            Event::Reset(mixer, incarnation, leaf_server, link)
+            Event::Reset(mixer, incarnation, leaf_server, connection)
                 if self.is_current(mixer, incarnation) =>
             {
-                self.end_link(mixer, leaf_server, link, Outcome::Reset);
+                self.close_connection(mixer, leaf_server, connection, Outcome::Reset);
             }
-            Event::Up(..) | Event::NeverUp(..) | Event::Heard(..) | Event::Reset(..) => {}
-            Event::Late(mixer, incarnation, attempt) if self.is_current(mixer, incarnation) => {
+            Event::Connected(..)
+            | Event::ConnectFailed(..)
+            | Event::Answer(..)
+            | Event::Reset(..) => {}
+            Event::Expired(mixer, incarnation, attempt) if self.is_current(mixer, incarnation) => {
                 self.drive(mixer, |coordinator, now, out| {
                     coordinator.attempt_ended(now, attempt, Outcome::Superseded, None, out)
                 });
             }
-            Event::Late(..) => {}
-            Event::CalledOff(leaf_server, job) => self.called_off(leaf_server, job),
-            Event::Tell(mixer, entry) => self.notified(mixer, entry),
-            Event::Fault(number, begins) => self.fault(number, begins),
-            Event::Restart(leaf_server) => self.restart(leaf_server),
-            Event::SilentConnections => self.silence_link(),
+            Event::Expired(..) => {}
+            Event::CancelArrives(leaf_server, job) => self.cancel_arrives(leaf_server, job),
+            Event::ListUpdate(mixer, entry) => self.list_update_arrives(mixer, entry),
+            Event::Fault(number, begins) => self.fault_changes(number, begins),
+            Event::Restart(leaf_server) => self.restart_server(leaf_server),
+            Event::ConnectionGoesSilent => self.silence_random_connection(),
         }
     }
 
     /// A connection of any mixer falls silent.
-    fn silence_link(&mut self) {
+    fn silence_random_connection(&mut self) {
         let mixer = self.rng.random_range(0..self.mixers.len());
         let draw = self.rng.random_range(0..1 << 20);
-        self.mixers[mixer].links.silence(draw);
+        self.mixers[mixer].pool.silence_one(draw);
     }
 
     /// The endpoint list's change reaches a mixer.
-    fn notified(&mut self, mixer: usize, entry: ReplicaEntry) {
+    fn list_update_arrives(&mut self, mixer: usize, entry: ReplicaEntry) {
         if self.mixers[mixer].coordinator.is_none() {
             return;
         }
         let leaf_server = entry.id.0 - 1;
         let is_ready = entry.lifecycle == Lifecycle::Ready;
         self.rules
-            .notified(self.now, mixer as u32, leaf_server, is_ready);
+            .endpoint_listed(self.now, mixer as u32, leaf_server, is_ready);
         self.rules
-            .notified_start(mixer as u32, leaf_server, entry.started_at);
+            .start_listed(mixer as u32, leaf_server, entry.started_at);
         match entry.lifecycle {
-            Lifecycle::Removed => self.mixers[mixer].list.remove(&entry.id),
-            _ => self.mixers[mixer].list.insert(entry.id, entry),
+            Lifecycle::Removed => self.mixers[mixer].endpoints.remove(&entry.id),
+            _ => self.mixers[mixer].endpoints.insert(entry.id, entry),
         };
         self.drive(mixer, |coordinator, now, out| {
             coordinator.update_endpoints(now, false, vec![entry], out)
@@ -502,43 +516,43 @@
     }
 
     /// A mixer is gone. Its clients' connections are reset where its machine is still there; otherwise they wait until their time is up.
-    fn mixer_dies(&mut self, mixer: usize, machine: bool) {
+    fn mixer_dies(&mut self, mixer: usize, machine_lost: bool) {
         let at = &mut self.mixers[mixer];
         if at.coordinator.take().is_none() {
             return;
         }
         (at.incarnation, at.died_at) = (at.incarnation + 1, self.now);
-        at.links = Links::new(self.scenario.mixers, self.scenario.site.idle_timeout_s);
-        at.flights.clear();
+        at.pool = ConnectionPool::new(self.scenario.mixers, self.scenario.site.idle_timeout_s);
+        at.in_flight.clear();
         self.rules.mixer_died(mixer as u32);
         let held: Vec<(usize, u32)> = self
-            .open
+            .open_requests
             .iter()
             .filter(|(_, open)| open.mixer == mixer)
             .map(|(key, _)| *key)
             .collect();
-        for (number, tried) in held {
-            self.open.remove(&(number, tried));
-            self.rules.void(&format!("q{number}-{tried}"));
+        for (number, retry) in held {
+            self.open_requests.remove(&(number, retry));
+            self.rules.forget_request(&format!("q{number}-{retry}"));
             self.tally.tries[tally::LEFT] += 1;
             let query = &self.queries[number];
-            if machine {
+            if machine_lost {
                 let ended_s = query.timeout_s;
                 self.tally.query(self.scenario, query, None, ended_s);
             } else {
-                self.again(number, tried, None, false);
+                self.retry_or_finish(number, retry, None, false);
             }
         }
     }
 
     /// It starts again, with nothing but the list as it last had it.
-    fn mixer_returns(&mut self, mixer: usize) {
+    fn restart_mixer(&mut self, mixer: usize) {
         if self.mixers[mixer].coordinator.is_some() {
             return;
         }
         let incarnation = self.mixers[mixer].incarnation;
-        self.mixers[mixer].coordinator = Some(self.coordinator(mixer as u32, incarnation));
-        let entries: Vec<ReplicaEntry> = self.mixers[mixer].list.values().copied().collect();
+        self.mixers[mixer].coordinator = Some(self.new_coordinator(mixer as u32, incarnation));
+        let entries: Vec<ReplicaEntry> = self.mixers[mixer].endpoints.values().copied().collect();
         self.drive(mixer, |coordinator, now, out| {
             coordinator.update_endpoints(now, true, entries, out)
         });
@@ -546,13 +560,17 @@
 }
 
 /// What the choice of a connection depends on, at one mixer.
-fn carrier(deployment: &Deployment, coordinator: &Coordinator, now: f64) -> Carrier {
+fn selection_context(
+    deployment: &Deployment,
+    coordinator: &Coordinator,
+    now: f64,
+) -> SelectionContext {
     let objectives = deployment
         .policy
         .classes
         .iter()
         .map(|class| class.latency_objective_s);
-    Carrier {
+    SelectionContext {
         now,
         shortest_objective_s: objectives.fold(f64::MAX, f64::min),
         late_s: coordinator.slowest_class_p95_s(),
--- a/crates/wharfhub-testbed/src/lib.rs
+++ b/crates/wharfhub-testbed/src/lib.rs
@@ -4,13 +4,13 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod connections;
 pub mod daemon;
 pub mod emulator;
 pub mod experiments;
 pub mod fit;
 pub mod fleet;
 pub mod journal;
-pub mod links;
 pub mod load;
 pub mod model;
 pub mod report;
--- a/crates/wharfhub-testbed/src/load.rs
+++ b/crates/wharfhub-testbed/src/load.rs
@@ -17,9 +17,9 @@
 use std::time::Duration;
 
 /// As in the emulator.
-const TOO_SHORT_S: f64 = 0.15;
+const MIN_RETRY_TIME_S: f64 = 0.15;
 /// A client still reads so much longer than it waits, to see what comes late (seconds).
-const LATE_S: f64 = 0.1;
+const EXTRA_READ_S: f64 = 0.1;
 
 #[derive(Deserialize)]
 struct AnswerJson {
@@ -114,27 +114,32 @@
     fn query(&self, number: usize, query: &Query) {
         let (shared, scenario) = (&self.shared, &self.shared.scenario);
         let class = &scenario.site.classes[query.class];
-        for tried in 0.. {
-            let id = format!("q{number}-{tried}");
-            let asked_at = if tried == 0 { query.at } else { shared.now() };
+        for retry in 0.. {
+            let id = format!("q{number}-{retry}");
+            let asked_at = if retry == 0 { query.at } else { shared.now() };
             let timeout_s = query.at + query.timeout_s - asked_at;
-            let mixer = (query.mixer + tried as usize) % self.mixers.len();
-            lock(&shared.rules).asked(&id);
+            let mixer = (query.mixer + retry as usize) % self.mixers.len();
+            lock(&shared.rules).request_started(&id);
             lock(&self.tally).tries[tally::ASKED] += 1;
-            let answer = self.ask(mixer, &id, number, query, timeout_s);
+            let answer = self.send_request(mixer, &id, number, query, timeout_s);
             let (took_s, since_s) = (shared.now() - asked_at, shared.now() - query.at);
-            let mut notified_s = None;
+            let mut retry_after_s = None;
             let ended = match &answer {
                 Ok(answer) if answer.status == 200 => {
                     match json::from_str::<AnswerJson>(&answer.body) {
                         Ok(body) => {
-                            return self.answered(&id, query, &body, (took_s, since_s, timeout_s))
+                            return self.record_answer(
+                                &id,
+                                query,
+                                &body,
+                                (took_s, since_s, timeout_s),
+                            )
                         }
                         Err(_) => RequestOutcome::Failed,
                     }
                 }
                 Ok(answer) if [429, 503].contains(&answer.status) => {
-                    notified_s = Some(answer.retry_after_s);
+                    retry_after_s = Some(answer.retry_after_s);
                     RequestOutcome::Rejected(answer.retry_after_s)
                 }
                 Ok(_) => RequestOutcome::Failed,
@@ -145,7 +150,7 @@
                     RequestOutcome::Abandoned
                 }
             };
-            lock(&shared.rules).ended(&id, query, &ended, took_s, timeout_s);
+            lock(&shared.rules).request_ended(&id, query, &ended, took_s, timeout_s);
             let kind = match ended {
                 RequestOutcome::Rejected(_) => tally::REFUSED,
                 RequestOutcome::Abandoned => tally::LEFT,
@@ -154,18 +159,21 @@
             lock(&self.tally).tries[kind] += 1;
             let (max, backoff_s, _) = scenario.site.retries;
             let backoff_s = (backoff_s.0 + backoff_s.1) / 2.0;
-            let again_s = notified_s
-                .filter(|notified| *notified > 0.0)
+            let retry_delay_s = retry_after_s
+                .filter(|delay_s| *delay_s > 0.0)
                 .unwrap_or(backoff_s);
-            let may = notified_s.is_some() || class.is_retryable();
-            if tried >= max || query.timeout_s - since_s - again_s <= TOO_SHORT_S || !may {
+            let may_retry = retry_after_s.is_some() || class.is_retryable();
+            if retry >= max
+                || query.timeout_s - since_s - retry_delay_s <= MIN_RETRY_TIME_S
+                || !may_retry
+            {
                 return lock(&self.tally).query(scenario, query, None, since_s);
             }
-            std::thread::sleep(Duration::from_secs_f64(again_s));
+            std::thread::sleep(Duration::from_secs_f64(retry_delay_s));
         }
     }
 
-    fn answered(
+    fn record_answer(
         &self,
         id: &str,
         query: &Query,
@@ -179,7 +187,7 @@
                 .iter()
                 .position(|part| part.shard == piece.tablet)
         };
-        let plain = |piece: &PieceJson| plain(scenario, id, piece.tablet, &piece.cell);
+        let plain = |piece: &PieceJson| emulator_value(scenario, id, piece.tablet, &piece.cell);
         let made: Vec<(usize, String)> = body
             .pieces
             .iter()
@@ -192,7 +200,7 @@
                 value,
             })
             .collect();
-        lock(&self.shared.rules).ended(
+        lock(&self.shared.rules).request_ended(
             id,
             query,
             &RequestOutcome::Answered(body.full, pieces),
@@ -219,7 +227,7 @@
     }
 
     /// One try. An error: no final answer came in the client's time.
-    fn ask(
+    fn send_request(
         &self,
         mixer: usize,
         id: &str,
@@ -271,7 +279,9 @@
     ) -> io::Result<Answer> {
         stream
             .get_ref()
-            .set_read_timeout(Some(Duration::from_secs_f64(timeout_s.max(0.001) + LATE_S)))?;
+            .set_read_timeout(Some(Duration::from_secs_f64(
+                timeout_s.max(0.001) + EXTRA_READ_S,
+            )))?;
         stream.get_mut().write_all(request.as_bytes())?;
         let mut line = String::new();
         stream.read_line(&mut line)?;
@@ -320,7 +330,7 @@
 
 /// A value of a leaf server of the search style is a list of hits: the one hit's id is the value. An empty list is a leaf server's
 /// word; which leaf server gave it can't be told from a count, so only its truth is judged.
-fn plain(scenario: &Scenario, id: &str, shard: u32, cell: &str) -> String {
+fn emulator_value(scenario: &Scenario, id: &str, shard: u32, cell: &str) -> String {
     if cell.starts_with("{\"hits\":[],") {
         return rules::value(id, shard, scenario.holder(shard), true);
     }
--- a/crates/wharfhub-testbed/src/model.rs
+++ b/crates/wharfhub-testbed/src/model.rs
@@ -6,7 +6,7 @@
 //!
 //! Work goes on at the share of its capacity that the leaf server has, over the common slow-down and its own; not at all while it
 //! stands still. Cold leaf servers rise evenly from their first share to the whole. Whoever drives a leaf server calls
-//! [`LeafServer::turn`] before anything else at a time, and again at the time that [`LeafServer::next_turn`] gives.
+//! [`LeafServer::advance`] before anything else at a time, and again at the time that [`LeafServer::next_event_at`] gives.
 
 use std::collections::VecDeque;
 
@@ -14,7 +14,7 @@
 const ROUNDING_S: f64 = 1e-9;
 
 /// A turn comes so much late: one that came early by rounding would come again and again (seconds).
-const HAIR_S: f64 = 1e-6;
+const EVENT_DELAY_S: f64 = 1e-6;
 
 /// What a leaf server is made of.
 #[derive(Clone, Copy, Debug)]
@@ -43,21 +43,21 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Pauses {
     /// From one to the next (seconds).
-    pub every_s: f64,
+    pub period_s: f64,
     /// How long (seconds).
-    pub for_s: f64,
+    pub duration_s: f64,
     /// When the first one begins (seconds).
-    pub from_s: f64,
+    pub first_at: f64,
 }
 
 impl Pauses {
     /// The end of the pause at that time, if it is one; else when the next begins.
-    fn edge(&self, now: f64) -> Result<f64, f64> {
-        let since = (now - self.from_s).rem_euclid(self.every_s);
-        if since < self.for_s {
-            Ok(now - since + self.for_s)
+    fn boundary(&self, now: f64) -> Result<f64, f64> {
+        let since = (now - self.first_at).rem_euclid(self.period_s);
+        if since < self.duration_s {
+            Ok(now - since + self.duration_s)
         } else {
-            Err(now - since + self.every_s)
+            Err(now - since + self.period_s)
         }
     }
 }
@@ -80,32 +80,32 @@
 
 /// What becomes of a job that arrives.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Arrival {
+pub enum Admission {
     /// It is accepted: it runs, or waits.
     Accepted,
     /// The room is full.
-    Full,
+    QueueFull,
     /// It fails at once.
-    Fails,
+    Failed,
     /// Nobody hears of it again.
-    Swallowed,
+    Ignored,
     /// There is no process.
     Refused,
 }
 
 /// A job that arrives.
 #[derive(Clone, Copy, Debug)]
-pub struct Arriving<J> {
+pub struct IncomingJob<J> {
     /// What it is.
     pub job: J,
     /// Its work (core seconds).
     pub work_s: f64,
     /// Its work by the cold rule's count.
-    pub counts_s: f64,
+    pub nominal_work_s: f64,
     /// Whether it goes before what waits.
-    pub first: bool,
+    pub is_prioritized: bool,
     /// Whether whoever sent it was told of the leaf server's start.
-    pub notified: bool,
+    pub sender_knows_start: bool,
 }
 
 /// One leaf server, holding jobs of some kind.
@@ -118,18 +118,18 @@
     /// When its process started; 0 for long ago.
     pub started_at: f64,
     /// So many times slower than usual, by itself.
-    pub slower: f64,
+    pub slowdown: f64,
     /// Told apart from the process before.
     pub incarnation: u32,
-    running: Vec<(f64, J)>,    // work that is left
-    first: VecDeque<(f64, J)>, // words, which go before what waits
+    running: Vec<(f64, J)>,          // work that is left
+    prioritized: VecDeque<(f64, J)>, // words, which go before what waits
     waiting: VecDeque<(f64, J)>,
-    at: f64,                          // how far its work has been reckoned
-    sent: VecDeque<(f64, f64, bool)>, // when work came while it was cold, how much, and whether from one who was told
+    advanced_to: f64,                          // how far its work has been reckoned
+    cold_arrivals: VecDeque<(f64, f64, bool)>, // when work came while it was cold, how much, and whether from one who was told
     /// Whether it was pushed over while cold.
-    pub collapsed: bool,
+    pub has_collapsed: bool,
     /// Work that it has done (core seconds).
-    pub worked_s: f64,
+    pub completed_work_s: f64,
 }
 
 impl<J: Copy + PartialEq> LeafServer<J> {
@@ -139,15 +139,15 @@
             setup,
             fault: ServerFault::None,
             started_at: 0.0,
-            slower: 1.0,
+            slowdown: 1.0,
             incarnation: 0,
             running: Vec::new(),
-            first: VecDeque::new(),
+            prioritized: VecDeque::new(),
             waiting: VecDeque::new(),
-            at: 0.0,
-            sent: VecDeque::new(),
-            collapsed: false,
-            worked_s: 0.0,
+            advanced_to: 0.0,
+            cold_arrivals: VecDeque::new(),
+            has_collapsed: false,
+            completed_work_s: 0.0,
         }
     }
 
@@ -162,7 +162,7 @@
 
     /// Jobs that it holds.
     pub fn job_count(&self) -> usize {
-        self.running.len() + self.first.len() + self.waiting.len()
+        self.running.len() + self.prioritized.len() + self.waiting.len()
     }
 
     /// Its process dies; gives what it held. It comes back by [`LeafServer::start`].
@@ -172,38 +172,38 @@
         let interrupted = self
             .running
             .drain(..)
-            .chain(self.first.drain(..))
+            .chain(self.prioritized.drain(..))
             .chain(self.waiting.drain(..));
         interrupted.map(|(_, job)| job).collect()
     }
 
     /// A new process, cold.
     pub fn start(&mut self, now: f64) {
-        (self.fault, self.started_at, self.at) = (ServerFault::None, now, now);
-        self.sent.clear();
+        (self.fault, self.started_at, self.advanced_to) = (ServerFault::None, now, now);
+        self.cold_arrivals.clear();
     }
 
     /// What each job that runs gets done in a second (core seconds); 0 while it stands still.
-    fn rate(&self, now: f64, slow: f64) -> f64 {
+    fn rate(&self, now: f64, slowdown: f64) -> f64 {
         if self
             .setup
             .pauses
-            .is_some_and(|pauses| pauses.edge(now).is_ok())
+            .is_some_and(|pauses| pauses.boundary(now).is_ok())
         {
             return 0.0;
         }
         let shared = (self.setup.cores as f64 / self.running.len().max(1) as f64).min(1.0);
-        self.capacity(now).max(0.01) * shared / (slow * self.slower)
+        self.capacity(now).max(0.01) * shared / (slowdown * self.slowdown)
     }
 
     /// Reckons the work done since the last turn at a speed that held until now; gives what has ended, in order. What
     /// waits begins in its place.
-    pub fn turn(&mut self, now: f64, slow: f64) -> Vec<J> {
-        let done_s = (now - self.at).max(0.0) * self.rate(self.at, slow);
-        self.at = self.at.max(now);
+    pub fn advance(&mut self, now: f64, slowdown: f64) -> Vec<J> {
+        let done_s = (now - self.advanced_to).max(0.0) * self.rate(self.advanced_to, slowdown);
+        self.advanced_to = self.advanced_to.max(now);
         let mut ended = Vec::new();
         for (left_s, _) in &mut self.running {
-            self.worked_s += done_s.min(*left_s);
+            self.completed_work_s += done_s.min(*left_s);
             *left_s -= done_s;
         }
         self.running.retain(|(left_s, job)| {
@@ -219,7 +219,11 @@
 
     fn begin(&mut self) {
         while self.running.len() < self.setup.slots.max(self.setup.cores) {
-            let Some(next) = self.first.pop_front().or_else(|| self.waiting.pop_front()) else {
+            let Some(next) = self
+                .prioritized
+                .pop_front()
+                .or_else(|| self.waiting.pop_front())
+            else {
                 return;
             };
             self.running.push(next);
@@ -227,13 +231,13 @@
     }
 
     /// When it has to be turned again, if nothing else happens to it.
-    pub fn next_turn(&self, now: f64, slow: f64) -> Option<f64> {
+    pub fn next_event_at(&self, now: f64, slowdown: f64) -> Option<f64> {
         let min_s = self
             .running
             .iter()
             .map(|(left_s, _)| *left_s)
             .reduce(f64::min)?;
-        let rate = self.rate(now, slow);
+        let rate = self.rate(now, slowdown);
         let ends_at = if rate > 0.0 {
             now + min_s / rate
         } else {
@@ -242,34 +246,34 @@
         let edge = self
             .setup
             .pauses
-            .map_or(f64::MAX, |pauses| match pauses.edge(now) {
+            .map_or(f64::MAX, |pauses| match pauses.boundary(now) {
                 Ok(edge) | Err(edge) => edge,
             });
-        Some(ends_at.min(edge).max(now) + HAIR_S)
+        Some(ends_at.min(edge).max(now) + EVENT_DELAY_S)
     }
 
     /// A job arrives. `lot` is a random number from 0 to 1.
-    pub fn arrive(&mut self, now: f64, arriving: Arriving<J>, draw: f64) -> Arrival {
-        let Arriving {
+    pub fn arrive(&mut self, now: f64, arriving: IncomingJob<J>, draw: f64) -> Admission {
+        let IncomingJob {
             job,
             work_s,
-            counts_s,
-            first,
-            notified,
+            nominal_work_s,
+            is_prioritized,
+            sender_knows_start,
         } = arriving;
         if self.fault == ServerFault::Dead {
-            return Arrival::Refused;
+            return Admission::Refused;
         }
         if self.fault == ServerFault::Lost {
-            return Arrival::Swallowed;
+            return Admission::Ignored;
         }
-        if self.pushed_over(now, counts_s, notified) {
-            self.collapsed = true;
-            return Arrival::Refused;
+        if self.is_overloaded_by(now, nominal_work_s, sender_knows_start) {
+            self.has_collapsed = true;
+            return Admission::Refused;
         }
         match self.fault {
-            ServerFault::Silent => return Arrival::Swallowed,
-            ServerFault::Fails(share) if draw < share => return Arrival::Fails,
+            ServerFault::Silent => return Admission::Ignored,
+            ServerFault::Fails(share) if draw < share => return Admission::Failed,
             _ => {}
         }
         let queue_capacity = self.setup.queue_capacity
@@ -278,22 +282,22 @@
                 .slots
                 .max(self.setup.cores)
                 .saturating_sub(self.running.len());
-        if self.first.len() + self.waiting.len() >= queue_capacity {
-            return Arrival::Full;
+        if self.prioritized.len() + self.waiting.len() >= queue_capacity {
+            return Admission::QueueFull;
         }
-        let queue = if first {
-            &mut self.first
+        let queue = if is_prioritized {
+            &mut self.prioritized
         } else {
             &mut self.waiting
         };
         queue.push_back((work_s, job));
         self.begin();
-        Arrival::Accepted
+        Admission::Accepted
     }
 
     /// Work that is no job of a client's, and goes before what waits: a handshake.
-    pub fn work_on(&mut self, job: J, work_s: f64) {
-        self.first.push_back((work_s, job));
+    pub fn add_priority_work(&mut self, job: J, work_s: f64) {
+        self.prioritized.push_back((work_s, job));
         self.begin();
     }
 
@@ -310,7 +314,7 @@
             *other != job
         };
         self.running.retain(&mut keep);
-        self.first.retain(&mut keep);
+        self.prioritized.retain(&mut keep);
         self.waiting.retain(&mut keep);
         self.begin();
         left
@@ -318,33 +322,39 @@
 
     /// The rule on cold leaf servers, as a budget over the window that ends now: all that comes counts, and the rule is broken
     /// where two thirds of it came from those who were told of the start.
-    fn pushed_over(&mut self, now: f64, counts_s: f64, notified: bool) -> bool {
+    fn is_overloaded_by(
+        &mut self,
+        now: f64,
+        nominal_work_s: f64,
+        sender_knows_start: bool,
+    ) -> bool {
         let capacity = self.capacity(now);
         if capacity >= 1.0 {
-            self.sent.clear();
+            self.cold_arrivals.clear();
             return false;
         }
-        self.sent.push_back((now, counts_s, notified));
+        self.cold_arrivals
+            .push_back((now, nominal_work_s, sender_knows_start));
         while self
-            .sent
+            .cold_arrivals
             .front()
             .is_some_and(|(at, ..)| *at <= now - self.setup.overload_window_s)
         {
-            self.sent.pop_front();
+            self.cold_arrivals.pop_front();
         }
-        let work: f64 = self.sent.iter().map(|(_, work, _)| work).sum();
-        let notified: f64 = self
-            .sent
+        let work: f64 = self.cold_arrivals.iter().map(|(_, work, _)| work).sum();
+        let informed_work: f64 = self
+            .cold_arrivals
             .iter()
-            .filter(|(.., notified)| *notified)
+            .filter(|(.., knows_start)| *knows_start)
             .map(|(_, work, _)| work)
             .sum();
-        let retry_budget = self.setup.overload_multiple
+        let max_work_s = self.setup.overload_multiple
             * capacity
             * self.setup.cores as f64
             * self.setup.overload_window_s;
         // A little slack for chance: two parts of the usual kind.
-        work > retry_budget + 2.0 * counts_s && notified >= 2.0 / 3.0 * work
+        work > max_work_s + 2.0 * nominal_work_s && informed_work >= 2.0 / 3.0 * work
     }
 }
 
--- a/crates/wharfhub-testbed/src/rules.rs
+++ b/crates/wharfhub-testbed/src/rules.rs
@@ -7,9 +7,9 @@
 use std::collections::BTreeMap;
 
 /// Rounding that sums of weights may show.
-const SUM_SLACK: f64 = 0.0001;
+const WEIGHT_SUM_TOLERANCE: f64 = 0.0001;
 /// Violations that are told; of more only the number is.
-const MAX_NOTIFIED: usize = 8;
+const MAX_RECORDED_VIOLATIONS: usize = 8;
 
 /// A part of a value as a stand-in writes it: request, shard, leaf server, and whether it is a word.
 pub fn value(id: &str, shard: u32, leaf_server: u32, word: bool) -> String {
@@ -42,24 +42,24 @@
 }
 
 #[derive(Default)]
-struct PartSeen {
+struct PartState {
     attempts: usize,
-    out: usize,            // of these, the ones of which the mixer waits for the end
-    ran_from: Option<f64>, // when the first was sent that may have run
+    in_flight: usize, // of these, the ones of which the mixer waits for the end
+    may_run_since: Option<f64>, // when the first was sent that may have run
 }
 
 #[derive(Default)]
-struct Try {
+struct RequestState {
     ended: bool,
-    parts: BTreeMap<u32, PartSeen>, // by shard
+    parts: BTreeMap<u32, PartState>, // by shard
 }
 
 /// The judge of one run.
 pub struct RuleChecker {
     scenario: Scenario,
-    tries: BTreeMap<String, Try>,
-    notified: BTreeMap<(u32, u32), f64>, // when a mixer was told that a leaf server drains or is gone
-    starts: BTreeMap<(u32, u32), f64>, // the latest start of a leaf server that a mixer was told of
+    requests: BTreeMap<String, RequestState>,
+    unavailable_since: BTreeMap<(u32, u32), f64>, // when a mixer was told that a leaf server drains or is gone
+    listed_starts: BTreeMap<(u32, u32), f64>, // the latest start of a leaf server that a mixer was told of
     slack_s: f64,
     /// What was broken, in words.
     pub violations: Vec<String>,
@@ -70,12 +70,13 @@
 impl RuleChecker {
     /// A judge; every time limit is so much longer (seconds).
     pub fn new(scenario: &Scenario, slack_s: f64) -> RuleChecker {
-        let (tries, notified, starts) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
+        let (requests, unavailable_since, listed_starts) =
+            (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         RuleChecker {
             scenario: scenario.clone(),
-            tries,
-            notified,
-            starts,
+            requests,
+            unavailable_since,
+            listed_starts,
             slack_s,
             violations: Vec::new(),
             violation_count: 0,
@@ -85,36 +86,38 @@
     /// Notes a violation.
     pub fn record_violation(&mut self, what: String) {
         self.violation_count += 1;
-        if self.violations.len() < MAX_NOTIFIED {
+        if self.violations.len() < MAX_RECORDED_VIOLATIONS {
             self.violations.push(what);
         }
     }
 
     /// A mixer was told that a leaf server may get something new, or may not.
-    pub fn notified(&mut self, now: f64, mixer: u32, leaf_server: u32, ready: bool) {
+    pub fn endpoint_listed(&mut self, now: f64, mixer: u32, leaf_server: u32, ready: bool) {
         if ready {
-            self.notified.remove(&(mixer, leaf_server));
+            self.unavailable_since.remove(&(mixer, leaf_server));
         } else {
-            self.notified.entry((mixer, leaf_server)).or_insert(now);
+            self.unavailable_since
+                .entry((mixer, leaf_server))
+                .or_insert(now);
         }
     }
 
     /// A mixer was told when a leaf server last started.
-    pub fn notified_start(&mut self, mixer: u32, leaf_server: u32, started_at: f64) {
-        self.starts.insert((mixer, leaf_server), started_at);
+    pub fn start_listed(&mut self, mixer: u32, leaf_server: u32, started_at: f64) {
+        self.listed_starts.insert((mixer, leaf_server), started_at);
     }
 
     /// Whether a mixer was told of this start of a leaf server.
-    pub fn notified_of_start(&self, mixer: u32, leaf_server: u32, started_at: f64) -> bool {
+    pub fn knows_start(&self, mixer: u32, leaf_server: u32, started_at: f64) -> bool {
         started_at <= 0.0
             || self
-                .starts
+                .listed_starts
                 .get(&(mixer, leaf_server))
                 .is_some_and(|notified| *notified >= started_at)
     }
 
     /// A mixer sent a part to a leaf server: which shard, and whether it only pre-checked.
-    pub fn sent(
+    pub fn part_sent(
         &mut self,
         now: f64,
         (mixer, leaf_server): (u32, u32),
@@ -125,7 +128,7 @@
         let (shard, pre_check) = asked;
         let class = self.scenario.site.classes[query.class].clone();
         if let Some(notified) = self
-            .notified
+            .unavailable_since
             .get(&(mixer, leaf_server))
             .filter(|notified| now > **notified + self.scenario.site.drain_grace_s + self.slack_s)
         {
@@ -147,13 +150,13 @@
         }
         let slack_s = self.slack_s;
         let (safe, window_s, name) = (class.is_retryable(), class.dedup_window_s, class.name);
-        let entry = self.tries.entry(id.to_string()).or_default();
+        let entry = self.requests.entry(id.to_string()).or_default();
         let (over, sends) = (entry.ended, entry.parts.entry(shard).or_default());
-        let after_s = sends.ran_from.map_or(0.0, |first| now - first);
+        let after_s = sends.may_run_since.map_or(0.0, |first| now - first);
         let late = !safe && after_s > window_s + slack_s;
         sends.attempts += 1;
-        sends.out += 1;
-        let (attempts, out) = (sends.attempts, sends.out);
+        sends.in_flight += 1;
+        let (attempts, in_flight) = (sends.attempts, sends.in_flight);
         if over {
             self.record_violation(format!(
                 "ended: {id}.{shard} was sent after its final answer"
@@ -165,9 +168,9 @@
         if attempts > self.scenario.site.attempts.0 as usize {
             self.record_violation(format!("attempts: {id}.{shard} was sent {attempts} times"));
         }
-        if out > 1 && !self.scenario.site.attempts.1 {
+        if in_flight > 1 && !self.scenario.site.attempts.1 {
             self.record_violation(format!(
-                "copies: {out} attempts of {id}.{shard} are out at once"
+                "copies: {in_flight} attempts of {id}.{shard} are out at once"
             ));
         }
     }
@@ -175,32 +178,35 @@
     /// A mixer no longer waits for an attempt of a part.
     pub fn attempt_over(&mut self, id: &str, shard: u32) {
         if let Some(part) = self
-            .tries
+            .requests
             .get_mut(id)
             .and_then(|one| one.parts.get_mut(&shard))
         {
-            part.out = part.out.saturating_sub(1);
+            part.in_flight = part.in_flight.saturating_sub(1);
         }
     }
 
     /// A leaf server took a part that was sent at that time: it may run.
-    pub fn ran(&mut self, id: &str, shard: u32, sent_at: f64) {
+    pub fn part_ran(&mut self, id: &str, shard: u32, sent_at: f64) {
         let part = self
-            .tries
+            .requests
             .get_mut(id)
             .and_then(|one| one.parts.get_mut(&shard));
         if let Some(part) = part {
-            part.ran_from = Some(part.ran_from.map_or(sent_at, |first| first.min(sent_at)));
+            part.may_run_since = Some(
+                part.may_run_since
+                    .map_or(sent_at, |first| first.min(sent_at)),
+            );
         }
     }
 
     /// A try began.
-    pub fn asked(&mut self, id: &str) {
-        self.tries.entry(id.to_string()).or_default();
+    pub fn request_started(&mut self, id: &str) {
+        self.requests.entry(id.to_string()).or_default();
     }
 
     /// A try ended; `took_s` of the `timeout_s` that its client waits (seconds).
-    pub fn ended(
+    pub fn request_ended(
         &mut self,
         id: &str,
         query: &Query,
@@ -208,8 +214,11 @@
         took_s: f64,
         timeout_s: f64,
     ) {
-        let entry = self.tries.entry(id.to_string()).or_default();
-        let ran = entry.parts.values().any(|part| part.ran_from.is_some());
+        let entry = self.requests.entry(id.to_string()).or_default();
+        let ran = entry
+            .parts
+            .values()
+            .any(|part| part.may_run_since.is_some());
         let again = std::mem::replace(&mut entry.ended, true);
         let class = self.scenario.site.classes[query.class].clone();
         if again {
@@ -226,17 +235,17 @@
                     .iter()
                     .map(|piece| query.parts[piece.index].weight)
                     .sum();
-                if share + SUM_SLACK < class.min_share {
+                if share + WEIGHT_SUM_TOLERANCE < class.min_share {
                     self.record_violation(format!(
                         "floor: {id} was answered from a share of {share:.3}"
                     ));
-                } else if *complete && share + SUM_SLACK < 1.0 {
+                } else if *complete && share + WEIGHT_SUM_TOLERANCE < 1.0 {
                     self.record_violation(format!(
                         "whole: {id} was called whole at a share of {share:.3}"
                     ));
                 }
                 for piece in pieces {
-                    self.honest(id, query, piece);
+                    self.check_value(id, query, piece);
                 }
             }
             RequestOutcome::Rejected(_) if !class.is_retryable() && ran => {
@@ -250,7 +259,7 @@
     }
 
     /// A value must be made by a leaf server that holds the part, for this very request; a word must be true.
-    fn honest(&mut self, id: &str, query: &Query, piece: &AnswerPart) {
+    fn check_value(&mut self, id: &str, query: &Query, piece: &AnswerPart) {
         let part = query.parts[piece.index];
         let word = piece.value.ends_with(" none");
         let leaf_server = piece
@@ -274,19 +283,21 @@
 
     /// A mixer has died: what it was told counts no more, and nobody owes an answer to what it held.
     pub fn mixer_died(&mut self, mixer: u32) {
-        self.notified.retain(|(notified, _), _| *notified != mixer);
-        self.starts.retain(|(notified, _), _| *notified != mixer);
+        self.unavailable_since
+            .retain(|(notified, _), _| *notified != mixer);
+        self.listed_starts
+            .retain(|(notified, _), _| *notified != mixer);
     }
 
     /// Nobody owes an answer to this try any more.
-    pub fn void(&mut self, id: &str) {
-        self.tries.remove(id);
+    pub fn forget_request(&mut self, id: &str) {
+        self.requests.remove(id);
     }
 
     /// The scenario is over: tries without an answer are lost.
     pub fn finish(&mut self) {
         let lost: Vec<String> = self
-            .tries
+            .requests
             .iter()
             .filter(|(_, one)| !one.ended)
             .map(|(id, _)| id.clone())
--- a/crates/wharfhub-testbed/src/site/scenario.rs
+++ b/crates/wharfhub-testbed/src/site/scenario.rs
@@ -104,9 +104,9 @@
             let mut rng = self.rng(500 + u64::from(leaf_server));
             let every_s = rng.random_range(every_s.0..=every_s.1);
             Pauses {
-                every_s,
-                for_s: rng.random_range(for_s.0..=for_s.1),
-                from_s: rng.random_range(0.0..every_s),
+                period_s: every_s,
+                duration_s: rng.random_range(for_s.0..=for_s.1),
+                first_at: rng.random_range(0.0..every_s),
             }
         });
         LeafServerSetup { pauses, ..setup }
--- a/crates/wharfhub-testbed/src/standin.rs
+++ b/crates/wharfhub-testbed/src/standin.rs
@@ -1,10 +1,10 @@
-//! Leaf servers that stand in for real ones, on loopback sockets: the model of `model.rs` behind both styles.
+//! Leaf servers that stand_in in for real ones, on loopback sockets: the model of `model.rs` behind both styles.
 //!
 //! This file owns their sockets and clock. Each leaf server has a thread that ends jobs when their time has come, and one for
 //! each connection that reads. It must never decide what a leaf server does (the model does), and never answer with a value
 //! but its own.
 
-use crate::model::{Arrival, Arriving, LeafServer, ServerFault};
+use crate::model::{Admission, IncomingJob, LeafServer, ServerFault};
 use crate::rules::{self, RuleChecker};
 use crate::site::{Fault, Query, Scenario};
 use rand::Rng;
@@ -15,11 +15,11 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Longest frame, head or body that a stand-in reads.
+/// Longest frame, head or body that a stand_in-in reads.
 const MAX_FRAME_BYTES: usize = 1 << 20;
 const MAX_HEADERS: usize = 64;
 /// The purpose of the draw that says which servers are slow.
-const SLOW_SERVERS_DRAW: u64 = 20;
+const SLOW_SERVERS_RNG_STREAM: u64 = 20;
 
 /// A lock that a thread that died leaves usable.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -54,7 +54,7 @@
     }
 
     /// How many times slower all leaf servers are now.
-    fn slow(&self, now: f64) -> f64 {
+    fn common_slowdown(&self, now: f64) -> f64 {
         let slow = |(from, to, fault): &(f64, f64, Fault)| match fault {
             Fault::Slow(factor) if (*from..*to).contains(&now) => Some(*factor),
             _ => None,
@@ -73,18 +73,18 @@
     search: bool,
 }
 
-struct Inside {
-    stock: LeafServer<u64>,
+struct State {
+    model: LeafServer<u64>,
     accepted: BTreeMap<u64, AcceptedPart>,
     last: u64,
     rng: ChaCha8Rng,
 }
 
 /// One leaf server.
-pub struct Stand {
+pub struct StandIn {
     number: u32,
     shared: Arc<Shared>,
-    inside: Mutex<Inside>,
+    state: Mutex<State>,
     changed: Condvar,
 }
 
@@ -92,30 +92,30 @@
 pub fn open(shared: &Arc<Shared>, number: u32, search: bool) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
-    let mut stock = LeafServer::new(shared.scenario.leaf_server_setup(number));
-    stock.slower = own_slowdown(&shared.scenario, number);
-    let inside = Inside {
-        stock,
+    let mut model = LeafServer::new(shared.scenario.leaf_server_setup(number));
+    model.slowdown = own_slowdown(&shared.scenario, number);
+    let state = State {
+        model,
         accepted: BTreeMap::new(),
         last: 0,
         rng: shared.scenario.rng(1000 + u64::from(number)),
     };
-    let stand = Arc::new(Stand {
+    let stand_in = Arc::new(StandIn {
         number,
         shared: shared.clone(),
-        inside: Mutex::new(inside),
+        state: Mutex::new(state),
         changed: Condvar::new(),
     });
-    let ending = stand.clone();
+    let ending = stand_in.clone();
     std::thread::spawn(move || ending.end_jobs());
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let stand = stand.clone();
+            let stand_in = stand_in.clone();
             std::thread::spawn(move || {
                 // What can't be used ends its connection, as at a real leaf server.
                 let _ = stream
                     .set_nodelay(true)
-                    .and_then(|()| stand.serve(stream, search));
+                    .and_then(|()| stand_in.serve(stream, search));
             });
         }
     });
@@ -126,7 +126,7 @@
 fn own_slowdown(scenario: &Scenario, number: u32) -> f64 {
     let slowdown = |(_, _, fault): &(f64, f64, Fault)| match fault {
         Fault::SomeSlow(share, factor) => scenario
-            .draw_leaf_servers(SLOW_SERVERS_DRAW, *share)
+            .draw_leaf_servers(SLOW_SERVERS_RNG_STREAM, *share)
             .contains(&number)
             .then_some(*factor),
         _ => None,
@@ -134,20 +134,20 @@
     scenario.faults.iter().find_map(slowdown).unwrap_or(1.0)
 }
 
-impl Stand {
+impl StandIn {
     fn serve(&self, stream: TcpStream, search: bool) -> io::Result<()> {
         let out = Arc::new(Mutex::new(stream.try_clone()?));
         let mut reader = BufReader::new(stream);
         loop {
             if search {
-                self.take_request(&mut reader, &out)?;
+                self.read_request(&mut reader, &out)?;
             } else {
-                self.take_frame(&mut reader, &out)?;
+                self.read_frame(&mut reader, &out)?;
             }
         }
     }
 
-    fn take_frame(&self, reader: &mut impl Read, out: &Arc<Mutex<TcpStream>>) -> io::Result<()> {
+    fn read_frame(&self, reader: &mut impl Read, out: &Arc<Mutex<TcpStream>>) -> io::Result<()> {
         let mut head = [0; 4];
         reader.read_exact(&mut head)?;
         let length = u32::from_be_bytes(head) as usize;
@@ -157,12 +157,12 @@
         let mut frame = vec![0; length];
         reader.read_exact(&mut frame)?;
         if frame[0] == b'c' {
-            self.called_off(&String::from_utf8_lossy(&frame[1..]), out);
+            self.cancel(&String::from_utf8_lossy(&frame[1..]), out);
         }
         if frame[0] != b'q' {
             return Ok(());
         }
-        let mut call_s = self.shared.scenario.site.call.1;
+        let mut call_work_s = self.shared.scenario.site.call.1;
         let mut rest = &frame[1..];
         while let Some(end) = rest.iter().position(|byte| *byte == b'\n') {
             let line = std::str::from_utf8(&rest[..end]).map_err(|_| invalid())?;
@@ -171,13 +171,18 @@
             };
             let length: usize = length.parse().map_err(|_| invalid())?;
             let pre_check = list.split(',').any(|word| word == "p=1");
-            self.take(id, (pre_check, std::mem::take(&mut call_s)), false, out)?;
+            self.accept_part(
+                id,
+                (pre_check, std::mem::take(&mut call_work_s)),
+                false,
+                out,
+            )?;
             rest = rest.get(end + 1 + length..).ok_or_else(invalid)?;
         }
         Ok(())
     }
 
-    fn take_request(
+    fn read_request(
         &self,
         reader: &mut impl BufRead,
         out: &Arc<Mutex<TcpStream>>,
@@ -211,15 +216,15 @@
             return Err(invalid());
         }
         reader.read_exact(&mut vec![0; length])?;
-        self.take(id, (pre_check, 0.0), true, out)
+        self.accept_part(id, (pre_check, 0.0), true, out)
     }
 
     /// A part has come: `ID.SHARD`, of a request whose id begins with its query's number.
     /// With it comes the work of its call, where it is the first of one.
-    fn take(
+    fn accept_part(
         &self,
         id: &str,
-        (pre_check, call_s): (bool, f64),
+        (pre_check, call_work_s): (bool, f64),
         search: bool,
         out: &Arc<Mutex<TcpStream>>,
     ) -> io::Result<()> {
@@ -231,7 +236,7 @@
         let now = self.shared.now();
         {
             let mut rules = lock(&self.shared.rules);
-            rules.sent(now, (0, self.number), id, query, (shard, pre_check));
+            rules.part_sent(now, (0, self.number), id, query, (shard, pre_check));
             // Whether the mixer still waits for an earlier attempt can't be seen from here.
             rules.attempt_over(id, shard);
         }
@@ -242,18 +247,18 @@
             1.0
         };
         let work_s = part.work_s * work_share;
-        let mut inside = lock(&self.inside);
-        self.turn(&mut inside, now);
-        inside.last += 1;
-        let draw = inside.rng.random();
-        let arriving = Arriving {
-            job: inside.last,
-            work_s: work_s + call_s,
-            counts_s: scenario.site.classes[query.class].work_s + call_s,
-            first: pre_check && scenario.pre_check_first,
-            notified: true,
+        let mut state = lock(&self.state);
+        self.advance(&mut state, now);
+        state.last += 1;
+        let draw = state.rng.random();
+        let arriving = IncomingJob {
+            job: state.last,
+            work_s: work_s + call_work_s,
+            nominal_work_s: scenario.site.classes[query.class].work_s + call_work_s,
+            is_prioritized: pre_check && scenario.pre_check_first,
+            sender_knows_start: true,
         };
-        let arrival = inside.stock.arrive(now, arriving, draw);
+        let admission = state.model.arrive(now, arriving, draw);
         let accepted = AcceptedPart {
             stream: out.clone(),
             id: id.into(),
@@ -262,8 +267,8 @@
             pre_check,
             search,
         };
-        self.count(now, &accepted, arrival, query.class, work_s);
-        self.carry_out(now, &mut inside, arrival, accepted)
+        self.count(now, &accepted, admission, query.class, work_s);
+        self.handle_admission(now, &mut state, admission, accepted)
     }
 
     /// The query of a request's id, `LETTER NUMBER` up to the first hyphen.
@@ -273,56 +278,63 @@
     }
 
     /// Counts a part that has come, and what came of it.
-    fn count(&self, now: f64, part: &AcceptedPart, arrival: Arrival, class: usize, work_s: f64) {
+    fn count(
+        &self,
+        now: f64,
+        part: &AcceptedPart,
+        admission: Admission,
+        class: usize,
+        work_s: f64,
+    ) {
         if matches!(
-            arrival,
-            Arrival::Accepted | Arrival::Fails | Arrival::Swallowed
+            admission,
+            Admission::Accepted | Admission::Failed | Admission::Ignored
         ) {
-            lock(&self.shared.rules).ran(&part.id, part.shard, now);
+            lock(&self.shared.rules).part_ran(&part.id, part.shard, now);
         }
         let mut work = lock(&self.shared.work);
         work.1 += 1;
         work.2 += u64::from(part.pre_check);
-        if arrival == Arrival::Accepted {
+        if admission == Admission::Accepted {
             work.0[class] += work_s;
         }
     }
 
     /// Keeps a part that was accepted last, or answers it.
-    fn carry_out(
+    fn handle_admission(
         &self,
         now: f64,
-        inside: &mut Inside,
-        arrival: Arrival,
+        state: &mut State,
+        admission: Admission,
         part: AcceptedPart,
     ) -> io::Result<()> {
-        match arrival {
-            Arrival::Accepted => {
-                let job = inside.last;
-                inside.accepted.insert(job, part);
+        match admission {
+            Admission::Accepted => {
+                let job = state.last;
+                state.accepted.insert(job, part);
                 // What takes no time is answered here and now.
-                self.turn(inside, now);
-                if !inside.accepted.is_empty() {
+                self.advance(state, now);
+                if !state.accepted.is_empty() {
                     self.changed.notify_one();
                 }
             }
-            Arrival::Full => self.answer(&part, "skipped"),
-            Arrival::Fails => self.answer(&part, "broke"),
-            Arrival::Swallowed => {}
-            Arrival::Refused => return Err(io::ErrorKind::ConnectionReset.into()),
+            Admission::QueueFull => self.answer(&part, "skipped"),
+            Admission::Failed => self.answer(&part, "broke"),
+            Admission::Ignored => {}
+            Admission::Refused => return Err(io::ErrorKind::ConnectionReset.into()),
         }
         Ok(())
     }
 
     /// Nobody waits for a part any more: `ID.SHARD`, on the connection that it came on.
-    fn called_off(&self, id: &str, out: &Arc<Mutex<TcpStream>>) {
-        let mut inside = lock(&self.inside);
-        self.turn(&mut inside, self.shared.now());
+    fn cancel(&self, id: &str, out: &Arc<Mutex<TcpStream>>) {
+        let mut state = lock(&self.state);
+        self.advance(&mut state, self.shared.now());
         let same = |accepted: &AcceptedPart| {
             Arc::ptr_eq(&accepted.stream, out)
                 && format!("{}.{}", accepted.id, accepted.shard) == id
         };
-        let Some(job) = inside
+        let Some(job) = state
             .accepted
             .iter()
             .find(|(_, accepted)| same(accepted))
@@ -330,17 +342,17 @@
         else {
             return;
         };
-        if inside.stock.cancel(job).is_some() {
-            inside.accepted.remove(&job);
+        if state.model.cancel(job).is_some() {
+            state.accepted.remove(&job);
             self.changed.notify_one();
         }
     }
 
     /// Reckons what the leaf server has done; what has ended is answered.
-    fn turn(&self, inside: &mut Inside, now: f64) {
-        for job in inside.stock.turn(now, self.shared.slow(now)) {
-            let silent = inside.stock.fault == ServerFault::Silent;
-            if let Some(accepted) = inside.accepted.remove(&job).filter(|_| !silent) {
+    fn advance(&self, state: &mut State, now: f64) {
+        for job in state.model.advance(now, self.shared.common_slowdown(now)) {
+            let silent = state.model.fault == ServerFault::Silent;
+            if let Some(accepted) = state.accepted.remove(&job).filter(|_| !silent) {
                 self.answer(
                     &accepted,
                     if accepted.pre_check && accepted.matches {
@@ -355,21 +367,24 @@
 
     /// Ends jobs when their time has come.
     fn end_jobs(&self) {
-        let mut inside = lock(&self.inside);
+        let mut state = lock(&self.state);
         loop {
             let now = self.shared.now();
-            self.turn(&mut inside, now);
-            inside = match inside.stock.next_turn(now, self.shared.slow(now)) {
+            self.advance(&mut state, now);
+            state = match state
+                .model
+                .next_event_at(now, self.shared.common_slowdown(now))
+            {
                 Some(at) => {
                     let wait = Duration::from_secs_f64((at - now).clamp(1e-5, 1.0));
-                    match self.changed.wait_timeout(inside, wait) {
-                        Ok((inside, _)) => inside,
+                    match self.changed.wait_timeout(state, wait) {
+                        Ok((state, _)) => state,
                         Err(broken) => broken.into_inner().0,
                     }
                 }
                 None => self
                     .changed
-                    .wait(inside)
+                    .wait(state)
                     .unwrap_or_else(|broken| broken.into_inner()),
             };
         }
--- a/crates/wharfhub-testbed/tests/scenarios.rs
+++ b/crates/wharfhub-testbed/tests/scenarios.rs
@@ -144,7 +144,7 @@
     };
     let seen = |play: &dyn Fn(&mut RuleChecker)| {
         let mut rules = RuleChecker::new(&single, 0.0);
-        rules.asked("q1-0");
+        rules.request_started("q1-0");
         play(&mut rules);
         rules.violations.join("; ")
     };
@@ -160,7 +160,7 @@
             .enumerate()
             .map(|(index, value)| AnswerPart { index, value })
             .collect();
-        rules.ended(
+        rules.request_ended(
             "q1-0",
             area,
             &RequestOutcome::Answered(true, pieces),
@@ -170,7 +170,7 @@
     };
     let one = |rules: &mut RuleChecker, complete: bool| {
         let value = value("q1-0", shard, holder, false);
-        rules.ended(
+        rules.request_ended(
             "q1-0",
             area,
             &RequestOutcome::Answered(
@@ -190,74 +190,77 @@
         (
             "second final",
             Box::new(|rules| {
-                (0..2).for_each(|_| rules.ended("q1-0", area, &RequestOutcome::Failed, 0.1, 1.0))
+                (0..2).for_each(|_| {
+                    rules.request_ended("q1-0", area, &RequestOutcome::Failed, 0.1, 1.0)
+                })
             }),
         ),
         (
             "time",
-            Box::new(|rules| rules.ended("q1-0", area, &RequestOutcome::Failed, 1.2, 1.0)),
+            Box::new(|rules| rules.request_ended("q1-0", area, &RequestOutcome::Failed, 1.2, 1.0)),
         ),
         ("floor", Box::new(|rules| one(rules, false))),
         ("pruned", Box::new(|rules| complete(rules, true))),
         (
             "drain",
             Box::new(|rules| {
-                rules.notified(1.0, 0, holder, false);
-                rules.sent(1.6, (0, holder), "q1-0", area, (shard, false));
+                rules.endpoint_listed(1.0, 0, holder, false);
+                rules.part_sent(1.6, (0, holder), "q1-0", area, (shard, false));
             }),
         ),
         (
             "placement",
-            Box::new(|rules| rules.sent(1.0, (0, other), "q1-0", area, (shard, false))),
+            Box::new(|rules| rules.part_sent(1.0, (0, other), "q1-0", area, (shard, false))),
         ),
         (
             "ended",
             Box::new(|rules| {
-                rules.ended("q1-0", area, &RequestOutcome::Failed, 0.1, 1.0);
-                rules.sent(1.0, (0, holder), "q1-0", area, (shard, false));
+                rules.request_ended("q1-0", area, &RequestOutcome::Failed, 0.1, 1.0);
+                rules.part_sent(1.0, (0, holder), "q1-0", area, (shard, false));
             }),
         ),
         (
             "attempts",
             Box::new(|rules| {
-                (0..5).for_each(|_| rules.sent(1.0, (0, holder), "q1-0", area, (shard, false)))
+                (0..5).for_each(|_| rules.part_sent(1.0, (0, holder), "q1-0", area, (shard, false)))
             }),
         ),
         (
             "out at once",
             Box::new(|rules| {
-                (0..2).for_each(|_| rules.sent(1.0, (0, holder), "q1-0", area, (shard, false)));
+                (0..2)
+                    .for_each(|_| rules.part_sent(1.0, (0, holder), "q1-0", area, (shard, false)));
             }),
         ),
         (
             "asked ahead",
             Box::new(|rules| {
-                rules.sent(1.0, (0, hold_at), "q1-0", hold, (hold.parts[0].shard, true))
+                rules.part_sent(1.0, (0, hold_at), "q1-0", hold, (hold.parts[0].shard, true))
             }),
         ),
         (
             "repeat",
             Box::new(|rules| {
                 let shard = hold.parts[0].shard;
-                rules.sent(1.0, (0, hold_at), "q1-0", hold, (shard, false));
-                rules.ran("q1-0", shard, 1.0);
-                rules.sent(4.0, (0, hold_at), "q1-0", hold, (shard, false));
+                rules.part_sent(1.0, (0, hold_at), "q1-0", hold, (shard, false));
+                rules.part_ran("q1-0", shard, 1.0);
+                rules.part_sent(4.0, (0, hold_at), "q1-0", hold, (shard, false));
             }),
         ),
         (
             "refusal",
             Box::new(|rules| {
                 let shard = hold.parts[0].shard;
-                rules.sent(1.0, (0, hold_at), "q1-0", hold, (shard, false));
-                rules.ran("q1-0", shard, 1.0);
-                rules.ended("q1-0", hold, &RequestOutcome::Rejected(0.1), 0.1, 1.0);
+                rules.part_sent(1.0, (0, hold_at), "q1-0", hold, (shard, false));
+                rules.part_ran("q1-0", shard, 1.0);
+                rules.request_ended("q1-0", hold, &RequestOutcome::Rejected(0.1), 0.1, 1.0);
             }),
         ),
         (
             "value",
             Box::new(|rules| {
                 let value = value("q2-0", shard, holder, false);
-                rules.ended(
+                rules.request_ended(
                     "q1-0",
                     area,
                     &RequestOutcome::Answered(
