--- a/crates/wharfhub-testbed/src/emulator/leaf_servers.rs
+++ b/crates/wharfhub-testbed/src/emulator/leaf_servers.rs
@@ -95,7 +95,7 @@
         if work_s <= 0.0 || self.scenario.ideal {
             self.schedule(
                 self.now,
-                Event::Connected(mixer, incarnation, leaf_server, connection),
+                Event::Opened(mixer, incarnation, leaf_server, connection),
             );
             return;
         }
@@ -327,7 +327,7 @@
                     let delay_s = self.delay_s(mixer, leaf_server);
                     self.schedule(
                         self.now + delay_s,
-                        Event::Connected(mixer, incarnation, leaf_server, connection),
+                        Event::Opened(mixer, incarnation, leaf_server, connection),
                     );
                 }
             }
--- a/crates/wharfhub-testbed/src/emulator/mod.rs
+++ b/crates/wharfhub-testbed/src/emulator/mod.rs
@@ -69,7 +69,7 @@
     CallArrives(u32, Vec<u64>),
     Progress(u32, u64),
     HandshakeArrives(u32, usize, u32, u64),
-    Connected(usize, u32, u32, u64),
+    Opened(usize, u32, u32, u64),
     ConnectFailed(usize, u32, u32, u64),
     Answer(
         usize,
@@ -443,7 +443,7 @@
             Event::HandshakeArrives(leaf_server, mixer, incarnation, connection) => {
                 self.handshake_arrives(leaf_server, mixer, incarnation, connection)
             }
-            Event::Connected(mixer, incarnation, leaf_server, connection)
+            Event::Opened(mixer, incarnation, leaf_server, connection)
                 if self.is_current(mixer, incarnation) =>
             {
                 self.connection_opened(mixer, leaf_server, connection)
@@ -470,10 +470,8 @@
             {
                 self.close_connection(mixer, leaf_server, connection, Outcome::Reset);
             }
-            Event::Connected(..)
-            | Event::ConnectFailed(..)
-            | Event::Answer(..)
-            | Event::Reset(..) => {}
+            Event::Opened(..) | Event::ConnectFailed(..) | Event::Answer(..) | Event::Reset(..) => {
+            }
             Event::Expired(mixer, incarnation, attempt) if self.is_current(mixer, incarnation) => {
                 self.drive(mixer, |coordinator, now, out| {
                     coordinator.attempt_ended(now, attempt, Outcome::Superseded, None, out)
