--- a/crates/wharfhub-testbed/src/emulator/mod.rs
+++ b/crates/wharfhub-testbed/src/emulator/mod.rs
@@ -532,11 +532,11 @@
         for (number, retry) in held {
             self.open_requests.remove(&(number, retry));
             self.rules.forget_request(&format!("q{number}-{retry}"));
-            self.tally.tries[tally::LEFT] += 1;
+            self.tally.requests[tally::CLIENT_LEFT] += 1;
             let query = &self.queries[number];
             if machine_lost {
                 let ended_s = query.timeout_s;
-                self.tally.query(self.scenario, query, None, ended_s);
+                self.tally.record_query(self.scenario, query, None, ended_s);
             } else {
                 self.retry_or_finish(number, retry, None, false);
             }
--- a/crates/wharfhub-testbed/src/load.rs
+++ b/crates/wharfhub-testbed/src/load.rs
@@ -120,7 +120,7 @@
             let timeout_s = query.at + query.timeout_s - asked_at;
             let mixer = (query.mixer + retry as usize) % self.mixers.len();
             lock(&shared.rules).request_started(&id);
-            lock(&self.tally).tries[tally::ASKED] += 1;
+            lock(&self.tally).requests[tally::TOTAL] += 1;
             let answer = self.send_request(mixer, &id, number, query, timeout_s);
             let (took_s, since_s) = (shared.now() - asked_at, shared.now() - query.at);
             let mut retry_after_s = None;
@@ -153,10 +153,10 @@
             lock(&shared.rules).request_ended(&id, query, &ended, took_s, timeout_s);
             let kind = match ended {
                 RequestOutcome::Rejected(_) => tally::REFUSED,
-                RequestOutcome::Abandoned => tally::LEFT,
+                RequestOutcome::Abandoned => tally::CLIENT_LEFT,
                 _ => tally::FAILED,
             };
-            lock(&self.tally).tries[kind] += 1;
+            lock(&self.tally).requests[kind] += 1;
             let (max, backoff_s, _) = scenario.site.retries;
             let backoff_s = (backoff_s.0 + backoff_s.1) / 2.0;
             let retry_delay_s = retry_after_s
@@ -167,7 +167,7 @@
                 || query.timeout_s - since_s - retry_delay_s <= MIN_RETRY_TIME_S
                 || !may_retry
             {
-                return lock(&self.tally).query(scenario, query, None, since_s);
+                return lock(&self.tally).record_query(scenario, query, None, since_s);
             }
             std::thread::sleep(Duration::from_secs_f64(retry_delay_s));
         }
@@ -208,16 +208,16 @@
             timeout_s,
         );
         let mut tally = lock(&self.tally);
-        tally.tries[tally::ANSWERED] += 1;
-        tally.tries[tally::IN_PART] += u64::from(!body.full);
+        tally.requests[tally::ANSWERED] += 1;
+        tally.requests[tally::PARTIAL] += u64::from(!body.full);
         let mut share = 0.0;
         for (index, value) in &made {
             let (part, word) = (query.parts[*index], value.ends_with(" none"));
             share += part.weight;
-            tally.useful_s += part.work_s * if word { scenario.pre_check_work } else { 1.0 };
+            tally.useful_work_s += part.work_s * if word { scenario.pre_check_work } else { 1.0 };
             tally.pruned += u64::from(word);
         }
-        tally.query(
+        tally.record_query(
             scenario,
             query,
             Some((since_s, if body.full { 1.0 } else { share })),
