--- a/crates/wharfhub-testbed/src/experiments/data_path.rs
+++ b/crates/wharfhub-testbed/src/experiments/data_path.rs
@@ -12,10 +12,10 @@
 use crate::fit::Point;
 use crate::load::{self, Load};
 use crate::report::{draw_chart, Estimate, Line, Table};
-use crate::rules::Rules;
+use crate::rules::RuleChecker;
 use crate::site::{cardiff, Class, Fault, Layout, Part, Query, Scenario, Site};
 use crate::standin::{self, lock, Shared};
-use crate::{tally, world};
+use crate::{emulator, tally};
 use cost_law::{CostLaw, MAX_COST_RATIO};
 use rand::Rng;
 use rand_distr::{Distribution, Exp};
@@ -137,8 +137,8 @@
         parts: (parts, parts, 0.0),
         work_s: PLANNED_PART_S,
         latency_objective_s: LATENCY_TARGET_S,
-        give_up_s: CLIENT_TIMEOUT_S,
-        floor: 1.0,
+        client_timeout_s: CLIENT_TIMEOUT_S,
+        min_share: 1.0,
         ..cardiff().classes.remove(0)
     };
     let base = cardiff();
@@ -172,7 +172,7 @@
         faults,
         ..Scenario::default()
     };
-    scenario.load *= FLEET_QUERIES_PER_S / scenario.rate();
+    scenario.load *= FLEET_QUERIES_PER_S / scenario.queries_per_s();
     scenario
 }
 
@@ -195,7 +195,7 @@
         key,
         parts,
         timeout_s: CLIENT_TIMEOUT_S,
-        leaves_s: f64::MAX,
+        disconnects_after_s: f64::MAX,
         mixer: 0,
     }
 }
@@ -206,7 +206,7 @@
     let shared = Arc::new(Shared {
         queries,
         start: Instant::now() + Duration::from_secs_f64(START_DELAY_S),
-        rules: Mutex::new(Rules::new(&scenario, TIME_TOLERANCE_S)),
+        rules: Mutex::new(RuleChecker::new(&scenario, TIME_TOLERANCE_S)),
         work: Mutex::new((vec![0.0; scenario.site.classes.len()], 0, 0)),
         scenario,
     });
@@ -222,11 +222,11 @@
 /// violation: the mixer may have sent it before that answer, and only the order of reading is observed on sockets.
 fn broken_rules(shared: &Shared) -> Vec<String> {
     let mut rules = lock(&shared.rules);
-    rules.over();
+    rules.finish();
     let undecided =
         |violation: &&String| shared.scenario.site.attempts.1 && violation.starts_with("ended: ");
     rules
-        .broken
+        .violations
         .iter()
         .filter(|violation| !undecided(violation))
         .map(|violation| format!("broken: {violation}"))
@@ -260,12 +260,12 @@
     let rig = start(scenario, queries, "sizes")?;
     std::thread::sleep(Duration::from_secs_f64(START_DELAY_S));
     let mixer = vec![rig.daemon.address];
-    Load::new(&rig.shared, mixer.clone()).play_in_turn(0..SIZES.len() * QUERIES_PER_ROUND);
+    Load::new(&rig.shared, mixer.clone()).run_closed_loop(0..SIZES.len() * QUERIES_PER_ROUND);
     let load = Load::new(&rig.shared, mixer);
     let mut costs = vec![Vec::new(); SIZES.len()];
     for block in SIZES.len()..rounds * SIZES.len() {
         let before = rig.daemon.usage()?;
-        load.play_in_turn(block * QUERIES_PER_ROUND..(block + 1) * QUERIES_PER_ROUND);
+        load.run_closed_loop(block * QUERIES_PER_ROUND..(block + 1) * QUERIES_PER_ROUND);
         let spent_s = rig.daemon.usage()?.cpu_s - before.cpu_s;
         costs[block % SIZES.len()].push(spent_s * 1e6 / QUERIES_PER_ROUND as f64);
     }
@@ -413,7 +413,7 @@
     }
     let rig = start(scenario, queries, "planned")?;
     let before = rig.daemon.usage()?;
-    let load = load::play(&rig.shared, vec![rig.daemon.address]);
+    let load = load::run_open_loop(&rig.shared, vec![rig.daemon.address]);
     let after = rig.daemon.usage()?;
     let (timing, others): (Vec<_>, Vec<_>) = broken_rules(&rig.shared)
         .into_iter()
@@ -463,14 +463,14 @@
         seconds: VIRTUAL_RUN_S,
         site: Site {
             layout,
-            next_to: true,
+            has_consecutive_shards: true,
             classes: vec![class],
             ..base.site
         },
         ideal: true,
         ..base
     };
-    scenario.load *= FLEET_QUERIES_PER_S / f64::from(MIXERS) / scenario.rate();
+    scenario.load *= FLEET_QUERIES_PER_S / f64::from(MIXERS) / scenario.queries_per_s();
     scenario
 }
 
@@ -484,18 +484,18 @@
     ]);
     for holders in HOLDERS {
         let scenario = scenario_with_holders(options.seed, holders);
-        let run = world::play(&scenario)?;
+        let run = emulator::run(&scenario)?;
         shortfalls.extend(
             run.rules
-                .broken
+                .violations
                 .iter()
                 .map(|violation| format!("broken: {violation}")),
         );
         table.add_row(vec![
             holders.to_string(),
             scenario.leaf_servers.to_string(),
-            run.taken.to_string(),
-            format!("{:.0}", run.cpu_s * 1e6 / run.taken.max(1) as f64),
+            run.requests.to_string(),
+            format!("{:.0}", run.cpu_s * 1e6 / run.requests.max(1) as f64),
         ]);
     }
     println!("core and module alone, queries of 180 parts at 163/s in virtual time:");
--- a/crates/wharfhub-testbed/src/experiments/deployments.rs
+++ b/crates/wharfhub-testbed/src/experiments/deployments.rs
@@ -7,7 +7,7 @@
 use super::{parallel, ExperimentError, Options, Verdict};
 use crate::report::{draw_chart, Estimate, Line, Table};
 use crate::site::{cardiff, szeged, Fault, Layout, Scenario, Site};
-use crate::{tally, world};
+use crate::{emulator, tally};
 
 /// Number of scenarios of a cell and their length (seconds), in the full and in the quick run.
 const SCENARIOS_PER_CELL: (u64, u64) = (20, 4);
@@ -66,7 +66,7 @@
         kind(
             "links fall silent",
             0.5,
-            vec![(0.1, 0.9, Fault::LinksSilent(0.15))],
+            vec![(0.1, 0.9, Fault::SilentConnections(0.15))],
         ),
         kind("dead, back cold", 0.5, vec![(0.25, 0.55, Fault::Dead(0.2))]),
         kind(
@@ -126,7 +126,7 @@
 }
 
 fn run_scenario(scenario: &Scenario) -> Result<RunMetrics, ExperimentError> {
-    let run = world::play(scenario)?;
+    let run = emulator::run(scenario)?;
     let asked = run.tally.requests[tally::TOTAL].max(1) as f64;
     let (late, unanswered) = run.tally.late_and_unanswered_shares();
     Ok(RunMetrics {
@@ -137,7 +137,7 @@
         attempts: run.tally.attempts_sent as f64 / asked,
         waste: run.tally.waste(),
         handshakes: run.handshakes,
-        broken: run.rules.broken,
+        broken: run.rules.violations,
     })
 }
 
@@ -173,8 +173,8 @@
 /// Returns the scenarios of all cells, cell by cell, for both deployments at both speeds.
 fn jobs(kinds: &[ScenarioKind], seeds: std::ops::Range<u64>, seconds: f64) -> Vec<Job> {
     let fast = [
-        cardiff().faster("cardiff x4", FAST_PROFILE_FACTOR),
-        szeged().faster("szeged x4", FAST_PROFILE_FACTOR),
+        cardiff().with_faster_service("cardiff x4", FAST_PROFILE_FACTOR),
+        szeged().with_faster_service("szeged x4", FAST_PROFILE_FACTOR),
     ];
     let sites: Vec<Site> = [cardiff(), szeged()].into_iter().chain(fast).collect();
     let mut jobs = Vec::new();
--- a/crates/wharfhub-testbed/src/experiments/soak.rs
+++ b/crates/wharfhub-testbed/src/experiments/soak.rs
@@ -1,4 +1,4 @@
-//! Randomized fault soak over many seeds: real daemons under overlapping faults, checked by what crosses their sockets.
+//! The `soak` experiment: randomized fault soaks of real daemons with consecutive seeds, checked from outside.
 
 use super::{ExperimentError, Options, Verdict};
 use crate::report::Table;
@@ -8,19 +8,19 @@
 use std::io;
 use std::path::Path;
 
-/// Number of seeds of a full run.
+/// Number of soaks in a full run.
 const SEEDS: u64 = 20;
-/// Number of seeds of a quick run.
+/// Number of soaks in a quick run.
 const QUICK_SEEDS: u64 = 3;
-/// Name of the part that runs only the first seed, at full size.
+/// Name of the part of the experiment that runs a soak with the first seed only.
 const ONE_SEED: &str = "one";
-/// Smallest share of requests served in the period without faults at the end.
-const MIN_SERVED_AT_THE_END: f64 = 0.9;
-/// Largest number of violations printed for each seed.
-const MAX_PRINTED: usize = 8;
-/// Largest number of log lines of the mixers printed for each seed with violations.
+/// Smallest share of requests that have to be served in the last seconds of a soak, when faults have ended.
+const MIN_FINAL_SERVED_SHARE: f64 = 0.9;
+/// Largest number of violations printed for a soak.
+const MAX_PRINTED_VIOLATIONS: usize = 8;
+/// Largest number of lines of the mixers' logs printed for a soak with violations.
 const MAX_PRINTED_LOG_LINES: usize = 40;
-/// Texts of the log lines that are printed: the mixers' own invariant checks, and process pauses.
+/// Texts by which log lines are selected for printing: the findings of the mixers' invariant guards, and stalls of the process.
 const PRINTED_LOG_TEXTS: [&str; 3] = [
     "invariant violated",
     "invariant undecided",
@@ -32,33 +32,38 @@
     vec![
         plan.seed.to_string(),
         plan.terms.mixers.to_string(),
-        plan.notified_size.to_string(),
-        if plan.terms.pushed { "pushed" } else { "asked" }.into(),
+        plan.configured_fleet_size.to_string(),
+        if plan.terms.lists_pushed {
+            "pushed"
+        } else {
+            "asked"
+        }
+        .into(),
         plan.faults.len().to_string(),
         counts.all.to_string(),
         counts.served.to_string(),
         counts.refused.to_string(),
         counts.failed.to_string(),
-        counts.left.to_string(),
-        (counts.not_taken + counts.unanswered).to_string(),
+        counts.closed_by_client.to_string(),
+        (counts.not_accepted + counts.unanswered).to_string(),
         outcome.calls.to_string(),
-        format!("{:.3}", outcome.served_at_the_end),
-        outcome.stops.to_string(),
+        format!("{:.3}", outcome.final_served_share),
+        outcome.guard_stops.to_string(),
         format!("{:.2}", outcome.stalled_s),
         outcome.violations.len().to_string(),
     ]
 }
 
 fn print_violations(plan: &Plan, outcome: &Outcome) {
-    let mut by_rule: BTreeMap<_, usize> = BTreeMap::new();
+    let mut count_by_rule: BTreeMap<_, usize> = BTreeMap::new();
     for violation in &outcome.violations {
-        *by_rule.entry(violation.rule).or_default() += 1;
+        *count_by_rule.entry(violation.rule).or_default() += 1;
     }
-    println!("seed {}: broken {by_rule:?}", plan.seed);
-    for violation in outcome.violations.iter().take(MAX_PRINTED) {
+    println!("seed {}: violations {count_by_rule:?}", plan.seed);
+    for violation in outcome.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         println!(
             "  {:7.3} {:?}: {}",
-            violation.at, violation.rule, violation.what
+            violation.at, violation.rule, violation.description
         );
     }
     for planned in &plan.faults {
@@ -66,7 +71,7 @@
     }
 }
 
-/// Prints the log lines about invariants and process pauses, because a CI run does not keep the directory with the logs.
+/// Prints the selected lines of the mixers' logs, because the folder with the logs is not kept after a run in CI.
 fn print_log_lines(folder: &Path) -> io::Result<()> {
     let mut lines = Vec::new();
     for entry in std::fs::read_dir(folder)? {
@@ -116,20 +121,20 @@
     for seed in options.seed..options.seed + seeds {
         let plan = Plan::draw(seed, options.quick);
         let folder = options.out.join(format!("soak-{seed}"));
-        let (_, outcome) = run::play(&plan, &folder).map_err(ExperimentError::from)?;
+        let (_, outcome) = run::run_plan(&plan, &folder).map_err(ExperimentError::from)?;
         table.add_row(row(&plan, &outcome));
         if !outcome.violations.is_empty() {
             print_violations(&plan, &outcome);
             print_log_lines(&folder)?;
             shortfalls.push(format!(
-                "seed {seed}: {} rules broken",
+                "seed {seed}: {} violations",
                 outcome.violations.len()
             ));
         }
-        if outcome.served_at_the_end < MIN_SERVED_AT_THE_END {
+        if outcome.final_served_share < MIN_FINAL_SERVED_SHARE {
             shortfalls.push(format!(
-                "seed {seed}: {:.3} served at the end",
-                outcome.served_at_the_end
+                "seed {seed}: {:.3} of the requests served at the end",
+                outcome.final_served_share
             ));
         }
     }
--- a/crates/wharfhub-testbed/src/experiments/tail.rs
+++ b/crates/wharfhub-testbed/src/experiments/tail.rs
@@ -6,10 +6,10 @@
 
 use super::data_path::{scenario_with_holders, PLANNED_HOLDERS};
 use super::{parallel, ExperimentError, Options, Verdict};
+use crate::emulator;
 use crate::report::Table;
 use crate::site::{Fault, Scenario};
 use crate::tally;
-use crate::world;
 
 /// Numbers of slow leaf servers among 5,220: none, one, one in a thousand, one in a hundred. The quick run has only one in a
 /// thousand.
@@ -58,7 +58,7 @@
         .collect();
     let scenarios: Vec<Scenario> = cases.iter().map(|case| scenario(options, *case)).collect();
     let runs = parallel(&scenarios, |scenario| {
-        world::play(scenario).map_err(ExperimentError::from)
+        emulator::run(scenario).map_err(ExperimentError::from)
     });
     let columns = [
         "slow of 5220",
@@ -79,7 +79,7 @@
         table.add_row(vec![
             case.slow_servers.to_string(),
             if case.hedging { "on" } else { "off" }.into(),
-            run.taken.to_string(),
+            run.requests.to_string(),
             format!("{in_time:.4}"),
             format!("{late:.4}"),
             format!("{unanswered:.4}"),
@@ -90,7 +90,7 @@
         ]);
         shortfalls.extend(
             run.rules
-                .broken
+                .violations
                 .iter()
                 .map(|violation| format!("broken: {violation}")),
         );
--- a/crates/wharfhub-testbed/src/fleet/queries.rs
+++ b/crates/wharfhub-testbed/src/fleet/queries.rs
@@ -2,7 +2,7 @@
 
 use super::catalog::{ListedServer, Phase};
 use crate::daemon::{self, Daemon};
-use crate::rules::Rules;
+use crate::rules::RuleChecker;
 use crate::site::Scenario;
 use crate::standin::{self, lock, Shared};
 use crate::{load, tally};
@@ -43,7 +43,7 @@
         let shared = Arc::new(Shared {
             queries: scenario.queries(),
             start: Instant::now() + Duration::from_secs_f64(START_DELAY_S),
-            rules: Mutex::new(Rules::new(&scenario, TIME_TOLERANCE_S)),
+            rules: Mutex::new(RuleChecker::new(&scenario, TIME_TOLERANCE_S)),
             work: Mutex::new((vec![0.0; scenario.site.classes.len()], 0, 0)),
             scenario,
         });
@@ -75,15 +75,15 @@
     /// Runs the scenario's load to its end and checks the rules.
     pub fn run(&self) -> QueryOutcome {
         let addresses = self.daemons.iter().map(|daemon| daemon.address).collect();
-        let load = load::play(&self.shared, addresses);
+        let load = load::run_open_loop(&self.shared, addresses);
         let requests = lock(&load.tally).requests;
         let mut rules = lock(&self.shared.rules);
-        rules.over();
+        rules.finish();
         let (asked, answered) = (requests[tally::TOTAL], requests[tally::ANSWERED]);
         QueryOutcome {
             asked,
             answered,
-            broken: rules.broken.clone(),
+            broken: rules.violations.clone(),
         }
     }
 }
--- a/crates/wharfhub-testbed/src/fleet/setup.rs
+++ b/crates/wharfhub-testbed/src/fleet/setup.rs
@@ -101,7 +101,7 @@
 impl MixerSettings {
     /// Returns the settings as JSON for the daemon: those of the testbed's deployment, with subscription to discovery.
     pub fn to_json(&self) -> String {
-        let site = cardiff().faster("fleet", 1.0 / self.target_factor);
+        let site = cardiff().with_faster_service("fleet", 1.0 / self.target_factor);
         let scenario = Scenario {
             mixers: self.replicas,
             leaf_servers: self.cells,
--- a/crates/wharfhub-testbed/src/tally.rs
+++ b/crates/wharfhub-testbed/src/tally.rs
@@ -4,7 +4,7 @@
 //! tenant, less penalties for late failures and wasted work. Queries are weighted equally or by their work, and the requests that a
 //! client sends for one query count once.
 
-use crate::site::{Goal, Query, Scenario};
+use crate::site::{Query, Scenario, ScoringRule};
 
 const WINDOW_S: f64 = 10.0;
 /// Factor on the earned weight of a partial answer.
@@ -36,7 +36,7 @@
 /// Sums over one scenario.
 #[derive(Clone, Debug)]
 pub struct Tally {
-    goal: Goal,
+    goal: ScoringRule,
     overall: WeightSum,
     windows: Vec<WeightSum>,
     classes: Vec<WeightSum>,
