--- a/crates/wharfhub-testbed/src/experiments/soak.rs
+++ b/crates/wharfhub-testbed/src/experiments/soak.rs
@@ -20,7 +20,7 @@
 const MAX_PRINTED_VIOLATIONS: usize = 8;
 /// Largest number of lines of the mixers' logs printed for a soak with violations.
 const MAX_PRINTED_LOG_LINES: usize = 40;
-/// Texts by which log lines are selected for printing: the findings of the mixers' invariant guards, and stalls of the process.
+/// Texts by which log lines are selected for printing: the findings of the mixers' invariant checks, and stalls of the process.
 const PRINTED_LOG_TEXTS: [&str; 3] = [
     "invariant violated",
     "invariant undecided",
@@ -48,7 +48,7 @@
         (counts.not_accepted + counts.unanswered).to_string(),
         outcome.calls.to_string(),
         format!("{:.3}", outcome.final_served_share),
-        outcome.guard_stops.to_string(),
+        outcome.stopped_actions.to_string(),
         format!("{:.2}", outcome.stalled_s),
         outcome.violations.len().to_string(),
     ]
--- a/crates/wharfhub-testbed/src/soak/checker.rs
+++ b/crates/wharfhub-testbed/src/soak/checker.rs
@@ -48,7 +48,7 @@
     SentTimeout,
     /// Mixer processes do not crash and are ready in time.
     Process,
-    /// The invariant guard of a mixer counts no violation.
+    /// The mixers' own invariant checks count no violation.
     Invariants,
 }
 
@@ -285,9 +285,9 @@
                 ProcessEvent::Crashed => {
                     self.report(Rule::Process, at, format!("m{mixer} crashed"))
                 }
-                ProcessEvent::GuardViolations(count) if count > 0 => {
+                ProcessEvent::InvariantViolations(count) if count > 0 => {
                     let description =
-                        format!("m{mixer}: the invariant guard counted {count} violations");
+                        format!("m{mixer}: the invariant checks counted {count} violations");
                     self.report(Rule::Invariants, at, description);
                 }
                 _ => {}
--- a/crates/wharfhub-testbed/src/soak/clients.rs
+++ b/crates/wharfhub-testbed/src/soak/clients.rs
@@ -57,7 +57,7 @@
     pub max_client_timeout_ms: u64,
     /// Recorder of the history.
     pub recorder: Arc<Recorder>,
-    last_request_number: AtomicU64,
+    next_request_number: AtomicU64,
 }
 
 impl ClientPool {
@@ -76,7 +76,7 @@
             shards,
             max_client_timeout_ms,
             recorder,
-            last_request_number: AtomicU64::default(),
+            next_request_number: AtomicU64::default(),
         }
     }
 
@@ -124,7 +124,7 @@
     /// answer, as the close may have crossed the request.
     fn send_request(&self, mixer: usize, idle_connection: &mut Option<BufReader<TcpStream>>) {
         let mut rng = rand::rng();
-        let number = self.last_request_number.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_request_number.fetch_add(1, Ordering::Relaxed);
         let id = format!("m{mixer}-{number}");
         let timeout =
             Duration::from_millis(rng.random_range(MIN_TIMEOUT_MS..self.max_client_timeout_ms));
--- a/crates/wharfhub-testbed/src/soak/history.rs
+++ b/crates/wharfhub-testbed/src/soak/history.rs
@@ -157,10 +157,10 @@
     Continued,
     /// The process exited without a signal to do so, or could not be started.
     Crashed,
-    /// Number of violations that the invariant guard of the process has counted.
-    GuardViolations(u64),
-    /// Number of actions that the invariant guard of the process has stopped.
-    GuardStops(u64),
+    /// Number of violations that the invariant checks of the process have counted.
+    InvariantViolations(u64),
+    /// Number of actions that the invariant checks of the process have stopped.
+    StoppedActions(u64),
 }
 
 /// A process event with the mixer and the time.
--- a/crates/wharfhub-testbed/src/soak/plan.rs
+++ b/crates/wharfhub-testbed/src/soak/plan.rs
@@ -46,7 +46,7 @@
 pub struct Terms {
     /// Number of mixers.
     pub mixers: usize,
-    /// Time from the notification on after which no part may go to a draining server (seconds).
+    /// Time after the notification from which on no part may go to a draining server (seconds).
     pub drain_grace_s: f64,
     /// Time for which servers discard repeats of keyed parts (seconds).
     pub dedup_window_s: f64,
@@ -225,7 +225,7 @@
     },
 }
 
-/// A fault with its start.
+/// A fault with the time at which it starts.
 #[derive(Clone, Debug)]
 pub struct PlannedFault {
     /// Start of the fault (seconds since the start of the soak).
--- a/crates/wharfhub-testbed/src/soak/processes.rs
+++ b/crates/wharfhub-testbed/src/soak/processes.rs
@@ -18,16 +18,16 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Longest wait for a process to listen.
 const MAX_LISTEN_DELAY: Duration = Duration::from_secs(2);
-/// A process that has not exited after SIGTERM is killed once the clients' longest timeout and this time have passed (seconds),
-/// by the operators' terms.
+/// By the operators' terms, a process that has not exited after SIGTERM is killed after the clients' longest timeout plus this
+/// time (seconds).
 const KILL_DELAY_S: f64 = 0.7;
 /// Upper limit of the clients' timeout in that sum (seconds).
 const MAX_COUNTED_TIMEOUT_S: f64 = 3.0;
 /// Smallest deadline of the classes in the settings (seconds).
 const MIN_DEADLINE_S: f64 = 1.0;
-/// Metrics of the invariant guard that are recorded.
+/// Metrics of the invariant checks that are recorded.
 const VIOLATIONS_METRIC: &str = "svc_violations_total";
-const GUARD_STOPS_METRIC: &str = "svc_guard_stops_total";
+const STOPPED_ACTIONS_METRIC: &str = "svc_guard_stops_total";
 
 /// A signal that a soak sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -83,7 +83,7 @@
     }
 }
 
-/// A mixer, with one process at a time that may be restarted.
+/// A mixer. The mixer has at most one process at a time, which may be replaced by a new one.
 pub struct MixerProcess {
     number: usize,
     program: PathBuf,
@@ -273,8 +273,8 @@
         Ok(())
     }
 
-    /// Records the counts of the invariant guard since the start of the process.
-    pub fn record_guard_counters(&self) {
+    /// Records the counts of the invariant checks since the start of the process.
+    pub fn record_invariant_counts(&self) {
         if !self.is_running() {
             return;
         }
@@ -289,11 +289,11 @@
         };
         self.recorder.record_process(
             self.number,
-            ProcessEvent::GuardViolations(sum(VIOLATIONS_METRIC)),
+            ProcessEvent::InvariantViolations(sum(VIOLATIONS_METRIC)),
         );
         self.recorder.record_process(
             self.number,
-            ProcessEvent::GuardStops(sum(GUARD_STOPS_METRIC)),
+            ProcessEvent::StoppedActions(sum(STOPPED_ACTIONS_METRIC)),
         );
     }
 }
--- a/crates/wharfhub-testbed/src/soak/registry.rs
+++ b/crates/wharfhub-testbed/src/soak/registry.rs
@@ -97,7 +97,7 @@
 /// A call of a mixer for the list.
 #[derive(Clone, Copy)]
 struct ListCall {
-    /// Version that the mixer has; none if it has none.
+    /// Index of the version that the mixer has; none if the call names no revision.
     since: Option<usize>,
     /// Time for which the call waits for a newer version.
     wait: Duration,
--- a/crates/wharfhub-testbed/src/soak/run.rs
+++ b/crates/wharfhub-testbed/src/soak/run.rs
@@ -25,8 +25,8 @@
 const CUT_DRAIN_BACK_S: f64 = 6.0;
 /// Time after SIGTERM for which clients still open new connections, as a load balancer that has not noticed yet would (seconds).
 const NEW_CONNECTIONS_AFTER_SIGTERM_S: f64 = 0.3;
-/// The counts of the mixers are read this long after the clients' longest timeout has passed since the last request, when the
-/// mixers have ended all requests (seconds).
+/// Time beyond the clients' longest timeout that the mixers get to end their last requests, before the counts of their invariant
+/// checks are read (seconds).
 const LAST_REQUESTS_MARGIN_S: f64 = 0.7;
 /// Number of idle clients of each mixer in a soak with a shortage of descriptors.
 const IDLE_CLIENTS_PER_MIXER: usize = 160;
@@ -43,8 +43,8 @@
     pub final_served_share: f64,
     /// Number of parts that servers received.
     pub calls: usize,
-    /// Number of actions that the mixers' invariant guards stopped.
-    pub guard_stops: u64,
+    /// Number of actions that the mixers' invariant checks stopped.
+    pub stopped_actions: u64,
     /// Total time for which the stand-ins themselves were stalled (seconds).
     pub stalled_s: f64,
 }
@@ -165,7 +165,7 @@
     ));
     soak.mixers
         .iter()
-        .for_each(|mixer| mixer.process.record_guard_counters());
+        .for_each(|mixer| mixer.process.record_invariant_counts());
     let history = soak.recorder.history();
     let outcome = outcome(plan, &history);
     Ok((history, outcome))
@@ -182,7 +182,7 @@
             .filter(|request| request.at > final_from_s),
     );
     let stops = history.processes.iter().map(|record| match record.event {
-        ProcessEvent::GuardStops(count) => count,
+        ProcessEvent::StoppedActions(count) => count,
         _ => 0,
     });
     Outcome {
@@ -191,7 +191,7 @@
         final_served_share: final_counts.served as f64
             / (final_counts.all - final_counts.closed_by_client).max(1) as f64,
         calls: history.calls.len(),
-        guard_stops: stops.sum(),
+        stopped_actions: stops.sum(),
         stalled_s: history
             .stalls
             .iter()
@@ -317,7 +317,7 @@
     }
 
     /// Takes a mixer out of rotation: clients open no new connections to it.
-    fn stop_new_clients(&self, number: usize) {
+    fn remove_from_rotation(&self, number: usize) {
         let routing = &self.client_pool.routing[number];
         routing.is_in_rotation.store(false, Ordering::Relaxed);
         routing
@@ -339,7 +339,7 @@
                 mixer,
                 times,
                 every_s,
-            } => self.reread(*mixer, *times, *every_s),
+            } => self.reload(*mixer, *times, *every_s),
             InjectedFault::Stop { mixer, for_s } => self.stop(*mixer, *for_s),
             InjectedFault::Move { mixer } => self.move_discovery(*mixer),
             InjectedFault::DiscoveryDown { outage, for_s } => self.discovery_down(*outage, *for_s),
@@ -414,7 +414,7 @@
         }
         // The mixer stays in rotation until the kill is done, so clients may find no listener.
         mixer.process.kill();
-        self.stop_new_clients(number);
+        self.remove_from_rotation(number);
         self.sleep(down_s.min(self.duration_s - self.recorder.now() - 1.0));
         self.start(number);
     }
@@ -480,7 +480,7 @@
     }
 
     /// Makes a mixer reload its unchanged configuration several times in a row.
-    fn reread(&self, number: usize, times: usize, every_s: f64) {
+    fn reload(&self, number: usize, times: usize, every_s: f64) {
         let mixer = &self.mixers[number];
         let _process_lock = mixer.lock_process();
         if !mixer.process.is_running() || !mixer.process.await_listener() {
--- a/crates/wharfhub-testbed/src/soak/timeline.rs
+++ b/crates/wharfhub-testbed/src/soak/timeline.rs
@@ -104,7 +104,7 @@
 struct DiscoveryAccess {
     /// Spans in which discovery was unreachable, in order of time.
     unreachable: Vec<Span>,
-    /// Spans that start when open watches fell silent and end when a new call could succeed.
+    /// Spans that start when open watches fell silent and end when a new call could succeed, which may be the same time.
     silent_watches: Vec<Span>,
     reconfigured_at: Vec<f64>,
 }
--- a/crates/wharfhub-testbed/tests/soak.rs
+++ b/crates/wharfhub-testbed/tests/soak.rs
@@ -1,4 +1,4 @@
-//! The soak's judge catches a planted fault of each kind, and its plans follow from their seeds.
+//! Tests of the soak's checker with a planted violation of each rule, and of the plans drawn from seeds.
 
 use rstest::rstest;
 use wharfhub_testbed::soak::checker::{Checker, Rule};
@@ -20,7 +20,7 @@
     lists_pushed: true,
     ..TERMS
 };
-/// When server 0 is taken off the list.
+/// Time at which server 0 starts to drain (seconds).
 const DRAINED_AT: f64 = 10.0;
 
 fn record(mixer: usize, at: f64, event: ProcessEvent) -> ProcessRecord {
@@ -36,7 +36,8 @@
     }
 }
 
-/// Two mixers that started at 0 and are ready; server 0 drains from 10 on, and only mixer 1 was told so.
+/// Returns a history in which two mixers started at 0 s and are ready, server 0 drains from 10 s on, and discovery has written
+/// that change to mixer 1 only.
 fn history() -> History {
     let version = |at: f64, phase: ServerPhase| ListVersion {
         at,
@@ -103,10 +104,10 @@
 }
 
 fn violated_rules(history: &History) -> Vec<Rule> {
-    violated_rules_by(history, &TERMS)
+    violated_rules_under(history, &TERMS)
 }
 
-fn violated_rules_by(history: &History, terms: &Terms) -> Vec<Rule> {
+fn violated_rules_under(history: &History, terms: &Terms) -> Vec<Rule> {
     Checker::check(history, terms)
         .into_iter()
         .map(|violation| violation.rule)
@@ -114,7 +115,7 @@
 }
 
 #[test]
-fn a_sound_history_breaks_nothing() {
+fn a_correct_history_has_no_violations() {
     let mut history = history();
     history.calls = vec![
         call(1, 0, DRAINED_AT + 0.4),
@@ -125,12 +126,12 @@
     assert_eq!(violated_rules(&history), []);
 }
 
-/// Told when the answer was written, or 6 s after discovery had it and could be reached.
+/// A mixer counts as notified when the answer was written, or 6 s after discovery had the change and could be reached.
 #[rstest]
-#[case::discovery_answer(1, DRAINED_AT + 0.7, true)]
-#[case::deemed_told(0, DRAINED_AT + 6.7, true)]
-#[case::not_told_yet(0, DRAINED_AT + 6.4, false)]
-fn a_send_to_a_server_that_drains(
+#[case::notified_by_an_answer(1, DRAINED_AT + 0.7, true)]
+#[case::counted_as_notified(0, DRAINED_AT + 6.7, true)]
+#[case::not_yet_notified(0, DRAINED_AT + 6.4, false)]
+fn a_send_to_a_draining_server_is_a_violation_after_the_grace(
     #[case] mixer: usize,
     #[case] at: f64,
     #[case] is_violation: bool,
@@ -147,9 +148,9 @@
     );
 }
 
-/// Incident 2: what was written counts, whatever has arrived of it.
+/// Incident 2: a mixer counts as notified from the write of an answer on, however much of the answer arrives.
 #[test]
-fn an_answer_that_is_cut_off_counts_as_told() {
+fn an_answer_that_is_cut_off_counts_as_a_notification() {
     let mut history = history();
     history.calls = vec![call(0, 0, DRAINED_AT + 1.0)];
     assert_eq!(violated_rules(&history), []);
@@ -162,13 +163,13 @@
     assert_eq!(
         violated_rules(&history),
         [],
-        "the grace counts from the write"
+        "the grace starts at the write"
     );
 }
 
-/// A process that starts after that has not been told by it, but by the time.
+/// A process started after the cut-off answer counts as notified only when the time for that has passed.
 #[test]
-fn an_answer_that_was_cut_off_on_its_way_to_the_process_before() {
+fn an_answer_cut_off_before_a_restart_does_not_notify_the_new_process() {
     let mut history = history();
     history.discovery_answers.push(DiscoveryAnswer {
         is_cut: true,
@@ -185,15 +186,16 @@
     assert_eq!(violated_rules(&history), [Rule::Drain]);
 }
 
-/// Where lists are pushed what the agent has counts, without any answer.
+/// Where lists are pushed, a mixer counts as notified of the changes that its agent has, without any answer. An outage of
+/// discovery delays that until its end; a silent discovery delays it by another 6 s.
 #[rstest]
-#[case::at_once(None, 0.7, true)]
-#[case::in_its_grace(None, 0.5, false)]
-#[case::down_until_2_s(Some(DiscoveryFailure::Down), 2.4, false)]
-#[case::back_since_2_s(Some(DiscoveryFailure::Down), 2.7, true)]
-#[case::silent_until_2_s(Some(DiscoveryFailure::Silent), 8.4, false)]
-#[case::silent_and_found_too_late(Some(DiscoveryFailure::Silent), 8.7, true)]
-fn what_an_agent_has_counts_as_told(
+#[case::after_the_grace(None, 0.7, true)]
+#[case::within_the_grace(None, 0.5, false)]
+#[case::within_the_grace_after_an_outage(Some(DiscoveryFailure::Down), 2.4, false)]
+#[case::after_the_grace_after_an_outage(Some(DiscoveryFailure::Down), 2.7, true)]
+#[case::within_the_grace_after_a_silence(Some(DiscoveryFailure::Silent), 8.4, false)]
+#[case::after_the_grace_after_a_silence(Some(DiscoveryFailure::Silent), 8.7, true)]
+fn a_change_that_the_agent_has_counts_as_a_notification(
     #[case] failure: Option<DiscoveryFailure>,
     #[case] after_s: f64,
     #[case] is_violation: bool,
@@ -205,7 +207,7 @@
         .collect();
     history.calls = vec![call(0, 0, DRAINED_AT + after_s)];
     assert_eq!(
-        violated_rules_by(&history, &PUSHED_LIST_TERMS),
+        violated_rules_under(&history, &PUSHED_LIST_TERMS),
         if is_violation {
             vec![Rule::Drain]
         } else {
@@ -215,24 +217,24 @@
 }
 
 #[test]
-fn what_an_agent_has_counts_later_after_a_silence_or_a_new_configuration() {
+fn a_notification_through_the_agent_is_delayed_after_a_silence_or_a_new_configuration() {
     let mut history = history();
     history.calls = vec![call(0, 0, DRAINED_AT + 1.0)];
     history.watch_silences = vec![DRAINED_AT - 1.0];
-    assert_eq!(violated_rules_by(&history, &PUSHED_LIST_TERMS), []);
+    assert_eq!(violated_rules_under(&history, &PUSHED_LIST_TERMS), []);
     history.watch_silences = vec![DRAINED_AT - 6.5];
     assert_eq!(
-        violated_rules_by(&history, &PUSHED_LIST_TERMS),
+        violated_rules_under(&history, &PUSHED_LIST_TERMS),
         [Rule::Drain]
     );
     history
         .processes
         .push(record(0, DRAINED_AT - 3.0, ProcessEvent::Reconfigured));
-    assert_eq!(violated_rules_by(&history, &PUSHED_LIST_TERMS), []);
+    assert_eq!(violated_rules_under(&history, &PUSHED_LIST_TERMS), []);
 }
 
 #[test]
-fn what_can_not_be_told_counts_from_the_return_of_discovery() {
+fn an_outage_delays_the_notification_until_discovery_was_reachable_for_6_s() {
     let mut history = history();
     history.unreachable = vec![unreachable(
         DiscoveryFailure::Down,
@@ -245,9 +247,9 @@
     assert_eq!(violated_rules(&history), [Rule::Drain]);
 }
 
-/// As in incident 1: the change was made while the mixer was down, and counts as told soon after its start.
+/// Incident 1: a change is made while the mixer is down. The mixer counts as notified 6 s after the change all the same.
 #[test]
-fn a_restarted_mixer_counts_as_told_of_what_it_missed() {
+fn a_restarted_mixer_counts_as_notified_of_changes_while_it_was_down() {
     let mut history = history();
     history.processes.extend([
         record(0, DRAINED_AT - 3.0, ProcessEvent::Killed),
@@ -261,7 +263,7 @@
 }
 
 #[test]
-fn an_attempt_for_a_client_that_left() {
+fn an_attempt_for_a_disconnected_client_is_a_violation() {
     let mut history = history();
     history.requests = vec![request(0, 5.0, RequestEnd::ClientClosed { at: 5.2 })];
     history.calls = vec![call(0, 1, 5.25)];
@@ -273,8 +275,8 @@
 #[rstest]
 #[case::closed(RequestEnd::ConnectionLost { at: 5.1, is_reset: false })]
 #[case::reset(RequestEnd::ConnectionLost { at: 5.1, is_reset: true })]
-#[case::silent(RequestEnd::TimedOut)]
-fn a_request_without_an_answer(#[case] end: RequestEnd) {
+#[case::timed_out(RequestEnd::TimedOut)]
+fn a_request_without_an_answer_is_lost_unless_its_mixer_was_killed(#[case] end: RequestEnd) {
     let mut history = history();
     history.requests = vec![request(0, 5.0, end)];
     assert_eq!(violated_rules(&history), [Rule::Lost]);
@@ -284,11 +286,11 @@
     assert_eq!(violated_rules(&history), [], "its mixer was killed");
 }
 
-/// What ends after it was told to end, or is killed since it has not, has lost what it had taken.
+/// A request is lost if its mixer exits after SIGTERM, or is killed for not exiting in time, without an answer.
 #[rstest]
 #[case(ProcessEvent::Exited)]
 #[case(ProcessEvent::KilledAfterSigterm)]
-fn a_request_that_an_end_finds_unanswered(#[case] end: ProcessEvent) {
+fn a_request_unanswered_at_a_shutdown_is_lost(#[case] end: ProcessEvent) {
     let mut history = history();
     history.requests = vec![request(
         0,
@@ -305,10 +307,10 @@
     assert_eq!(violated_rules(&history), [Rule::Lost]);
 }
 
-/// A crowd excuses a new connection that is shut unread, and nothing that was read.
+/// A shortage of descriptors excuses the reset of a new connection that was not read, but no request that was read.
 #[test]
-fn a_crowd_may_be_shut_out_unread() {
-    let crowded = Terms {
+fn a_mixer_short_of_descriptors_may_close_new_connections_unread() {
+    let shortage_terms = Terms {
         has_descriptor_shortage: true,
         ..TERMS
     };
@@ -321,12 +323,12 @@
             is_reset: true,
         },
     )];
-    assert_eq!(violated_rules_by(&history, &crowded), []);
+    assert_eq!(violated_rules_under(&history, &shortage_terms), []);
     history.calls = vec![call(0, 1, 5.05)];
     assert_eq!(
-        violated_rules_by(&history, &crowded),
+        violated_rules_under(&history, &shortage_terms),
         [Rule::Lost],
-        "a server knows of it"
+        "a server received a part of the request"
     );
     history.calls.clear();
     history.requests = vec![request(
@@ -338,27 +340,31 @@
         },
     )];
     assert_eq!(
-        violated_rules_by(&history, &crowded),
+        violated_rules_under(&history, &shortage_terms),
         [Rule::Lost],
-        "it was read"
+        "a connection that is closed without a reset was read"
     );
 }
 
 #[test]
-fn a_request_that_was_read_and_whose_kept_connection_closed() {
+fn a_request_read_on_a_reused_connection_that_closes_is_lost() {
     let mut history = history();
     history.requests = vec![Request {
         reused_connection_lost_at: Some(5.2),
         ..request(0, 5.2, served(5.4))
     }];
     history.calls = vec![call(0, 1, 5.3)];
-    assert_eq!(violated_rules(&history), [], "it was sent once more");
+    assert_eq!(
+        violated_rules(&history),
+        [],
+        "the part belongs to the retry"
+    );
     history.calls = vec![call(0, 1, 5.1)];
     assert_eq!(violated_rules(&history), [Rule::Lost]);
 }
 
 #[test]
-fn a_repeat_beyond_its_window() {
+fn a_repeat_after_the_dedup_window_is_a_violation() {
     let mut history = history();
     history.requests = vec![Request {
         timeout_s: 3.0,
@@ -372,12 +378,12 @@
     assert_eq!(
         violated_rules(&history),
         [],
-        "the window begins with the first that may have run"
+        "the window starts with the first attempt that may have run"
     );
 }
 
 #[test]
-fn a_server_that_is_told_to_work_for_longer_than_its_client_waits() {
+fn a_timeout_longer_than_the_client_waits_is_a_violation() {
     let mut history = history();
     history.requests = vec![request(0, 5.0, served(5.7))];
     history.calls = vec![call(0, 1, 5.4)];
@@ -386,9 +392,9 @@
     assert_eq!(violated_rules(&history), [Rule::SentTimeout]);
 }
 
-/// What a stand-in notes right after it stood still itself came earlier.
+/// An event that a stand-in records right after a stall of its own happened earlier.
 #[test]
-fn a_stall_of_the_stand_ins_is_no_delay_of_the_mixer() {
+fn a_stall_of_the_stand_ins_does_not_count_as_a_delay_of_the_mixer() {
     let mut history = history();
     history.requests = vec![request(0, 5.0, served(5.7))];
     history.calls = vec![call(0, 1, 5.6)];
@@ -399,12 +405,12 @@
 }
 
 #[test]
-fn processes_that_crash_or_are_not_ready_and_guards_that_count() {
+fn crashes_missing_readiness_and_invariant_violations_are_reported() {
     let mut history = history();
     history.processes.extend([
         record(0, 20.0, ProcessEvent::Crashed),
         record(0, 21.0, ProcessEvent::Started),
-        record(1, 30.0, ProcessEvent::GuardViolations(2)),
+        record(1, 30.0, ProcessEvent::InvariantViolations(2)),
     ]);
     assert_eq!(
         violated_rules(&history),
@@ -412,12 +418,16 @@
     );
 }
 
-/// Nine in ten restarted mixers are ready within 10 s, and each within 30 s.
+/// Nine in ten restarted mixers have to be ready within 10 s, and each of them within 30 s.
 #[rstest]
 #[case::one_of_ten(10, 15.0, 0)]
 #[case::one_of_nine(9, 15.0, 1)]
 #[case::too_late_for_any(20, 31.0, 1)]
-fn mixers_that_are_ready_late(#[case] restarts: usize, #[case] late_s: f64, #[case] found: usize) {
+fn late_restarts_are_violations_above_one_in_ten_or_after_30_s(
+    #[case] restarts: usize,
+    #[case] late_s: f64,
+    #[case] found: usize,
+) {
     let mut history = history();
     for number in 0..restarts {
         let at = 5.0 + number as f64;
@@ -431,9 +441,9 @@
     assert_eq!(violated_rules(&history), vec![Rule::Process; found]);
 }
 
-/// A process that stood still has to ask before it acts.
+/// A process that was stopped has to call discovery before it sends.
 #[test]
-fn a_pause_excuses_no_send() {
+fn a_stop_of_the_process_excuses_no_send_to_a_draining_server() {
     let mut history = history();
     history.processes.extend([
         record(1, DRAINED_AT - 0.1, ProcessEvent::Stopped),
@@ -444,7 +454,7 @@
 }
 
 #[test]
-fn plans_follow_from_their_seeds() {
+fn equal_seeds_give_equal_plans() {
     for seed in 0..50 {
         let plan = Plan::draw(seed, false);
         assert!((3..=40).contains(&plan.terms.mixers));
