--- a/crates/wharfhub-testbed/src/experiments/data_path.rs
+++ b/crates/wharfhub-testbed/src/experiments/data_path.rs
@@ -220,7 +220,7 @@
 
 /// Returns the violations of the rules as text. A hedged request that a leaf server reads after the final answer is not a
 /// violation: the mixer may have sent it before that answer, and only the order of reading is observed on sockets.
-fn broken_rules(shared: &Shared) -> Vec<String> {
+fn rule_violations(shared: &Shared) -> Vec<String> {
     let mut rules = lock(&shared.rules);
     rules.finish();
     let undecided =
@@ -229,14 +229,14 @@
         .violations
         .iter()
         .filter(|violation| !undecided(violation))
-        .map(|violation| format!("broken: {violation}"))
+        .map(|violation| format!("violation: {violation}"))
         .collect()
 }
 
 /// Returns whether a violation is about time limits. At the planned rate on a shared machine such a violation means that the
 /// daemon or the machine was overloaded, which the table shows, so it is printed and does not fail the experiment.
-fn is_about_time(violation: &str) -> bool {
-    ["broken: time: ", "broken: lost: "]
+fn is_timing_violation(violation: &str) -> bool {
+    ["violation: time: ", "violation: lost: "]
         .iter()
         .any(|kind| violation.starts_with(kind))
 }
@@ -269,19 +269,19 @@
         let spent_s = rig.daemon.usage()?.cpu_s - before.cpu_s;
         costs[block % SIZES.len()].push(spent_s * 1e6 / QUERIES_PER_ROUND as f64);
     }
-    let (asked, answered) = {
+    let (sent, answered) = {
         let tally = lock(&load.tally);
         (
             tally.requests[tally::TOTAL],
             tally.requests[tally::ANSWERED],
         )
     };
-    if answered < asked {
+    if answered < sent {
         shortfalls.push(format!(
-            "{answered} of {asked} queries answered in the closed loop"
+            "{answered} of {sent} queries answered in the closed loop"
         ));
     }
-    shortfalls.extend(broken_rules(&rig.shared));
+    shortfalls.extend(rule_violations(&rig.shared));
     let (_, attempts, _) = *lock(&rig.shared.work);
     let parts: usize = rig
         .shared
@@ -415,29 +415,29 @@
     let before = rig.daemon.usage()?;
     let load = load::run_open_loop(&rig.shared, vec![rig.daemon.address]);
     let after = rig.daemon.usage()?;
-    let (timing, others): (Vec<_>, Vec<_>) = broken_rules(&rig.shared)
+    let (timing, others): (Vec<_>, Vec<_>) = rule_violations(&rig.shared)
         .into_iter()
-        .partition(|violation| is_about_time(violation));
+        .partition(|violation| is_timing_violation(violation));
     timing
         .iter()
         .for_each(|violation| println!("{}: {violation}", case.name));
     shortfalls.extend(others);
     let latency = &lock(&load.latency)[largest];
     let requests = lock(&load.tally).requests;
-    let asked = requests[tally::TOTAL].max(1);
+    let sent = requests[tally::TOTAL].max(1);
     let (_, attempts, _) = *lock(&rig.shared.work);
     let in_time = latency.count_between(0, (LATENCY_TARGET_S * 1e6) as u64);
     let ms = |quantile: f64| format!("{:.1}", latency.value_at_quantile(quantile) as f64 / 1000.0);
     Ok(vec![
         case.name.into(),
-        asked.to_string(),
-        format!("{:.4}", requests[tally::ANSWERED] as f64 / asked as f64),
-        format!("{:.4}", in_time as f64 / asked as f64),
+        sent.to_string(),
+        format!("{:.4}", requests[tally::ANSWERED] as f64 / sent as f64),
+        format!("{:.4}", in_time as f64 / sent as f64),
         ms(0.5),
         ms(0.99),
         format!(
             "{:.3}",
-            attempts as f64 / (asked as usize * SIZES[largest].0) as f64
+            attempts as f64 / (sent as usize * SIZES[largest].0) as f64
         ),
         format!("{:.2}", (after.cpu_s - before.cpu_s) / PLANNED_RUN_S),
         format!("{:.1}", after.resident_bytes as f64 / 1e6),
@@ -489,7 +489,7 @@
             run.rules
                 .violations
                 .iter()
-                .map(|violation| format!("broken: {violation}")),
+                .map(|violation| format!("violation: {violation}")),
         );
         table.add_row(vec![
             holders.to_string(),
--- a/crates/wharfhub-testbed/src/experiments/decisions.rs
+++ b/crates/wharfhub-testbed/src/experiments/decisions.rs
@@ -93,7 +93,7 @@
     scenario: Scenario,
     min_cost_us: f64, // lowest CPU time for a query over all runs
     digest: Option<u64>,
-    broken: usize,
+    violations: usize,
 }
 
 impl Cell {
@@ -102,7 +102,7 @@
             scenario,
             min_cost_us: f64::MAX,
             digest: None,
-            broken: 0,
+            violations: 0,
         }
     }
 
@@ -116,7 +116,7 @@
                 "two runs of one scenario have different digests".into(),
             ));
         }
-        self.broken += run.rules.violation_count as usize;
+        self.violations += run.rules.violation_count as usize;
         Ok(run)
     }
 
@@ -222,13 +222,13 @@
         "queries",
         "digest of what was done",
     ]);
-    let mut broken = 0;
+    let mut violations = 0;
     for parts in PARTS {
         for (site, phases) in [(cardiff(), false), (cardiff(), true), (szeged(), false)] {
             let name = site.name;
             let mut cell = Cell::new(faulty_scenario(site, parts, phases, options.seed));
             let taken = cell.run()?.requests;
-            broken += cell.broken;
+            violations += cell.violations;
             let phases = if phases { "on" } else { "off" };
             table.add_row(vec![
                 name.into(),
@@ -241,7 +241,7 @@
     }
     print!("{}", table.text());
     table.save(&options.out.join("decisions-troubled.csv"))?;
-    Ok(broken)
+    Ok(violations)
 }
 
 pub fn run(options: &Options) -> Verdict {
@@ -271,10 +271,10 @@
     }
     let spread = report_rates(&rates, &options.out)?;
     let part_cost_ratio = report_parts(&parts, &options.out)?;
-    let mut broken: usize = rates.iter().chain(&parts).map(|cell| cell.broken).sum();
-    broken += faulty_scenarios(options)?;
-    if broken > 0 {
-        return Ok(Some(format!("{broken} rules broken")));
+    let mut violations: usize = rates.iter().chain(&parts).map(|cell| cell.violations).sum();
+    violations += faulty_scenarios(options)?;
+    if violations > 0 {
+        return Ok(Some(format!("{violations} rule violations")));
     }
     if part_cost_ratio > MAX_PART_COST_RATIO {
         return Ok(Some(format!(
--- a/crates/wharfhub-testbed/src/experiments/deployments.rs
+++ b/crates/wharfhub-testbed/src/experiments/deployments.rs
@@ -122,22 +122,22 @@
     attempts: f64,
     waste: f64,
     handshakes: u64,
-    broken: Vec<String>,
+    violations: Vec<String>,
 }
 
 fn run_scenario(scenario: &Scenario) -> Result<RunMetrics, ExperimentError> {
     let run = emulator::run(scenario)?;
-    let asked = run.tally.requests[tally::TOTAL].max(1) as f64;
+    let sent = run.tally.requests[tally::TOTAL].max(1) as f64;
     let (late, unanswered) = run.tally.late_and_unanswered_shares();
     Ok(RunMetrics {
         service: run.tally.service(),
         in_time: run.tally.in_time_share(),
         late,
         unanswered,
-        attempts: run.tally.attempts_sent as f64 / asked,
+        attempts: run.tally.attempts_sent as f64 / sent,
         waste: run.tally.waste(),
         handshakes: run.handshakes,
-        broken: run.rules.violations,
+        violations: run.rules.violations,
     })
 }
 
@@ -195,7 +195,7 @@
     cells: Table,
     scenarios: Table,
     lines: Vec<Line>,
-    broken: Vec<String>,
+    violations: Vec<String>,
 }
 
 impl Report {
@@ -223,7 +223,7 @@
                 "attempts a query",
             ]),
             lines: Vec::new(),
-            broken: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
@@ -272,9 +272,10 @@
             format!("{:.4}", played.unanswered),
             format!("{:.3}", played.attempts),
         ]);
-        let broken = played.broken.iter();
-        self.broken
-            .extend(broken.map(|violation| format!("{site}, {kind}, seed {seed}: {violation}")));
+        let violations = played.violations.iter();
+        self.violations.extend(
+            violations.map(|violation| format!("{site}, {kind}, seed {seed}: {violation}")),
+        );
     }
 
     /// Prints and saves the results.
@@ -290,9 +291,10 @@
             false,
             &self.lines,
         )?;
-        for violation in self.broken.iter().take(MAX_PRINTED) {
-            println!("broken: {violation}");
+        for violation in self.violations.iter().take(MAX_PRINTED) {
+            println!("violation: {violation}");
         }
-        Ok((!self.broken.is_empty()).then(|| format!("{} rules broken", self.broken.len())))
+        Ok((!self.violations.is_empty())
+            .then(|| format!("{} rule violations", self.violations.len())))
     }
 }
--- a/crates/wharfhub-testbed/src/experiments/scale/events.rs
+++ b/crates/wharfhub-testbed/src/experiments/scale/events.rs
@@ -132,13 +132,13 @@
 
 fn check_queries(queries: &QueryOutcome) -> Option<String> {
     let QueryOutcome {
-        asked,
+        sent,
         answered,
-        broken,
+        violations,
     } = queries;
     println!(
-        "queries during the ordinary day: {answered} of {asked} requests answered, {} rules broken",
-        broken.len()
+        "queries during the ordinary day: {answered} of {sent} requests answered, {} rule violations",
+        violations.len()
     );
     (*answered == 0).then(|| "no query was answered during the ordinary day".into())
 }
--- a/crates/wharfhub-testbed/src/experiments/tail.rs
+++ b/crates/wharfhub-testbed/src/experiments/tail.rs
@@ -92,7 +92,7 @@
             run.rules
                 .violations
                 .iter()
-                .map(|violation| format!("broken: {violation}")),
+                .map(|violation| format!("violation: {violation}")),
         );
         if case.hedging && case.slow_servers == CHECKED_SLOW_SERVERS && in_time < MIN_IN_TIME {
             shortfalls.push(format!(
--- a/crates/wharfhub-testbed/src/experiments/two_phase.rs
+++ b/crates/wharfhub-testbed/src/experiments/two_phase.rs
@@ -60,7 +60,7 @@
     area_work_per_answer: [f64; 2],
     pruned: u64,
     prechecks: u64,
-    broken: Vec<String>,
+    violations: Vec<String>,
 }
 
 fn scenario(cell: &Cell, seed: u64, quick: bool) -> Scenario {
@@ -100,7 +100,7 @@
         }),
         pruned: on.tally.pruned,
         prechecks: on.tally.prechecks,
-        broken: rules.into_iter().flatten().collect(),
+        violations: rules.into_iter().flatten().collect(),
     })
 }
 
@@ -108,7 +108,7 @@
 struct SocketRun {
     service: f64,
     area_work_per_answer: f64,
-    broken: Vec<String>,
+    violations: Vec<String>,
     answered: u64,
     prechecks: u64,
     p50_p99_ms: (f64, f64),
@@ -160,7 +160,7 @@
     Ok(SocketRun {
         service: tally.service(),
         area_work_per_answer: work.0[AREA_SEARCH] / tally.answered[AREA_SEARCH].max(1) as f64,
-        broken: rules.violations.clone(),
+        violations: rules.violations.clone(),
         answered: tally.requests[tally::ANSWERED],
         prechecks: work.2,
         p50_p99_ms: (ms(0.5), ms(0.99)),
@@ -271,9 +271,9 @@
         ]);
         self.differences[usize::from(on)].push(real.service - simulated.service());
         self.work_per_answer[usize::from(on)].push(work_per_answer);
-        let broken = real.broken.iter();
+        let violations = real.violations.iter();
         self.shortfalls
-            .extend(broken.map(|violation| format!("broken: {violation}")));
+            .extend(violations.map(|violation| format!("violation: {violation}")));
     }
 
     fn finish(mut self, options: &Options) -> Verdict {
@@ -433,7 +433,7 @@
     work: Vec<Line>,
     shortfalls: Vec<String>,
     unproven: Vec<String>,
-    broken: Vec<String>,
+    violations: Vec<String>,
 }
 
 impl Report {
@@ -455,14 +455,16 @@
             work: Vec::new(),
             shortfalls: Vec::new(),
             unproven: Vec::new(),
-            broken: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
     fn add(&mut self, cell: &Cell, pairs: &[Pair]) {
         let result = CellResult::of(pairs);
-        let broken = pairs.iter().flat_map(|pair| pair.broken.iter().cloned());
-        self.broken.extend(broken);
+        let violations = pairs
+            .iter()
+            .flat_map(|pair| pair.violations.iter().cloned());
+        self.violations.extend(violations);
         let name = format!("{}, load {}", SITUATIONS[cell.situation], cell.load);
         self.add_row(cell, &result);
         self.add_points(cell, &name, &result);
@@ -538,12 +540,12 @@
             false,
             &self.work,
         )?;
-        for violation in self.broken.iter().take(MAX_PRINTED) {
-            println!("broken: {violation}");
+        for violation in self.violations.iter().take(MAX_PRINTED) {
+            println!("violation: {violation}");
         }
-        if !self.broken.is_empty() {
+        if !self.violations.is_empty() {
             self.shortfalls
-                .insert(0, format!("{} rules broken", self.broken.len()));
+                .insert(0, format!("{} rule violations", self.violations.len()));
         }
         Ok((!self.shortfalls.is_empty()).then(|| self.shortfalls.join("; ")))
     }
--- a/crates/wharfhub-testbed/src/fleet/queries.rs
+++ b/crates/wharfhub-testbed/src/fleet/queries.rs
@@ -20,11 +20,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueryOutcome {
     /// Number of requests that clients sent.
-    pub asked: u64,
+    pub sent: u64,
     /// Number of requests that were answered.
     pub answered: u64,
     /// Violations of rules, as text.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 /// Daemons that serve queries, and the state shared with their leaf servers and clients.
@@ -79,11 +79,11 @@
         let requests = lock(&load.tally).requests;
         let mut rules = lock(&self.shared.rules);
         rules.finish();
-        let (asked, answered) = (requests[tally::TOTAL], requests[tally::ANSWERED]);
+        let (sent, answered) = (requests[tally::TOTAL], requests[tally::ANSWERED]);
         QueryOutcome {
-            asked,
+            sent,
             answered,
-            broken: rules.violations.clone(),
+            violations: rules.violations.clone(),
         }
     }
 }
