--- a/crates/wharfhub-testbed/src/connections.rs
+++ b/crates/wharfhub-testbed/src/connections.rs
@@ -1,24 +1,24 @@
-//! A mixer's connections to leaf servers in virtual time: which carries a call, which is opened, which has ended.
+//! The connections of an emulated mixer to leaf servers in virtual time.
 //!
-//! This file owns what the loop's `replica/pool.rs` owns on sockets, by the same choices (`connections/pool.rs`), so that
-//! handshakes and silent connections count in virtual time too. It must never know a leaf server's state, nor draw a number.
+//! The pool follows the same rules as the daemon's (`net/replica/pool.rs` in the event loop, `connections/pool.rs` for the
+//! limits), so that emulated runs include the cost of handshakes and the effect of silent connections. The pool knows nothing
+//! about the state of a leaf server that the daemon would not know, and draws no random numbers itself.
 
 use std::collections::BTreeMap;
 use wharfhub::connections::pool;
 use wharfhub::requests::coordinator::{AttemptKey, CallPart};
 
-/// As in the loop: of the time after which a leaf server closes an idle connection, the share after which we do.
+/// Share of a leaf server's idle timeout after which the mixer closes an idle connection, as in the daemon.
 const IDLE_SHARE: f64 = 0.8;
 
-/// One connection.
 struct Connection {
     id: u64,
     is_open: bool,
     in_flight: Vec<AttemptKey>,
-    waiting: Vec<CallPart>, // until it has come up
+    waiting: Vec<CallPart>, // parts to send once the connection is established
     used_at: f64,
-    unanswered_since: Option<f64>, // since when something was asked and nothing heard
-    is_silent: bool,               // it stays open, and nothing passes on it any more
+    unanswered_since: Option<f64>, // first unanswered send, or last answer while others are outstanding
+    is_silent: bool,               // fault: the connection stays open but carries no data
 }
 
 impl Connection {
@@ -30,15 +30,15 @@
     }
 }
 
-/// What the choice of a connection depends on.
+/// State of a mixer on which the choice of a connection depends.
 pub struct SelectionContext {
-    /// The time.
+    /// Current time (seconds).
     pub now: f64,
-    /// The shortest latency objective of any class (seconds).
+    /// Shortest latency objective of all classes (seconds).
     pub shortest_objective_s: f64,
-    /// Within what time nearly all answers come (seconds).
+    /// 95th percentile latency of the slowest class (seconds); not finite if unknown.
     pub late_s: f64,
-    /// Parts that a connection carries.
+    /// Maximum number of concurrent parts on a connection.
     pub max_streams: usize,
 }
 
@@ -48,20 +48,20 @@
     }
 }
 
-/// How a call goes.
+/// Connection chosen for a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Selection {
-    /// On this connection.
+    /// Established connection with this id.
     Open(u64),
-    /// It waits for this one to come up.
+    /// Connection with this id that is still being established; the call has to wait for it.
     Connecting(u64),
-    /// For this one, which is to be opened.
+    /// New connection with this id, which the caller has to establish.
     New(u64),
-    /// There are as many as there may be.
+    /// No connection: none has room, and the limit for the leaf server is reached.
     PoolFull,
 }
 
-/// The connections of one mixer.
+/// All connections of one mixer to leaf servers.
 pub struct ConnectionPool {
     max_per_server: usize,
     idle_s: f64,
@@ -70,7 +70,7 @@
 }
 
 impl ConnectionPool {
-    /// None yet, of one mixer among so many.
+    /// Creates an empty pool for one of `mixers` mixers; leaf servers close connections that were idle for `idle_s` seconds.
     pub fn new(mixers: u32, idle_s: f64) -> ConnectionPool {
         ConnectionPool {
             max_per_server: pool::max_connections_to_replica(mixers),
@@ -87,7 +87,7 @@
             .find(|connection| connection.id == id)
     }
 
-    /// The connections to a leaf server.
+    /// Returns the ids of all connections to a leaf server.
     pub fn ids(&self, leaf_server: u32) -> Vec<u64> {
         self.leaf_servers
             .get(&leaf_server)
@@ -95,7 +95,7 @@
             .unwrap_or_default()
     }
 
-    /// What waits for its connection, and nobody waits for, does not leave. Says whether it waited.
+    /// Removes an attempt that waits for its connection. Returns whether the attempt was waiting.
     pub fn withdraw_unsent(&mut self, attempt: AttemptKey) -> bool {
         self.leaf_servers.values_mut().flatten().any(|connection| {
             let before = connection.waiting.len();
@@ -104,7 +104,8 @@
         })
     }
 
-    /// How a call of so many parts goes there. A new connection is here from now on.
+    /// Selects the connection for a call of `parts` parts, after closing unused connections that are idle or suspect. A new
+    /// connection is added to the pool at once.
     pub fn select(
         &mut self,
         leaf_server: u32,
@@ -152,14 +153,15 @@
         Selection::New(id)
     }
 
-    /// These wait until it has come up.
+    /// Queues parts until the connection is established.
     pub fn queue(&mut self, leaf_server: u32, id: u64, parts: Vec<CallPart>) {
         if let Some(connection) = self.connection(leaf_server, id) {
             connection.waiting.extend(parts);
         }
     }
 
-    /// It has come is_open: what waited for it. None where it is gone.
+    /// Marks a connection as established and returns the parts that waited for it. Returns `None` if the connection was
+    /// removed or was already established.
     pub fn connected(&mut self, leaf_server: u32, id: u64, now: f64) -> Option<Vec<CallPart>> {
         let connection = self
             .connection(leaf_server, id)
@@ -168,8 +170,9 @@
         Some(std::mem::take(&mut connection.waiting))
     }
 
-    /// It never came up, unless it did: what waited for it.
-    pub fn connect_failed(&mut self, leaf_server: u32, id: u64) -> Vec<CallPart> {
+    /// Removes a connection whose establishment failed and returns the parts that waited for it. Has no effect on an
+    /// established connection.
+    pub fn abort(&mut self, leaf_server: u32, id: u64) -> Vec<CallPart> {
         match self
             .connection(leaf_server, id)
             .filter(|connection| !connection.is_open)
@@ -189,7 +192,7 @@
         }
     }
 
-    /// An attempt has left on it.
+    /// Records that an attempt was sent on a connection.
     pub fn attempt_sent(&mut self, leaf_server: u32, id: u64, attempt: AttemptKey, now: f64) {
         if let Some(connection) = self.connection(leaf_server, id) {
             connection.in_flight.push(attempt);
@@ -198,7 +201,7 @@
         }
     }
 
-    /// One of those that have come up, by lot, falls silent.
+    /// Makes one established connection silent, selected by the random number `draw`.
     pub fn silence_one(&mut self, draw: usize) {
         let mut open: Vec<&mut Connection> = self
             .leaf_servers
@@ -212,13 +215,13 @@
         }
     }
 
-    /// Whether nothing passes on it.
+    /// Returns whether a connection carries no data, either because it is silent or because it no longer exists.
     pub fn is_silent(&mut self, leaf_server: u32, id: u64) -> bool {
         self.connection(leaf_server, id)
             .is_none_or(|connection| connection.is_silent)
     }
 
-    /// An answer has come on it. Says whether it is still there.
+    /// Records an answer to an attempt. Returns whether the connection still exists.
     pub fn answer_received(
         &mut self,
         leaf_server: u32,
@@ -235,7 +238,7 @@
         true
     }
 
-    /// An attempt on it was given up.
+    /// Records that the mixer no longer waits for an attempt. A suspect connection stays suspect.
     pub fn attempt_abandoned(
         &mut self,
         leaf_server: u32,
@@ -252,7 +255,8 @@
         }
     }
 
-    /// Connections to a leaf server that are silent while it answers on another what was asked later, at that time.
+    /// Returns the suspect connections to a leaf server, given that the server has answered a call that was sent at
+    /// `answered_sent_at`: only connections that have not answered since an earlier time are returned.
     pub fn suspect_ids(
         &self,
         leaf_server: u32,
@@ -273,7 +277,7 @@
             .collect()
     }
 
-    /// It is over: what was out on it.
+    /// Removes a connection and returns its attempts, both sent and waiting.
     pub fn close(&mut self, leaf_server: u32, id: u64) -> Vec<AttemptKey> {
         let Some(connection) = self.connection(leaf_server, id) else {
             return Vec::new();
@@ -284,7 +288,7 @@
         ends
     }
 
-    /// Ends those to a leaf server that carry nothing.
+    /// Closes the established connections to a leaf server that have no attempt in flight.
     pub fn close_idle(&mut self, leaf_server: u32) {
         if let Some(connections) = self.leaf_servers.get_mut(&leaf_server) {
             connections
--- a/crates/wharfhub-testbed/src/emulator/clients.rs
+++ b/crates/wharfhub-testbed/src/emulator/clients.rs
@@ -1,4 +1,4 @@
-//! The clients of a scenario: they send, leave, retry, and take answers.
+//! The clients of an emulated scenario: they send requests, receive answers, retry and disconnect.
 
 use super::{Emulator, Event, Mixer, OpenRequest, FAILOVER_DELAY_S, MIN_RETRY_TIME_S, START_S};
 use crate::rules::{AnswerPart, RequestOutcome};
@@ -8,7 +8,8 @@
 use wharfhub::requests::coordinator::{FinalAnswer, PartRequest, QueryRequest};
 
 impl Emulator<'_> {
-    /// The mixer that a try goes to: another one with each; whoever stands before them knows of the dead after a while.
+    /// Returns the mixer for a request. Each retry goes to another mixer. The load balancer skips a dead mixer once it has noticed
+    /// the failure, after [`FAILOVER_DELAY_S`].
     pub(super) fn choose_mixer(&self, query: &Query, retry: u32) -> usize {
         let count = self.mixers.len();
         let known_dead = |mixer: &Mixer| {
@@ -21,6 +22,7 @@
             .unwrap_or(first)
     }
 
+    /// Sends a query for the first time (`retry` 0) or again.
     pub(super) fn send_request(&mut self, number: usize, retry: u32) {
         let query = &self.queries[number];
         let class = &self.scenario.site.classes[query.class];
@@ -48,22 +50,22 @@
         let mixer = self.choose_mixer(query, retry);
         self.tally.tries[tally::ASKED] += 1;
         if self.mixers[mixer].coordinator.is_none() {
-            // Nobody listens there.
+            // The mixer is dead, so the connection is refused.
             self.tally.tries[tally::FAILED] += 1;
             return self.retry_or_finish(number, retry, None, true);
         }
         self.requests += 1;
         self.rules.request_started(&id);
         let caller = (number as u64) << 8 | u64::from(retry);
-        let mut taken = None;
+        let mut accepted = None;
         let asked_at = self.now;
-        // The answer may come at once.
+        // The coordinator may answer immediately, so its commands are executed only after the request is recorded as open.
         let mut commands = Vec::new();
         self.drive(mixer, |coordinator, now, out| {
-            taken = Some(coordinator.accept_request(now, query_request, caller, out));
+            accepted = Some(coordinator.accept_request(now, query_request, caller, out));
             commands.append(out);
         });
-        let Some(request) = taken else { return };
+        let Some(request) = accepted else { return };
         self.open_requests.insert(
             (number, retry),
             OpenRequest {
@@ -80,6 +82,7 @@
         );
     }
 
+    /// Ends a request whose client disconnects, at its timeout or earlier. Has no effect on an answered request.
     pub(super) fn client_disconnects(&mut self, number: usize, retry: u32) {
         let Some(open) = self.open_requests.remove(&(number, retry)) else {
             return;
@@ -90,7 +93,7 @@
         let id = format!("q{number}-{retry}");
         if took_s >= open.timeout_s - 1e-6 {
             self.rules.record_violation(format!(
-                "lost: {id} had no final answer when its time was up"
+                "lost: {id} had no final answer at the client's timeout"
             ));
         }
         self.rules.request_ended(
@@ -107,19 +110,19 @@
         });
     }
 
-    /// A mixer's final answer to the attempt `retry` of a query.
+    /// Handles a mixer's final answer to a request.
     pub(super) fn receive_final_answer(&mut self, number: usize, retry: u32, answer: FinalAnswer) {
         let id = format!("q{number}-{retry}");
         let Some(open) = self.open_requests.remove(&(number, retry)) else {
-            return self
-                .rules
-                .record_violation(format!("answers: {id} got an answer that nobody waits for"));
+            return self.rules.record_violation(format!(
+                "answers: {id} got an answer although the request had ended"
+            ));
         };
         let took_s = self.now - open.asked_at;
         let query = &self.queries[number];
-        let ended = request_outcome(&answer);
+        let outcome = request_outcome(&answer);
         self.rules
-            .request_ended(&id, query, &ended, took_s, open.timeout_s);
+            .request_ended(&id, query, &outcome, took_s, open.timeout_s);
         let retry_after_s = match answer {
             FinalAnswer::Answered {
                 complete,
@@ -127,8 +130,8 @@
                 pruned,
                 ..
             } => {
-                let is_in: Vec<bool> = values.iter().map(Option::is_some).collect();
-                return self.count_answer(number, complete, &is_in, &pruned);
+                let is_present: Vec<bool> = values.iter().map(Option::is_some).collect();
+                return self.count_answer(number, complete, &is_present, &pruned);
             }
             FinalAnswer::Rejected { retry_after_s, .. } => {
                 self.tally.tries[tally::REFUSED] += 1;
@@ -142,15 +145,21 @@
         self.retry_or_finish(number, retry, retry_after_s, false);
     }
 
-    /// Sums up an answer, by which parts are in and which of these were pruned by a pre-check.
-    fn count_answer(&mut self, number: usize, complete: bool, is_in: &[bool], pruned: &[bool]) {
+    /// Adds an answer to the totals, given which parts it contains and which of these were pruned by a pre-check.
+    fn count_answer(
+        &mut self,
+        number: usize,
+        complete: bool,
+        is_present: &[bool],
+        pruned: &[bool],
+    ) {
         let query = &self.queries[number];
         let since_s = self.now - START_S - query.at;
         self.tally.tries[tally::ANSWERED] += 1;
         self.tally.tries[tally::IN_PART] += u64::from(!complete);
         let mut share = 0.0;
         for (index, part) in query.parts.iter().enumerate() {
-            if !is_in[index] {
+            if !is_present[index] {
                 continue;
             }
             share += part.weight;
@@ -167,7 +176,7 @@
             .query(self.scenario, query, Some((since_s, share)), since_s);
     }
 
-    /// A try ended without an answer: the client tries again, or its query is over.
+    /// Schedules a retry after a request that ended without an answer, or ends the query.
     pub(super) fn retry_or_finish(
         &mut self,
         number: usize,
@@ -183,7 +192,7 @@
             .filter(|delay_s| *delay_s > 0.0)
             .unwrap_or(backoff_s);
         let left_s = query.timeout_s - since_s - retry_delay_s;
-        // What may have run and must not run twice is not asked again by itself.
+        // Clients don't retry on their own if the query may have been executed and must not be executed twice.
         let may_retry = retry_after_s.is_some()
             || unreachable
             || self.scenario.site.classes[query.class].is_retryable();
@@ -198,17 +207,17 @@
     }
 }
 
-/// What the judge is given of an answer.
+/// Returns the outcome of a request in the form that the rule checker takes.
 fn request_outcome(answer: &FinalAnswer) -> RequestOutcome<'_> {
     match answer {
         FinalAnswer::Answered {
             complete, values, ..
         } => {
-            let pieces = values.iter().enumerate().filter_map(|(index, value)| {
+            let parts = values.iter().enumerate().filter_map(|(index, value)| {
                 let value = value.as_deref()?;
                 Some(AnswerPart { index, value })
             });
-            RequestOutcome::Answered(*complete, pieces.collect())
+            RequestOutcome::Answered(*complete, parts.collect())
         }
         FinalAnswer::Rejected { retry_after_s, .. } => RequestOutcome::Rejected(*retry_after_s),
         FinalAnswer::Failed { .. } => RequestOutcome::Failed,
--- a/crates/wharfhub-testbed/src/emulator/faults.rs
+++ b/crates/wharfhub-testbed/src/emulator/faults.rs
@@ -1,15 +1,15 @@
-//! The faults of a scenario: what their beginning and end do to leaf servers, connections and mixers.
+//! Effects of a scenario's faults on emulated leaf servers, connections and mixers.
 //!
-//! This file owns the effect of each fault. When it begins and ends is the scenario's, and whom it concerns is drawn once.
+//! The scenario defines when a fault begins and ends. The affected leaf servers are drawn once, at the start of the emulation.
 
-use super::{Emulator, Event, DRAIN_PHASE_S, START_S};
+use super::{Emulator, Event, DRAIN_RESTART_DELAY_S, START_S};
 use crate::model::{Pauses, ServerFault};
 use crate::site::Fault;
 use rand::Rng;
 use wharfhub::decisions::api::Lifecycle;
 
 impl Emulator<'_> {
-    /// A fault of the scenario begins or ends.
+    /// Applies the beginning or the end of a fault.
     pub(super) fn fault_changes(&mut self, number: usize, begins: bool) {
         let scenario = self.scenario;
         let fault = &scenario.faults[number].2;
@@ -42,7 +42,7 @@
         }
     }
 
-    /// What the beginning of a fault does to one of the leaf servers that it concerns.
+    /// Applies the beginning of a fault to one of the affected leaf servers.
     fn fault_begins(&mut self, fault: &Fault, leaf_server: u32) {
         let server = &mut self.leaf_servers[leaf_server as usize];
         match fault {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// What the end of a fault does to one of the leaf servers that it concerns.
+    /// Applies the end of a fault to one of the affected leaf servers.
     fn fault_ends(&mut self, fault: &Fault, leaf_server: u32) {
         let server = &mut self.leaf_servers[leaf_server as usize];
         match fault {
@@ -82,13 +82,16 @@
             }
             Fault::Drain(_) => {
                 self.server_dies(leaf_server);
-                self.schedule(self.now + DRAIN_PHASE_S, Event::Restart(leaf_server));
+                self.schedule(
+                    self.now + DRAIN_RESTART_DELAY_S,
+                    Event::Restart(leaf_server),
+                );
             }
             Fault::Slow(_) | Fault::Burst(_) | Fault::SilentConnections(_) => {}
         }
     }
 
-    /// Draws when connections fall silent, so many a second until the fault ends.
+    /// Draws the times at which connections become silent, `rate` per second on average until the fault ends.
     fn schedule_silent_connections(&mut self, rate: f64, number: usize) {
         let until = START_S + self.scenario.faults[number].1;
         let mut at = self.now;
@@ -101,7 +104,7 @@
         }
     }
 
-    /// The mixers of a lost machine room die with it, and return at its end.
+    /// Stops the mixers of a zone that is lost with its mixers, or restarts them at the end of the fault.
     fn stop_or_restart_mixers(&mut self, zone: u8, begins: bool) {
         for mixer in 0..self.mixers.len() {
             if self.scenario.mixer_zone(mixer as u32) != zone {
--- a/crates/wharfhub-testbed/src/emulator/leaf_servers.rs
+++ b/crates/wharfhub-testbed/src/emulator/leaf_servers.rs
@@ -1,4 +1,4 @@
-//! Connections between mixers and leaf servers, the work of leaf servers, and their faults.
+//! Calls from emulated mixers to leaf servers: connections, network delays, execution and answers.
 
 use super::{selection_context, Emulator, Event, Job, Task, CONNECT_TIMEOUT_S, SAME_ZONE_DELAY_S};
 use crate::connections::Selection;
@@ -10,11 +10,12 @@
 use wharfhub::requests::coordinator::{AttemptKey, CallPart};
 
 impl Emulator<'_> {
-    /// One way between a mixer and a leaf server.
+    /// Draws the one-way network delay between a mixer and a leaf server (seconds).
     pub(super) fn delay_s(&mut self, mixer: usize, leaf_server: u32) -> f64 {
-        let near = self.scenario.mixer_zone(mixer as u32) == self.scenario.zone(leaf_server);
+        let is_same_zone =
+            self.scenario.mixer_zone(mixer as u32) == self.scenario.zone(leaf_server);
         let inter_zone_delay_s = self.scenario.site.inter_zone_delay_s;
-        if near {
+        if is_same_zone {
             SAME_ZONE_DELAY_S
         } else {
             self.rng
@@ -22,7 +23,8 @@
         }
     }
 
-    /// Sends a call on a connection that takes it, or on a new one; gives the attempts that none takes.
+    /// Sends a call on a suitable connection or queues it for one that is being established. Returns the attempts for which the
+    /// pool has no connection.
     pub(super) fn send_call(
         &mut self,
         mixer: usize,
@@ -34,7 +36,7 @@
         let Some(coordinator) = &at.coordinator else {
             return Vec::new();
         };
-        // What was given up since the core asked for it never leaves.
+        // Parts whose attempt has ended since the coordinator issued the call are not sent.
         parts.retain(|part| coordinator.is_in_flight(part.attempt));
         if parts.is_empty() {
             return Vec::new();
@@ -69,7 +71,7 @@
         Vec::new()
     }
 
-    /// A handshake reaches a leaf server.
+    /// Handles a handshake that arrives at a leaf server.
     pub(super) fn handshake_arrives(
         &mut self,
         leaf_server: u32,
@@ -103,7 +105,7 @@
         self.schedule_next_event(leaf_server);
     }
 
-    /// A connection has come up: what waited for it leaves.
+    /// Sends the parts that waited for a connection, after the connection was established.
     pub(super) fn connection_opened(&mut self, mixer: usize, leaf_server: u32, connection: u64) {
         let Some(waiting) = self.mixers[mixer]
             .pool
@@ -119,7 +121,7 @@
         }
     }
 
-    /// A call leaves on a connection. Parts that nobody waits for any more, or whose window is over, stay.
+    /// Sends a call on an established connection, without the parts whose attempt has ended or whose send window has closed.
     pub(super) fn send_on_connection(
         &mut self,
         mixer: usize,
@@ -143,7 +145,7 @@
                 continue;
             }
             self.check_send(mixer, leaf_server, &part);
-            // The work of the call itself comes with its first part.
+            // The fixed work of the call is charged to its first part.
             let call_work_s = if numbers.is_empty() {
                 self.scenario.site.call.1
             } else {
@@ -172,7 +174,7 @@
         }
     }
 
-    /// Counts an attempt that leaves, and has the rules check it.
+    /// Counts an attempt that is sent, and passes it to the rule checker.
     fn check_send(&mut self, mixer: usize, leaf_server: u32, part: &CallPart) {
         let query_request = &part.query_request;
         let query = &self.queries[query_number(&query_request.id)];
@@ -188,12 +190,12 @@
         );
         if part.pre_check && !self.supports_pre_check[leaf_server as usize] {
             self.rules.record_violation(format!(
-                "phases: box {leaf_server} does not know them, and was asked ahead"
+                "phases: leaf server {leaf_server} got a pre-check, which it does not support"
             ));
         }
     }
 
-    /// Notes an attempt in flight; returns its number.
+    /// Records an attempt in flight and returns the number of its job.
     fn add_job(&mut self, leaf_server: u32, job: Job) -> u64 {
         self.last_job += 1;
         let number = self.last_job;
@@ -208,9 +210,9 @@
         number
     }
 
-    /// Nobody at the mixer waits for an attempt any more.
+    /// Cancels an attempt that the mixer no longer waits for.
     pub(super) fn cancel_attempt(&mut self, mixer: usize, attempt: AttemptKey) {
-        // What still waits for its connection is dropped when that comes up.
+        // An attempt that still waits for its connection is dropped when the connection is established.
         let Some((leaf_server, connection, job)) = self.mixers[mixer].in_flight.remove(&attempt)
         else {
             return;
@@ -237,7 +239,7 @@
         }
     }
 
-    /// An answer reaches a mixer.
+    /// Handles an answer that arrives at a mixer.
     pub(super) fn answer_arrives(
         &mut self,
         mixer: usize,
@@ -250,7 +252,7 @@
         if pool.is_silent(leaf_server, connection)
             || !pool.answer_received(leaf_server, connection, attempt, now)
         {
-            return; // it came on a connection that is over, or on which nothing comes through
+            return; // the connection is silent or closed, so the answer is lost
         }
         if self.mixers[mixer].in_flight.remove(&attempt).is_some() {
             self.drive(mixer, |coordinator, now, out| {
@@ -261,7 +263,7 @@
         let Some(coordinator) = &at.coordinator else {
             return;
         };
-        // The leaf server answers, so a connection of it that has long been silent is at fault itself.
+        // The leaf server answers, so if another of its connections has been silent for long, that connection is faulty.
         for silent in at.pool.suspect_ids(
             leaf_server,
             &selection_context(&self.deployment, coordinator, now),
@@ -271,7 +273,7 @@
         }
     }
 
-    /// A connection is over: everything out on it has its outcome.
+    /// Closes a connection and ends all attempts on it with `outcome`.
     pub(super) fn close_connection(
         &mut self,
         mixer: usize,
@@ -287,7 +289,7 @@
                     known.query_request.parts[known.index].shard,
                 );
             }
-            // What had not left never ran.
+            // Attempts that were not sent yet were not executed.
             let outcome = if flight.is_some() {
                 outcome
             } else {
@@ -299,7 +301,7 @@
         }
     }
 
-    /// All mixers' connections to a leaf server end.
+    /// Resets the connections of all mixers to a leaf server.
     pub(super) fn reset_connections(&mut self, leaf_server: u32) {
         for mixer in 0..self.mixers.len() {
             let (incarnation, delay_s) = (
@@ -315,9 +317,7 @@
         }
     }
 
-    // ---- leaf servers
-
-    /// Reckons what a leaf server has done; what has ended is answered.
+    /// Advances a leaf server to the current time, and answers the parts and handshakes that it has completed.
     pub(super) fn advance(&mut self, leaf_server: u32) {
         let ended = self.leaf_servers[leaf_server as usize].advance(self.now, self.slowdown);
         for task in ended {
@@ -334,6 +334,7 @@
         }
     }
 
+    /// Schedules the next event of a leaf server. An event that was scheduled earlier has no effect any more.
     pub(super) fn schedule_next_event(&mut self, leaf_server: u32) {
         let index = leaf_server as usize;
         self.event_versions[index] += 1;
@@ -343,6 +344,7 @@
         }
     }
 
+    /// Handles a call that arrives at a leaf server.
     pub(super) fn call_arrives(&mut self, leaf_server: u32, numbers: Vec<u64>) {
         self.advance(leaf_server);
         for number in numbers {
@@ -351,7 +353,7 @@
         self.schedule_next_event(leaf_server);
     }
 
-    /// Share of a part's full work that an attempt at it takes.
+    /// Returns the share of a part's full work that an attempt takes.
     fn work_share(&self, pre_check: bool) -> f64 {
         if pre_check {
             self.scenario.pre_check_work
@@ -360,6 +362,7 @@
         }
     }
 
+    /// Handles one part of an arriving call. Rejections and errors are answered at once.
     pub(super) fn part_arrives(&mut self, leaf_server: u32, number: u64) {
         let Some(job) = self.jobs.get(&number) else {
             return;
@@ -420,6 +423,7 @@
         );
     }
 
+    /// Sends the outcome of a job to its mixer, where it arrives at the time `at`.
     pub(super) fn send_answer(
         &mut self,
         leaf_server: u32,
@@ -451,7 +455,7 @@
         );
     }
 
-    /// A part is done.
+    /// Answers a part that a leaf server has completed, unless the server sends no answers.
     pub(super) fn part_completed(&mut self, leaf_server: u32, number: u64) {
         let silent = matches!(
             self.leaf_servers[leaf_server as usize].fault,
@@ -467,7 +471,7 @@
         } else {
             Outcome::Ok
         };
-        let value = rules::value(
+        let value = rules::part_value(
             &job.query_request.id,
             part.shard,
             leaf_server,
@@ -482,7 +486,7 @@
         self.send_answer(leaf_server, number, to, (attempt, outcome, value), back);
     }
 
-    /// A leaf server hears that nobody waits for a part.
+    /// Handles the cancellation of a part at a leaf server.
     pub(super) fn cancel_arrives(&mut self, leaf_server: u32, number: u64) {
         if !matches!(
             self.leaf_servers[leaf_server as usize].fault,
@@ -501,7 +505,7 @@
         self.schedule_next_event(leaf_server);
     }
 
-    /// A process is gone: what it held is reset.
+    /// Kills the process of a leaf server and resets its connections.
     pub(super) fn server_dies(&mut self, leaf_server: u32) {
         self.advance(leaf_server);
         self.leaf_servers[leaf_server as usize].die();
@@ -510,15 +514,16 @@
         self.reset_connections(leaf_server);
     }
 
+    /// Starts a new process of a leaf server and announces it to the mixers.
     pub(super) fn restart_server(&mut self, leaf_server: u32) {
         if self.leaf_servers[leaf_server as usize].fault == ServerFault::Lost {
-            self.server_dies(leaf_server); // what was open there ends now that its machine is back
+            self.server_dies(leaf_server); // the restored machine resets connections that the mixers still keep open
         }
         self.leaf_servers[leaf_server as usize].start(self.now);
         self.send_list_updates(leaf_server, Lifecycle::Ready);
     }
 
-    /// The list tells each mixer, late.
+    /// Sends a changed list entry to each mixer, with the delay of discovery.
     pub(super) fn send_list_updates(&mut self, leaf_server: u32, lifecycle: Lifecycle) {
         let entry = self.replica_entry(leaf_server, lifecycle);
         for mixer in 0..self.mixers.len() {
@@ -530,7 +535,7 @@
     }
 }
 
-/// The number of a query, from the id of one of its requests.
+/// Returns the number of the query to which a request id (`qNUMBER-RETRY`) belongs.
 fn query_number(request_id: &str) -> usize {
     request_id[1..]
         .split('-')
--- a/crates/wharfhub-testbed/src/emulator/mod.rs
+++ b/crates/wharfhub-testbed/src/emulator/mod.rs
@@ -1,8 +1,9 @@
-//! The emulator: a scenario in virtual time, with the daemon's own coordinator, decision module and connection rules in every mixer.
+//! The emulator, which runs a scenario in virtual time. Each mixer uses the daemon's own coordinator, decision module and
+//! connection rules.
 //!
-//! This file owns the clock, the order of events, the network's delays, and what clients and the list do. Nothing in it
-//! waits, reads a clock or draws a number that the scenario's seed does not fix: a seed replays a run exactly. It must never
-//! tell a mixer what its own wire would not.
+//! Clients, the network, the endpoint list and the leaf servers are emulated by a discrete-event simulation. Time is virtual and
+//! all random numbers come from the scenario's seed, so the same seed repeats a run exactly. Mixers get only the information
+//! that the daemon would receive over its connections.
 
 mod clients;
 mod faults;
@@ -25,52 +26,65 @@
     AttemptKey, Command, Coordinator, QueryRequest, RequestKey, Wake,
 };
 
-/// The clock at the start of a scenario: far from 0, which means long ago.
+/// Virtual time at the start of a scenario (seconds); well above 0, because a start time of 0 marks a warm leaf server.
 const START_S: f64 = 1000.0;
-/// One way within a machine room (seconds).
+/// One-way network delay within a zone (seconds).
 const SAME_ZONE_DELAY_S: f64 = 0.0004;
-/// Clients don't try again with less time left (seconds).
+/// Remaining time below which clients don't retry (seconds).
 const MIN_RETRY_TIME_S: f64 = 0.15;
-/// What an answer may come later than the client's time, by its way.
+/// Tolerance of the rule checker for time limits, because of network delays (seconds).
 const SLACK_S: f64 = 0.01;
-/// A drain ends so long after it began, and the new process comes so long after that (seconds).
-const DRAIN_PHASE_S: f64 = 6.0;
-/// A connection that does not come up is given up after this time (seconds).
+/// Time from the death of a drained process to the start of the new one (seconds).
+const DRAIN_RESTART_DELAY_S: f64 = 6.0;
+/// Time after which the establishment of a connection fails (seconds).
 const CONNECT_TIMEOUT_S: f64 = 0.25;
-/// Whoever stands before the mixers goes on sending to a dead one for so long (seconds).
+/// Time for which the load balancer in front of the mixers continues to send requests to a dead one (seconds).
 const FAILOVER_DELAY_S: f64 = 2.0;
 
+/// Attempt on its way to a leaf server or at one.
 struct Job {
     mixer: usize,
-    incarnation: u32, // the mixer's
+    incarnation: u32, // of the mixer
     connection: u64,
     attempt: AttemptKey,
     query_request: Rc<QueryRequest>,
     query: usize,
     index: usize,
     pre_check: bool,
-    call_work_s: f64, // work of the call that came with it (core seconds)
+    call_work_s: f64, // fixed work of the call, charged to this part (core seconds)
     sent_at: f64,
     delay_s: f64,
 }
 
-/// What a leaf server works on.
+/// Job of a leaf server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Task {
+    /// Part, by the number of its [`Job`].
     Part(u64),
-    /// A handshake: mixer, its life, connection.
+    /// Handshake: mixer, incarnation of the mixer, connection.
     Handshake(usize, u32, u64),
 }
 
+/// Event of the simulation. A mixer is given with its incarnation, so that events for an earlier process have no effect.
 enum Event {
+    /// Request of a client: query, retry.
     SendRequest(usize, u32),
+    /// Disconnect of a client, at its timeout at the latest: query, retry.
     ClientDisconnects(usize, u32),
+    /// Deadline of a coordinator.
     Wake(usize, u32, Wake),
+    /// Arrival of a call at a leaf server, with the numbers of its jobs.
     CallArrives(u32, Vec<u64>),
+    /// Time at which a leaf server completes a job or begins or ends a pause; only the latest version is valid.
     Progress(u32, u64),
+    /// Arrival of a handshake at a leaf server: leaf server, mixer, incarnation, connection.
     HandshakeArrives(u32, usize, u32, u64),
+    /// Establishment of a connection: mixer, incarnation, leaf server, connection.
     Opened(usize, u32, u32, u64),
+    /// Failed establishment of a connection; has no effect on an established connection.
     ConnectFailed(usize, u32, u32, u64),
+    /// Arrival of an answer at a mixer: mixer, incarnation, leaf server, connection, attempt, and the outcome with its value and
+    /// the time at which the attempt was sent.
     Answer(
         usize,
         u32,
@@ -79,19 +93,25 @@
         AttemptKey,
         (Outcome, Option<Rc<str>>, f64),
     ),
+    /// Reset of a connection.
     Reset(usize, u32, u32, u64),
-    /// A repeat could not leave in its window.
+    /// End of an attempt that could not be sent within its send window.
     Expired(usize, u32, AttemptKey),
+    /// Arrival of a cancellation at a leaf server: leaf server, job.
     CancelArrives(u32, u64),
+    /// Arrival of a changed list entry at a mixer.
     ListUpdate(usize, ReplicaEntry),
+    /// Beginning (`true`) or end of a fault.
     Fault(usize, bool),
+    /// Start of a new process of a leaf server.
     Restart(u32),
+    /// Fault of one connection, which is drawn at that time.
     ConnectionGoesSilent,
 }
 
 struct ScheduledEvent {
-    at: u64, // microseconds
-    order: u64,
+    at: u64,    // microseconds
+    order: u64, // sequence number, which orders events of the same time
     event: Event,
 }
 
@@ -116,15 +136,16 @@
 }
 
 struct Mixer {
-    coordinator: Option<Coordinator>, // none while it is dead
+    coordinator: Option<Coordinator>, // none while the mixer is dead
     incarnation: u32,
     died_at: f64,
     pool: ConnectionPool,
-    in_flight: BTreeMap<AttemptKey, (u32, u64, u64)>, // leaf server, connection, job
-    endpoints: BTreeMap<ReplicaId, ReplicaEntry>,     // as it was last told
+    in_flight: BTreeMap<AttemptKey, (u32, u64, u64)>, // leaf server, connection, number of the job
+    endpoints: BTreeMap<ReplicaId, ReplicaEntry>,     // list entries as last received
     cpu_ns: u64,
 }
 
+/// Request of a client that has no final answer yet.
 struct OpenRequest {
     mixer: usize,
     request: RequestKey,
@@ -132,23 +153,23 @@
     timeout_s: f64,
 }
 
-/// What came of a scenario.
+/// Result of a scenario.
 pub struct Run {
-    /// The sums.
+    /// Totals over all queries.
     pub tally: Tally,
-    /// What the judge says.
+    /// Rule checker with the violations.
     pub rules: RuleChecker,
-    /// Queries asked, tries included.
+    /// Number of requests that mixers received, retries included.
     pub requests: u64,
-    /// Handshakes that began at leaf servers.
+    /// Number of handshakes at leaf servers.
     pub handshakes: u64,
-    /// Time that the cores spent, all mixers together (seconds of this machine).
+    /// Time spent in the coordinators of all mixers (seconds of real time on this machine).
     pub cpu_s: f64,
-    /// Stands for all that the mixers did, in order.
+    /// Hash of all calls, cancellations and answers of the mixers, in order.
     pub digest: u64,
 }
 
-/// A scenario being played.
+/// State of a running emulation.
 pub struct Emulator<'a> {
     scenario: &'a Scenario,
     deployment: Rc<Deployment>,
@@ -158,7 +179,7 @@
     events: BinaryHeap<Reverse<ScheduledEvent>>,
     mixers: Vec<Mixer>,
     leaf_servers: Vec<LeafServer<Task>>,
-    event_versions: Vec<u64>, // by leaf server: which of its turns is the next
+    event_versions: Vec<u64>, // by leaf server: version of its valid `Progress` event
     jobs: BTreeMap<u64, Job>,
     last_job: u64,
     by_leaf_server: Vec<BTreeSet<u64>>,
@@ -175,12 +196,12 @@
     commands: Vec<Command>,
 }
 
-/// A leaf server's name in the module.
+/// Returns the id of a leaf server in the decision module.
 fn replica(leaf_server: u32) -> ReplicaId {
     ReplicaId(leaf_server + 1)
 }
 
-/// Plays a scenario to its end.
+/// Runs a scenario to its end.
 pub fn run(scenario: &Scenario) -> Result<Run, config::SettingsError> {
     let deployment: Deployment = config::decode(scenario.settings().as_bytes())?;
     let mut emulator = Emulator::new(scenario, deployment);
@@ -260,6 +281,7 @@
         Coordinator::new(Rc::new(own), seed, self.now)
     }
 
+    /// Schedules an event; a time in the past counts as now.
     fn schedule(&mut self, at: f64, event: Event) {
         self.order += 1;
         let at = (at.max(self.now) * 1e6).round() as u64;
@@ -290,7 +312,7 @@
             self.schedule(START_S + from, Event::Fault(number, true));
             self.schedule(START_S + to, Event::Fault(number, false));
         }
-        // After the last query a scenario runs on until all is answered.
+        // The emulation continues after the last query, until every query has been answered or has timed out.
         let end = START_S + self.scenario.seconds + 8.0;
         while let Some(Reverse(due)) = self.events.pop() {
             self.now = due.at as f64 / 1e6;
@@ -305,7 +327,7 @@
         self.rules.finish();
         for _ in self.leaf_servers.iter().filter(|one| one.has_collapsed) {
             self.rules
-                .record_violation("cold: a box was pushed over while cold".into());
+                .record_violation("cold: a leaf server was overloaded during slow start".into());
         }
         Run {
             tally: self.tally,
@@ -334,7 +356,7 @@
         }
     }
 
-    /// Hands something to a mixer that lives, and carries out what it commands.
+    /// Calls the coordinator of a mixer and executes its commands. Has no effect on a dead mixer.
     fn drive(&mut self, mixer: usize, act: impl FnOnce(&mut Coordinator, f64, &mut Vec<Command>)) {
         let Some(coordinator) = &mut self.mixers[mixer].coordinator else {
             return;
@@ -359,7 +381,8 @@
         self.commands = commands;
     }
 
-    /// Carries out what a mixer commands; gives the attempts that never leave, and why: for want of a connection, or of need.
+    /// Executes the commands of a mixer. Returns the attempts that are not sent, either because the pool has no connection or
+    /// because their result is no longer needed.
     fn execute_commands(
         &mut self,
         mixer: usize,
@@ -406,18 +429,19 @@
                     }
                 }
                 Command::CloseIdle { replica } => self.mixers[mixer].pool.close_idle(replica.0 - 1),
-                // The list tells all unasked.
+                // The emulated list sends its changes without a request.
                 Command::Watch | Command::Log(_) => {}
             }
         }
         unsent
     }
 
-    /// FNV-1a over what the mixers do.
-    fn add_to_digest(&mut self, what: u64) {
-        self.digest = (self.digest ^ what).wrapping_mul(0x100_0000_01b3);
+    /// Adds an action of a mixer to the digest (FNV-1a).
+    fn add_to_digest(&mut self, action: u64) {
+        self.digest = (self.digest ^ action).wrapping_mul(0x100_0000_01b3);
     }
 
+    /// Returns whether a mixer is alive and still the process that an event refers to.
     fn is_current(&self, mixer: usize, incarnation: u32) -> bool {
         self.mixers[mixer].incarnation == incarnation && self.mixers[mixer].coordinator.is_some()
     }
@@ -451,19 +475,17 @@
             Event::ConnectFailed(mixer, incarnation, leaf_server, connection)
                 if self.is_current(mixer, incarnation) =>
             {
-                let waiting = self.mixers[mixer]
-                    .pool
-                    .connect_failed(leaf_server, connection);
+                let waiting = self.mixers[mixer].pool.abort(leaf_server, connection);
                 for attempt in waiting.into_iter().map(|part| part.attempt) {
                     self.drive(mixer, |coordinator, now, out| {
                         coordinator.attempt_ended(now, attempt, Outcome::ConnectFailed, None, out);
                     });
                 }
             }
-            Event::Answer(mixer, incarnation, leaf_server, connection, attempt, what)
+            Event::Answer(mixer, incarnation, leaf_server, connection, attempt, answer)
                 if self.is_current(mixer, incarnation) =>
             {
-                self.answer_arrives(mixer, (leaf_server, connection), attempt, what);
+                self.answer_arrives(mixer, (leaf_server, connection), attempt, answer);
             }
             Event::Reset(mixer, incarnation, leaf_server, connection)
                 if self.is_current(mixer, incarnation) =>
@@ -486,14 +508,14 @@
         }
     }
 
-    /// A connection of any mixer falls silent.
+    /// Makes a random connection of a random mixer silent.
     fn silence_random_connection(&mut self) {
         let mixer = self.rng.random_range(0..self.mixers.len());
         let draw = self.rng.random_range(0..1 << 20);
         self.mixers[mixer].pool.silence_one(draw);
     }
 
-    /// The endpoint list's change reaches a mixer.
+    /// Handles a changed list entry that arrives at a mixer.
     fn list_update_arrives(&mut self, mixer: usize, entry: ReplicaEntry) {
         if self.mixers[mixer].coordinator.is_none() {
             return;
@@ -513,7 +535,7 @@
         });
     }
 
-    /// A mixer is gone. Its clients' connections are reset where its machine is still there; otherwise they wait until their time is up.
+    /// Stops a mixer. If its machine is lost too, its clients get no reset and wait until their timeout.
     fn mixer_dies(&mut self, mixer: usize, machine_lost: bool) {
         let at = &mut self.mixers[mixer];
         if at.coordinator.take().is_none() {
@@ -523,13 +545,13 @@
         at.pool = ConnectionPool::new(self.scenario.mixers, self.scenario.site.idle_timeout_s);
         at.in_flight.clear();
         self.rules.mixer_died(mixer as u32);
-        let held: Vec<(usize, u32)> = self
+        let interrupted: Vec<(usize, u32)> = self
             .open_requests
             .iter()
             .filter(|(_, open)| open.mixer == mixer)
             .map(|(key, _)| *key)
             .collect();
-        for (number, retry) in held {
+        for (number, retry) in interrupted {
             self.open_requests.remove(&(number, retry));
             self.rules.forget_request(&format!("q{number}-{retry}"));
             self.tally.tries[tally::LEFT] += 1;
@@ -543,7 +565,7 @@
         }
     }
 
-    /// It starts again, with nothing but the list as it last had it.
+    /// Restarts a mixer with the last endpoint list that it received and no other state.
     fn restart_mixer(&mut self, mixer: usize) {
         if self.mixers[mixer].coordinator.is_some() {
             return;
@@ -557,7 +579,7 @@
     }
 }
 
-/// What the choice of a connection depends on, at one mixer.
+/// Returns the state of a mixer on which the choice of a connection depends.
 fn selection_context(
     deployment: &Deployment,
     coordinator: &Coordinator,
--- a/crates/wharfhub-testbed/src/load.rs
+++ b/crates/wharfhub-testbed/src/load.rs
@@ -1,8 +1,8 @@
-//! Load on sockets: the scenario's queries sent when they are due, whatever has come back by then.
+//! Load generator on sockets: sends the queries of a scenario to real mixers.
 //!
-//! This file owns the clients: open loop, latency counted from the moment a query was meant to be sent, tries and waits
-//! as in the emulator. An open loop must never send sooner or later because an answer is slow. Beside it there is one
-//! client in a closed loop, for measurements of what a single query costs.
+//! The open loop sends each query at its scheduled time, independently of earlier answers, and measures latency from the scheduled
+//! time; otherwise slow answers would hide the queueing that they cause (coordinated omission). Retries and timeouts follow the
+//! same rules as in the emulator. A closed loop with a single client is available for measurements of the cost of one query.
 
 use crate::rules::{self, AnswerPart, RequestOutcome};
 use crate::site::{Query, Scenario};
@@ -16,9 +16,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// As in the emulator.
+/// Remaining time below which clients don't retry (seconds), as in the emulator.
 const MIN_RETRY_TIME_S: f64 = 0.15;
-/// A client still reads so much longer than it waits, to see what comes late (seconds).
+/// Time for which a client reads beyond its timeout, so that late answers are noticed (seconds).
 const EXTRA_READ_S: f64 = 0.1;
 
 #[derive(Deserialize)]
@@ -33,7 +33,6 @@
     cell: String,
 }
 
-/// An answer as it came.
 struct Answer {
     status: u16,
     retry_after_s: f64,
@@ -42,25 +41,25 @@
 
 type Pool = Mutex<Vec<BufReader<TcpStream>>>;
 
-/// The clients of a scenario, and what they saw.
+/// Clients of a scenario, with their measurements.
 pub struct Load {
     shared: Arc<Shared>,
     mixers: Vec<SocketAddr>,
     pools: Vec<Pool>,
-    /// The sums.
+    /// Totals over all queries.
     pub tally: Mutex<Tally>,
-    /// Latency of answered queries by class, from the intended send (microseconds).
+    /// Latency of answered queries by class, from the scheduled send time (microseconds).
     pub latency: Mutex<Vec<Histogram<u64>>>,
-    /// How late the generator itself was (microseconds).
+    /// Delay of the generator itself behind the schedule (microseconds).
     pub lateness: Mutex<Histogram<u64>>,
 }
 
 fn histogram() -> Histogram<u64> {
-    // A minute in microseconds, to three figures: within what the library takes.
-    Histogram::new_with_bounds(1, 60_000_000, 3).expect("the bounds are sound")
+    // Up to one minute in microseconds, with three significant digits.
+    Histogram::new_with_bounds(1, 60_000_000, 3).expect("histogram bounds should be valid")
 }
 
-/// Sends all that the scenario asks to these mixers, each query when it is due, and waits for the last answer.
+/// Sends all queries of the scenario to the mixers, each at its scheduled time, and waits for the last answer.
 pub fn run_open_loop(shared: &Arc<Shared>, mixers: Vec<SocketAddr>) -> Load {
     let load = Load::new(shared, mixers);
     std::thread::scope(|scope| {
@@ -79,7 +78,7 @@
 }
 
 impl Load {
-    /// Clients of these mixers that have asked nothing yet.
+    /// Creates clients of these mixers, without sending anything.
     pub fn new(shared: &Arc<Shared>, mixers: Vec<SocketAddr>) -> Load {
         Load {
             shared: shared.clone(),
@@ -99,7 +98,7 @@
         }
     }
 
-    /// One client sends these queries of the scenario one after the other, each as soon as the one before is over.
+    /// Sends these queries of the scenario one after the other, each as soon as the previous one has ended.
     pub fn run_closed_loop(&self, numbers: Range<usize>) {
         for number in numbers {
             let query = Query {
@@ -110,7 +109,7 @@
         }
     }
 
-    /// A query over all its tries.
+    /// Sends a query and its retries.
     fn query(&self, number: usize, query: &Query) {
         let (shared, scenario) = (&self.shared, &self.shared.scenario);
         let class = &scenario.site.classes[query.class];
@@ -145,7 +144,7 @@
                 Ok(_) => RequestOutcome::Failed,
                 Err(_) => {
                     lock(&shared.rules).record_violation(format!(
-                        "lost: {id} had no final answer when its time was up"
+                        "lost: {id} had no final answer at the client's timeout"
                     ));
                     RequestOutcome::Abandoned
                 }
@@ -173,6 +172,7 @@
         }
     }
 
+    /// Passes an answer to the rule checker and adds it to the totals.
     fn record_answer(
         &self,
         id: &str,
@@ -187,13 +187,13 @@
                 .iter()
                 .position(|part| part.shard == piece.tablet)
         };
-        let plain = |piece: &PieceJson| emulator_value(scenario, id, piece.tablet, &piece.cell);
-        let made: Vec<(usize, String)> = body
+        let value = |piece: &PieceJson| emulator_value(scenario, id, piece.tablet, &piece.cell);
+        let parts: Vec<(usize, String)> = body
             .pieces
             .iter()
-            .filter_map(|piece| Some((index(piece)?, plain(piece))))
+            .filter_map(|piece| Some((index(piece)?, value(piece))))
             .collect();
-        let pieces = made
+        let pieces = parts
             .iter()
             .map(|(index, value)| AnswerPart {
                 index: *index,
@@ -211,11 +211,11 @@
         tally.tries[tally::ANSWERED] += 1;
         tally.tries[tally::IN_PART] += u64::from(!body.full);
         let mut share = 0.0;
-        for (index, value) in &made {
-            let (part, word) = (query.parts[*index], value.ends_with(" none"));
+        for (index, value) in &parts {
+            let (part, pruned) = (query.parts[*index], value.ends_with(" none"));
             share += part.weight;
-            tally.useful_s += part.work_s * if word { scenario.pre_check_work } else { 1.0 };
-            tally.pruned += u64::from(word);
+            tally.useful_s += part.work_s * if pruned { scenario.pre_check_work } else { 1.0 };
+            tally.pruned += u64::from(pruned);
         }
         tally.query(
             scenario,
@@ -226,7 +226,7 @@
         let _ = lock(&self.latency)[query.class].record((since_s * 1e6) as u64);
     }
 
-    /// One try. An error: no final answer came in the client's time.
+    /// Sends one request. Returns an error if no final answer arrived before the client's timeout.
     fn send_request(
         &self,
         mixer: usize,
@@ -257,7 +257,7 @@
             (timeout_s * 1000.0).max(1.0),
             body.len()
         );
-        // A kept connection may have been closed meanwhile: then the request goes once more on a new one.
+        // The mixer may have closed an idle connection in the meantime; in that case the request is sent again on a new one.
         let kept = lock(&self.pools[mixer]).pop();
         if let Some(kept) = kept {
             match self.exchange(kept, mixer, &request, timeout_s) {
@@ -320,7 +320,7 @@
     }
 }
 
-/// Whether the client's time was up: then the request is over, and must not be sent once more.
+/// Returns whether the error is the client's timeout, after which the request must not be sent again.
 fn is_timeout(error: &io::Error) -> bool {
     matches!(
         error.kind(),
@@ -328,11 +328,12 @@
     )
 }
 
-/// A value of a leaf server of the search style is a list of hits: the one hit's id is the value. An empty list is a leaf server's
-/// word; which leaf server gave it can't be told from a count, so only its truth is judged.
+/// Converts a part's value to the form of [`rules::part_value`]. A leaf server with the search API returns a list of hits, in which
+/// the id of the only hit is the value. An empty list is the answer to a pre-check; the list doesn't identify the leaf server, so
+/// any holder is assumed and only the correctness of the answer is checked.
 fn emulator_value(scenario: &Scenario, id: &str, shard: u32, cell: &str) -> String {
     if cell.starts_with("{\"hits\":[],") {
-        return rules::value(id, shard, scenario.holder(shard), true);
+        return rules::part_value(id, shard, scenario.holder(shard), true);
     }
     match cell
         .split("\"_id\":\"")
--- a/crates/wharfhub-testbed/src/model.rs
+++ b/crates/wharfhub-testbed/src/model.rs
@@ -1,57 +1,58 @@
-//! The model of a leaf server: cores, slots, a waiting room, a cold start, pauses, slow-downs and faults.
+//! The model of a leaf server: cores, slots, a bounded queue, slow start, pauses, slowdowns and faults.
 //!
-//! This file owns what happens inside one leaf server, in virtual time and behind the stand-ins on sockets alike: what comes
-//! waits in a room of fixed size; what runs shares the cores. It must never know a mixer, a wire or a clock (time is
-//! passed in), nor draw a random number that was not passed in.
+//! The emulator uses the model in virtual time and the stand-ins use it on sockets, so it has no clock, network or random
+//! number generator: callers pass in the time and the random numbers.
 //!
-//! Work goes on at the share of its capacity that the leaf server has, over the common slow-down and its own; not at all while it
-//! stands still. Cold leaf servers rise evenly from their first share to the whole. Whoever drives a leaf server calls
-//! [`LeafServer::advance`] before anything else at a time, and again at the time that [`LeafServer::next_event_at`] gives.
+//! Running jobs share the cores. Their speed is the current capacity of the leaf server divided by the common slowdown and by the
+//! server's own; during a pause it is 0. After a start the capacity rises linearly from an initial share to the full value. At
+//! each point in time, callers call [`LeafServer::advance`] before any other method, and again at the time that
+//! [`LeafServer::next_event_at`] returns.
 
 use std::collections::VecDeque;
 
-/// Work that is left by rounding alone (core seconds).
+/// Remaining work up to which a job counts as completed, because rounding may leave a little (core seconds).
 const ROUNDING_S: f64 = 1e-9;
 
-/// A turn comes so much late: one that came early by rounding would come again and again (seconds).
+/// Delay added to the time of the next event (seconds). If rounding made an event early, the job would not be completed yet and
+/// the event would be repeated again and again.
 const EVENT_DELAY_S: f64 = 1e-6;
 
-/// What a leaf server is made of.
+/// Configuration of a leaf server.
 #[derive(Clone, Copy, Debug)]
 pub struct LeafServerSetup {
-    /// Jobs that run at full speed at once.
+    /// Number of jobs that can run at full speed concurrently.
     pub cores: usize,
-    /// Jobs that run at once, sharing the cores; as many as cores at least.
+    /// Number of jobs that run concurrently and share the cores; a value below `cores` counts as `cores`.
     pub slots: usize,
-    /// Jobs that may wait beside.
+    /// Number of jobs that may wait in addition to the running ones.
     pub queue_capacity: usize,
-    /// Share of its capacity at its start.
+    /// Share of the full capacity directly after a start.
     pub slow_start_from: f64,
-    /// It has all of it so long after its start (seconds).
+    /// Time from a start until the full capacity is reached (seconds).
     pub slow_start_s: f64,
-    /// It falls over where it is sent more than this multiple of its present capacity ...
+    /// Multiple of the current capacity above which arriving work overloads a server during slow start.
     pub overload_multiple: f64,
-    /// ... for so long (seconds).
+    /// Length of the window over which arriving work is compared with that limit (seconds).
     pub overload_window_s: f64,
-    /// Whether what nobody waits for any more is stopped.
+    /// Whether the server stops cancelled jobs.
     pub cancels: bool,
-    /// Its pauses, where it has any.
+    /// Periodic pauses, if the server has any.
     pub pauses: Option<Pauses>,
 }
 
-/// A leaf server that stands still now and then.
+/// Periodic pauses during which a leaf server does no work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Pauses {
-    /// From one to the next (seconds).
+    /// Time from the start of one pause to the start of the next (seconds).
     pub period_s: f64,
-    /// How long (seconds).
+    /// Length of a pause (seconds).
     pub duration_s: f64,
-    /// When the first one begins (seconds).
+    /// Time at which the first pause begins (seconds).
     pub first_at: f64,
 }
 
 impl Pauses {
-    /// The end of the pause at that time, if it is one; else when the next begins.
+    /// Returns `Ok` with the end of the current pause, or `Err` with the start of the next one if there is no pause at `now`.
     fn boundary(&self, now: f64) -> Result<f64, f64> {
         let since = (now - self.first_at).rem_euclid(self.period_s);
         if since < self.duration_s {
@@ -62,78 +63,78 @@
     }
 }
 
-/// What is wrong with a leaf server.
+/// Fault of a leaf server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum ServerFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// Its process is dead: connections are refused.
+    /// The process has died; connections are refused.
     Dead,
-    /// Its machine is gone or cut off: nothing comes back, and new connections never come up.
+    /// The machine is lost or partitioned: no answers arrive, and new connections are never established.
     Lost,
-    /// It takes work and answers nothing.
+    /// The server accepts work but sends no answers.
     Silent,
-    /// It fails this share of its parts at once.
+    /// The server answers this share of its parts with an immediate error.
     Fails(f64),
 }
 
-/// What becomes of a job that arrives.
+/// Result of the arrival of a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission {
-    /// It is accepted: it runs, or waits.
+    /// The job runs or waits in the queue.
     Accepted,
-    /// The room is full.
+    /// The job is rejected because the queue is full.
     QueueFull,
-    /// It fails at once.
+    /// The job fails immediately.
     Failed,
-    /// Nobody hears of it again.
+    /// The job never gets an answer.
     Ignored,
-    /// There is no process.
+    /// The job is refused because the process has died or is overloaded during slow start.
     Refused,
 }
 
-/// A job that arrives.
+/// Job that arrives at a leaf server.
 #[derive(Clone, Copy, Debug)]
 pub struct IncomingJob<J> {
-    /// What it is.
+    /// Identification of the job.
     pub job: J,
-    /// Its work (core seconds).
+    /// Work of the job (core seconds).
     pub work_s: f64,
-    /// Its work by the cold rule's count.
+    /// Work with which the job counts towards the overload limit of slow start (core seconds).
     pub nominal_work_s: f64,
-    /// Whether it goes before what waits.
+    /// Whether the job runs before all ordinary waiting jobs.
     pub is_prioritized: bool,
-    /// Whether whoever sent it was told of the leaf server's start.
+    /// Whether the sender had been notified of the leaf server's latest start.
     pub sender_knows_start: bool,
 }
 
-/// One leaf server, holding jobs of some kind.
+/// Modelled leaf server; `J` identifies its jobs.
 #[derive(Clone, Debug)]
 pub struct LeafServer<J> {
-    /// What it is made of. Pauses may change, between two turns.
+    /// Configuration. The pauses may be changed between two calls of [`LeafServer::advance`].
     pub setup: LeafServerSetup,
-    /// What is wrong with it.
+    /// Current fault.
     pub fault: ServerFault,
-    /// When its process started; 0 for long ago.
+    /// Start time of the process; 0 if the server was warm from the beginning.
     pub started_at: f64,
-    /// So many times slower than usual, by itself.
+    /// Factor by which this server is slower than usual, in addition to the common slowdown.
     pub slowdown: f64,
-    /// Told apart from the process before.
+    /// Number of times that the process has died.
     pub incarnation: u32,
-    running: Vec<(f64, J)>,          // work that is left
-    prioritized: VecDeque<(f64, J)>, // words, which go before what waits
+    running: Vec<(f64, J)>,          // remaining work (core seconds) and job
+    prioritized: VecDeque<(f64, J)>, // waiting pre-checks and handshakes, which run before other jobs
     waiting: VecDeque<(f64, J)>,
-    advanced_to: f64,                          // how far its work has been reckoned
-    cold_arrivals: VecDeque<(f64, f64, bool)>, // when work came while it was cold, how much, and whether from one who was told
-    /// Whether it was pushed over while cold.
+    advanced_to: f64, // time up to which the work has been computed
+    cold_arrivals: VecDeque<(f64, f64, bool)>, // arrivals during slow start: time, work, sender knows the start
+    /// Whether the server was ever overloaded during slow start.
     pub has_collapsed: bool,
-    /// Work that it has done (core seconds).
+    /// Work done so far (core seconds).
     pub completed_work_s: f64,
 }
 
 impl<J: Copy + PartialEq> LeafServer<J> {
-    /// A warm and idle leaf server.
+    /// Creates an idle leaf server at full capacity.
     pub fn new(setup: LeafServerSetup) -> LeafServer<J> {
         LeafServer {
             setup,
@@ -151,7 +152,7 @@
         }
     }
 
-    /// The share of its capacity that it has.
+    /// Returns the current share of the full capacity.
     pub fn capacity(&self, now: f64) -> f64 {
         if self.started_at <= 0.0 {
             return 1.0;
@@ -160,12 +161,12 @@
         self.setup.slow_start_from + (1.0 - self.setup.slow_start_from) * ramp
     }
 
-    /// Jobs that it holds.
+    /// Returns the number of running and waiting jobs.
     pub fn job_count(&self) -> usize {
         self.running.len() + self.prioritized.len() + self.waiting.len()
     }
 
-    /// Its process dies; gives what it held. It comes back by [`LeafServer::start`].
+    /// Kills the process and returns the jobs that it held. [`LeafServer::start`] starts a new process.
     pub fn die(&mut self) -> Vec<J> {
         self.fault = ServerFault::Dead;
         self.incarnation += 1;
@@ -177,13 +178,13 @@
         interrupted.map(|(_, job)| job).collect()
     }
 
-    /// A new process, cold.
+    /// Starts a new process, which begins with slow start.
     pub fn start(&mut self, now: f64) {
         (self.fault, self.started_at, self.advanced_to) = (ServerFault::None, now, now);
         self.cold_arrivals.clear();
     }
 
-    /// What each job that runs gets done in a second (core seconds); 0 while it stands still.
+    /// Returns the work done on each running job per second (core seconds); 0 during a pause.
     fn rate(&self, now: f64, slowdown: f64) -> f64 {
         if self
             .setup
@@ -196,8 +197,8 @@
         self.capacity(now).max(0.01) * shared / (slowdown * self.slowdown)
     }
 
-    /// Reckons the work done since the last turn at a speed that held until now; gives what has ended, in order. What
-    /// waits begins in its place.
+    /// Computes the work done since the previous call and returns the completed jobs, in order of their start; waiting jobs
+    /// take their slots. The speed at the time of the previous call is used for the whole interval.
     pub fn advance(&mut self, now: f64, slowdown: f64) -> Vec<J> {
         let done_s = (now - self.advanced_to).max(0.0) * self.rate(self.advanced_to, slowdown);
         self.advanced_to = self.advanced_to.max(now);
@@ -217,6 +218,7 @@
         ended
     }
 
+    /// Moves waiting jobs to free slots.
     fn begin(&mut self) {
         while self.running.len() < self.setup.slots.max(self.setup.cores) {
             let Some(next) = self
@@ -230,7 +232,8 @@
         }
     }
 
-    /// When it has to be turned again, if nothing else happens to it.
+    /// Returns the time at which [`LeafServer::advance`] must be called next if nothing else happens, or `None` if no job
+    /// runs.
     pub fn next_event_at(&self, now: f64, slowdown: f64) -> Option<f64> {
         let min_s = self
             .running
@@ -252,7 +255,7 @@
         Some(ends_at.min(edge).max(now) + EVENT_DELAY_S)
     }
 
-    /// A job arrives. `lot` is a random number from 0 to 1.
+    /// Handles the arrival of a job. `draw` is a random number from 0 to 1, which decides whether the job fails.
     pub fn arrive(&mut self, now: f64, arriving: IncomingJob<J>, draw: f64) -> Admission {
         let IncomingJob {
             job,
@@ -267,7 +270,7 @@
         if self.fault == ServerFault::Lost {
             return Admission::Ignored;
         }
-        if self.is_overloaded_by(now, nominal_work_s, sender_knows_start) {
+        if self.record_arrival(now, nominal_work_s, sender_knows_start) {
             self.has_collapsed = true;
             return Admission::Refused;
         }
@@ -295,13 +298,15 @@
         Admission::Accepted
     }
 
-    /// Work that is no job of a client's, and goes before what waits: a handshake.
+    /// Queues work that belongs to no client, such as a handshake, before all ordinary waiting jobs; the queue limit does not
+    /// apply.
     pub fn add_priority_work(&mut self, job: J, work_s: f64) {
         self.prioritized.push_back((work_s, job));
         self.begin();
     }
 
-    /// Nobody waits for a job any more. Where the leaf server stops such work, gives what it need not do (core seconds).
+    /// Cancels a job. Returns the work that is saved (core seconds), or `None` if the server does not stop cancelled jobs or
+    /// does not hold this one.
     pub fn cancel(&mut self, job: J) -> Option<f64> {
         if !self.setup.cancels {
             return None;
@@ -320,14 +325,10 @@
         left
     }
 
-    /// The rule on cold leaf servers, as a budget over the window that ends now: all that comes counts, and the rule is broken
-    /// where two thirds of it came from those who were told of the start.
-    fn is_overloaded_by(
-        &mut self,
-        now: f64,
-        nominal_work_s: f64,
-        sender_knows_start: bool,
-    ) -> bool {
+    /// Records an arrival and returns whether it overloads the server during slow start. All work that arrived within the window
+    /// counts towards the limit. Exceeding the limit is an overload only if at least two thirds of that work came from senders
+    /// that knew of the start, because others could not slow down.
+    fn record_arrival(&mut self, now: f64, nominal_work_s: f64, sender_knows_start: bool) -> bool {
         let capacity = self.capacity(now);
         if capacity >= 1.0 {
             self.cold_arrivals.clear();
@@ -353,7 +354,7 @@
             * capacity
             * self.setup.cores as f64
             * self.setup.overload_window_s;
-        // A little slack for chance: two parts of the usual kind.
+        // Two more parts of nominal work are allowed, because arrivals vary by chance.
         work > max_work_s + 2.0 * nominal_work_s && informed_work >= 2.0 / 3.0 * work
     }
 }
--- a/crates/wharfhub-testbed/src/rules.rs
+++ b/crates/wharfhub-testbed/src/rules.rs
@@ -1,51 +1,52 @@
-//! The rules of the brief, checked from outside on every run, in virtual time and on sockets alike.
+//! Checker of the mixer's behaviour, used by every run in virtual time and on sockets.
 //!
-//! This file owns what is remembered of requests and attempts to judge them. It must never ask the mixer what it
-//! thinks: only what crossed the wire counts, and how the scenario really was.
+//! The checker relies only on messages between clients, mixers and leaf servers and on the scenario itself, never on the mixer's
+//! own state: an error in the mixer must not hide itself.
 
 use crate::site::{Query, Scenario};
 use std::collections::BTreeMap;
 
-/// Rounding that sums of weights may show.
+/// Rounding error allowed in sums of part weights.
 const WEIGHT_SUM_TOLERANCE: f64 = 0.0001;
-/// Violations that are told; of more only the number is.
+/// Maximum number of violations whose descriptions are kept; further ones are only counted.
 const MAX_RECORDED_VIOLATIONS: usize = 8;
 
-/// A part of a value as a stand-in writes it: request, shard, leaf server, and whether it is a word.
-pub fn value(id: &str, shard: u32, leaf_server: u32, word: bool) -> String {
+/// Returns the value that a leaf server sends for a part, with which the checker identifies the request, the shard and the leaf
+/// server. `pre_check` marks the answer to a pre-check without a match.
+pub fn part_value(id: &str, shard: u32, leaf_server: u32, pre_check: bool) -> String {
     format!(
         "{id}.{shard}@{leaf_server}{}",
-        if word { " none" } else { "" }
+        if pre_check { " none" } else { "" }
     )
 }
 
-/// A part of an answer as its client got it.
+/// Part of an answer as the client received it.
 #[derive(Clone, Debug)]
 pub struct AnswerPart<'a> {
-    /// Its place among the query's parts.
+    /// Index of the part in the query.
     pub index: usize,
-    /// Its value.
+    /// Value of the part.
     pub value: &'a str,
 }
 
-/// How a try ended, as its client saw it.
+/// End of a request as the client saw it. A query is sent in one request or, with retries, in several.
 #[derive(Clone, Debug)]
 pub enum RequestOutcome<'a> {
-    /// Answered, and whether it was called whole.
+    /// Answer, with the flag that claims it to be complete.
     Answered(bool, Vec<AnswerPart<'a>>),
-    /// Refused, with the time to come back (seconds).
+    /// Rejection, with the time after which the client may retry (seconds).
     Rejected(f64),
-    /// Failed.
+    /// Failure without an answer.
     Failed,
-    /// The client's time was up, or it left.
+    /// No final answer before the client's timeout, or before the client disconnected.
     Abandoned,
 }
 
 #[derive(Default)]
 struct PartState {
     attempts: usize,
-    in_flight: usize, // of these, the ones of which the mixer waits for the end
-    may_run_since: Option<f64>, // when the first was sent that may have run
+    in_flight: usize,           // attempts whose end the mixer waits for
+    may_run_since: Option<f64>, // send time of the first attempt that may have run
 }
 
 #[derive(Default)]
@@ -54,21 +55,21 @@
     parts: BTreeMap<u32, PartState>, // by shard
 }
 
-/// The judge of one run.
+/// Checker of one run.
 pub struct RuleChecker {
     scenario: Scenario,
     requests: BTreeMap<String, RequestState>,
-    unavailable_since: BTreeMap<(u32, u32), f64>, // when a mixer was told that a leaf server drains or is gone
-    listed_starts: BTreeMap<(u32, u32), f64>, // the latest start of a leaf server that a mixer was told of
+    unavailable_since: BTreeMap<(u32, u32), f64>, // by mixer and leaf server: notification of a drain or removal
+    listed_starts: BTreeMap<(u32, u32), f64>, // by mixer and leaf server: latest start that the mixer knows
     slack_s: f64,
-    /// What was broken, in words.
+    /// Descriptions of the first violations, each beginning with the name of the rule.
     pub violations: Vec<String>,
-    /// How often.
+    /// Number of violations.
     pub violation_count: u64,
 }
 
 impl RuleChecker {
-    /// A judge; every time limit is so much longer (seconds).
+    /// Creates a checker that extends every time limit by `slack_s` seconds.
     pub fn new(scenario: &Scenario, slack_s: f64) -> RuleChecker {
         let (requests, unavailable_since, listed_starts) =
             (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Notes a violation.
+    /// Records a violation.
     pub fn record_violation(&mut self, what: String) {
         self.violation_count += 1;
         if self.violations.len() < MAX_RECORDED_VIOLATIONS {
@@ -91,7 +92,7 @@
         }
     }
 
-    /// A mixer was told that a leaf server may get something new, or may not.
+    /// Records that a mixer was notified that a leaf server accepts new requests (`ready`), or that it drains or was removed.
     pub fn endpoint_listed(&mut self, now: f64, mixer: u32, leaf_server: u32, ready: bool) {
         if ready {
             self.unavailable_since.remove(&(mixer, leaf_server));
@@ -102,30 +103,31 @@
         }
     }
 
-    /// A mixer was told when a leaf server last started.
+    /// Records that a mixer was notified of the latest start of a leaf server.
     pub fn start_listed(&mut self, mixer: u32, leaf_server: u32, started_at: f64) {
         self.listed_starts.insert((mixer, leaf_server), started_at);
     }
 
-    /// Whether a mixer was told of this start of a leaf server.
+    /// Returns whether a mixer was notified of this start of a leaf server. Servers that were warm from the beginning need no
+    /// notification.
     pub fn knows_start(&self, mixer: u32, leaf_server: u32, started_at: f64) -> bool {
         started_at <= 0.0
             || self
                 .listed_starts
                 .get(&(mixer, leaf_server))
-                .is_some_and(|notified| *notified >= started_at)
+                .is_some_and(|known| *known >= started_at)
     }
 
-    /// A mixer sent a part to a leaf server: which shard, and whether it only pre-checked.
+    /// Checks an attempt that a mixer sends to a leaf server; `sent` is its shard and whether it is a pre-check.
     pub fn part_sent(
         &mut self,
         now: f64,
         (mixer, leaf_server): (u32, u32),
         id: &str,
         query: &Query,
-        asked: (u32, bool),
+        sent: (u32, bool),
     ) {
-        let (shard, pre_check) = asked;
+        let (shard, pre_check) = sent;
         let class = self.scenario.site.classes[query.class].clone();
         if let Some(notified) = self
             .unavailable_since
@@ -134,17 +136,17 @@
         {
             let late = now - notified;
             self.record_violation(format!(
-                "drain: {id}.{shard} went to box {leaf_server} {late:.3} s after it was told"
+                "drain: {id}.{shard} was sent to leaf server {leaf_server} {late:.3} s after the notification"
             ));
         }
         if !self.scenario.holds(leaf_server, shard) {
             self.record_violation(format!(
-                "placement: {id}.{shard} went to box {leaf_server}, which does not hold it"
+                "placement: {id}.{shard} was sent to leaf server {leaf_server}, which does not hold the shard"
             ));
         }
         if pre_check && !class.is_retryable() {
             self.record_violation(format!(
-                "phases: {id}.{shard} of {} was asked ahead",
+                "phases: {id}.{shard} of {} was pre-checked, but the class is not retryable",
                 class.name
             ));
         }
@@ -159,23 +161,26 @@
         let (attempts, in_flight) = (sends.attempts, sends.in_flight);
         if over {
             self.record_violation(format!(
-                "ended: {id}.{shard} was sent after its final answer"
+                "ended: {id}.{shard} was sent after the final answer"
             ));
         }
         if late {
-            self.record_violation(format!("repeat: {id}.{shard} of {name} was sent again beyond its window, {after_s:.3} s after the first"));
+            self.record_violation(format!(
+                "repeat: {id}.{shard} of {name} was sent again after the deduplication window, {after_s:.3} s after the \
+                 first attempt"
+            ));
         }
         if attempts > self.scenario.site.attempts.0 as usize {
             self.record_violation(format!("attempts: {id}.{shard} was sent {attempts} times"));
         }
         if in_flight > 1 && !self.scenario.site.attempts.1 {
             self.record_violation(format!(
-                "copies: {in_flight} attempts of {id}.{shard} are out at once"
+                "copies: {in_flight} attempts of {id}.{shard} are in flight at once"
             ));
         }
     }
 
-    /// A mixer no longer waits for an attempt of a part.
+    /// Records that a mixer no longer waits for an attempt of a part.
     pub fn attempt_over(&mut self, id: &str, shard: u32) {
         if let Some(part) = self
             .requests
@@ -186,7 +191,7 @@
         }
     }
 
-    /// A leaf server took a part that was sent at that time: it may run.
+    /// Records that a leaf server accepted an attempt that was sent at `sent_at`, so the part may be executed.
     pub fn part_ran(&mut self, id: &str, shard: u32, sent_at: f64) {
         let part = self
             .requests
@@ -200,12 +205,12 @@
         }
     }
 
-    /// A try began.
+    /// Records the start of a request.
     pub fn request_started(&mut self, id: &str) {
         self.requests.entry(id.to_string()).or_default();
     }
 
-    /// A try ended; `took_s` of the `timeout_s` that its client waits (seconds).
+    /// Checks the end of a request, `took_s` after its start; the client waits for `timeout_s` (seconds).
     pub fn request_ended(
         &mut self,
         id: &str,
@@ -226,7 +231,7 @@
         }
         if took_s > timeout_s + self.slack_s && !matches!(ended, RequestOutcome::Abandoned) {
             self.record_violation(format!(
-                "time: {id} was answered {took_s:.3} s into {timeout_s:.3} s"
+                "time: {id} was answered after {took_s:.3} s, with a timeout of {timeout_s:.3} s"
             ));
         }
         match ended {
@@ -237,11 +242,11 @@
                     .sum();
                 if share + WEIGHT_SUM_TOLERANCE < class.min_share {
                     self.record_violation(format!(
-                        "floor: {id} was answered from a share of {share:.3}"
+                        "floor: {id} was answered with a share of {share:.3}, less than the class requires"
                     ));
                 } else if *complete && share + WEIGHT_SUM_TOLERANCE < 1.0 {
                     self.record_violation(format!(
-                        "whole: {id} was called whole at a share of {share:.3}"
+                        "whole: {id} was marked complete with a share of {share:.3}"
                     ));
                 }
                 for piece in pieces {
@@ -250,7 +255,7 @@
             }
             RequestOutcome::Rejected(_) if !class.is_retryable() && ran => {
                 self.record_violation(format!(
-                    "refusal: {id} of {} was refused after a box took it",
+                    "refusal: {id} of {} was rejected after a leaf server had accepted a part",
                     class.name
                 ));
             }
@@ -258,43 +263,47 @@
         }
     }
 
-    /// A value must be made by a leaf server that holds the part, for this very request; a word must be true.
+    /// Checks that a value comes from a leaf server that holds the shard and belongs to this request, and that a pre-check
+    /// without a match is correct.
     fn check_value(&mut self, id: &str, query: &Query, piece: &AnswerPart) {
         let part = query.parts[piece.index];
-        let word = piece.value.ends_with(" none");
+        let pre_check = piece.value.ends_with(" none");
         let leaf_server = piece
             .value
             .split('@')
             .nth(1)
             .and_then(|rest| rest.split(' ').next()?.parse::<u32>().ok());
-        let made = leaf_server.is_some_and(|leaf_server| {
+        let is_genuine = leaf_server.is_some_and(|leaf_server| {
             self.scenario.holds(leaf_server, part.shard)
-                && piece.value == value(id, part.shard, leaf_server, word)
+                && piece.value == part_value(id, part.shard, leaf_server, pre_check)
         });
-        if !made {
+        if !is_genuine {
             self.record_violation(format!(
                 "value: {id}.{} was answered with {:?}",
                 part.shard, piece.value
             ));
-        } else if word && part.matches {
-            self.record_violation(format!("pruned: {id}.{} has a match", part.shard));
+        } else if pre_check && part.matches {
+            self.record_violation(format!(
+                "pruned: {id}.{} was pruned but has a match",
+                part.shard
+            ));
         }
     }
 
-    /// A mixer has died: what it was told counts no more, and nobody owes an answer to what it held.
+    /// Discards the notifications that a mixer received, because the mixer has died. The caller removes its open requests with
+    /// [`RuleChecker::forget_request`].
     pub fn mixer_died(&mut self, mixer: u32) {
         self.unavailable_since
-            .retain(|(notified, _), _| *notified != mixer);
-        self.listed_starts
-            .retain(|(notified, _), _| *notified != mixer);
+            .retain(|(other, _), _| *other != mixer);
+        self.listed_starts.retain(|(other, _), _| *other != mixer);
     }
 
-    /// Nobody owes an answer to this try any more.
+    /// Removes a request that no longer needs a final answer, because its mixer has died.
     pub fn forget_request(&mut self, id: &str) {
         self.requests.remove(id);
     }
 
-    /// The scenario is over: tries without an answer are lost.
+    /// Records a violation for every request without a final answer; called at the end of the scenario.
     pub fn finish(&mut self) {
         let lost: Vec<String> = self
             .requests
--- a/crates/wharfhub-testbed/src/site/mod.rs
+++ b/crates/wharfhub-testbed/src/site/mod.rs
@@ -1,7 +1,7 @@
-//! Deployments and scenarios: classes, leaf servers, mixers, what goes wrong, and the queries of clients.
+//! Deployments and scenarios: the parameters of the operators' deployments, faults, the clients' queries drawn from a seed, and the
+//! mixer settings as the daemon reads them.
 //!
-//! This module owns the figures of the operators' deployments, the draw of a scenario from a seed, and the settings in the form that the
-//! daemon's own decoder reads. It must never know how a scenario is played.
+//! A scenario is independent of how it is run (in virtual time or on sockets).
 
 mod profiles;
 mod queries;
@@ -13,112 +13,115 @@
 pub use queries::{Part, Query};
 pub use scenario::{Fault, Scenario};
 
-/// One class of query.
+/// Class of queries.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     pub name: &'static str,
-    /// Its share of the queries.
+    /// Share of all queries.
     pub share: f64,
-    /// Parts of a query, at least and at most; and as a share of all shards, if that is more.
+    /// Minimum and maximum number of parts of a query, and a share of all shards that raises both if it is more.
     pub parts: (usize, usize, f64),
-    /// Mean work of a part (seconds).
+    /// Mean work of a part (core seconds).
     pub work_s: f64,
-    /// An answer within this time earns all (seconds).
+    /// Latency up to which an answer has its full worth (seconds).
     pub latency_objective_s: f64,
-    /// A client's total wait (seconds).
+    /// Longest time for which a client waits, over all retries (seconds).
     pub client_timeout_s: f64,
-    /// What a late answer earns.
+    /// Worth of a late answer, as a share of that of a timely one.
     pub late_weight: f64,
-    /// Its worth.
+    /// Worth of an answer relative to other classes.
     pub priority_weight: f64,
-    /// Least share for an answer in part.
+    /// Minimum share of the parts, by weight, for a partial answer.
     pub min_share: f64,
-    /// `retryable` or `dedup`.
+    /// Effect of executing a query twice: `retryable` (none) or `dedup` (leaf servers discard duplicates).
     pub effect: &'static str,
-    /// How long repeats are dropped (seconds).
+    /// Time for which leaf servers discard duplicates (seconds).
     pub dedup_window_s: f64,
 }
 
 impl Class {
-    /// Whether it is safe to repeat.
+    /// Returns whether queries may be executed more than once.
     pub fn is_retryable(&self) -> bool {
         self.effect == "retryable"
     }
 }
 
-/// How shards lie on leaf servers.
+/// Placement of shards on leaf servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Layout {
-    /// Each leaf server is a cell, at which so many shards begin; a shard is held by so many cells in a row.
+    /// Each leaf server is a cell of its own. Parameters: shards per cell, and consecutive cells that hold a shard.
     Ring(u32, u32),
-    /// The leaf servers form sets, each a cell with so many shards; a set has so many leaf servers, in rooms of their own.
+    /// The leaf servers form replica sets, each of which is a cell. Parameters: shards per set, and leaf servers per set, which are
+    /// in different zones.
     Sets(u32, u32),
 }
 
-/// How service is counted.
+/// Parameters of the service score of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct ScoringRule {
-    /// Weights of the whole scenario, its worst 10 s, the worst class and the worst tenant.
+    /// Weights of the whole scenario, its worst 10 s, the worst class and the worst tenant in the score.
     pub weights: [f64; 4],
-    /// Points taken off where all fail after the latency objective only, and where as much work is wasted as was asked for.
+    /// Deduction if all queries fail only after the latency objective.
     pub late_fail: f64,
-    /// The second of these.
+    /// Deduction if as much work is wasted as was requested.
     pub waste: f64,
-    /// Whether worth counts in proportion to a query's work.
+    /// Whether the worth of a query is proportional to its work.
     pub by_work: bool,
 }
 
-/// A deployment.
+/// Deployment of mixers and leaf servers, with its clients.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// Its name.
+    /// Name of the deployment.
     pub name: &'static str,
-    /// Its machine rooms.
+    /// Names of the zones.
     pub zones: &'static [&'static str],
-    /// One way between two rooms (seconds, at least and at most).
+    /// Minimum and maximum one-way network delay between two zones (seconds).
     pub inter_zone_delay_s: (f64, f64),
-    /// How shards lie.
+    /// Placement of shards.
     pub layout: Layout,
-    /// Whether a query's shards are neighbours; otherwise they go by its key.
+    /// Whether the shards of a query are consecutive; otherwise they are a random selection. Both depend only on the key and class.
     pub has_consecutive_shards: bool,
-    /// The classes.
+    /// Classes of queries.
     pub classes: Vec<Class>,
-    /// The tenants, with their shares.
+    /// Tenants, with their shares of the queries.
     pub tenants: &'static [(&'static str, f64)],
-    /// What traffic beyond a share is worth.
+    /// Worth of a tenant's traffic above its quota, relative to that within the quota.
     pub over_quota_weight: f64,
-    /// How service is counted.
+    /// Parameters of the service score.
     pub goal: ScoringRule,
-    /// Whether queries carry a guess at their parts' work.
+    /// Whether queries contain estimates of the work of their parts.
     pub has_cost_hints: bool,
-    /// Parts of a call at most, and its work beside theirs (seconds).
+    /// Maximum number of parts of a call, and the fixed work of a call in addition to that of its parts (core seconds).
     pub call: (u32, f64),
-    /// Attempts of one part, and whether two may be out at once.
+    /// Maximum number of attempts of a part, and whether two of them may be in flight at once (hedged requests).
     pub attempts: (u32, bool),
-    /// A client's tries beyond the first, its wait before one where it was told none (seconds), and whether it marks them.
+    /// Maximum number of retries of a client, the range of its backoff if the mixer gave no retry time (seconds), and whether
+    /// retries are marked as such.
     pub retries: (u32, (f64, f64), bool),
-    /// Nothing new so long after being told of a drain (seconds).
+    /// Time after the notification of a drain within which a mixer has to stop sending to the leaf server (seconds).
     pub drain_grace_s: f64,
-    /// A leaf server closes what stood idle for so long (seconds).
+    /// Time after which a leaf server closes an idle connection (seconds).
     pub idle_timeout_s: f64,
     /// Work of a handshake at a leaf server (core seconds).
     pub handshake_work_s: f64,
-    /// What its leaf servers are made of, without their pauses.
+    /// Configuration of the leaf servers, without their pauses.
     pub leaf_servers: LeafServerSetup,
-    /// Leaf servers pause for so long, so often (seconds, at least and at most each).
+    /// Pauses of the leaf servers: range of the length and range of the period (seconds); each server draws one value of each.
     pub pauses: Option<((f64, f64), (f64, f64))>,
 }
 
 impl Site {
-    /// The same deployment with service times so many times shorter: work, latency objectives and waits of clients shrink, and as many more queries come.
-    /// Rooms, lists, pauses and cold starts keep their time.
-    pub fn with_faster_service(self, name: &'static str, times: f64) -> Site {
+    /// Returns the deployment under a new name with service times divided by `factor`: the work, latency objectives, client
+    /// timeouts and deduplication windows become shorter, so that the same load means more queries. Network delays, list delays,
+    /// pauses and slow starts are unchanged.
+    pub fn with_faster_service(self, name: &'static str, factor: f64) -> Site {
         let faster = |class: Class| Class {
-            work_s: class.work_s / times,
-            latency_objective_s: class.latency_objective_s / times,
-            client_timeout_s: class.client_timeout_s / times,
-            dedup_window_s: class.dedup_window_s / times,
+            work_s: class.work_s / factor,
+            latency_objective_s: class.latency_objective_s / factor,
+            client_timeout_s: class.client_timeout_s / factor,
+            dedup_window_s: class.dedup_window_s / factor,
             ..class
         };
         let classes = self.classes.into_iter().map(faster).collect();
@@ -126,12 +129,12 @@
         Site {
             name,
             classes,
-            call: (parts, work_s / times),
+            call: (parts, work_s / factor),
             ..self
         }
     }
 
-    /// How many cells so many leaf servers form.
+    /// Returns the number of cells that this many leaf servers form.
     pub fn cells(&self, leaf_servers: u32) -> u32 {
         match self.layout {
             Layout::Ring(..) => leaf_servers,
@@ -139,7 +142,7 @@
         }
     }
 
-    /// Cells in a row that hold a shard.
+    /// Returns the number of consecutive cells that hold a shard.
     pub fn replication_factor(&self) -> u32 {
         match self.layout {
             Layout::Ring(_, replication_factor) => replication_factor,
@@ -147,14 +150,14 @@
         }
     }
 
-    /// Shards that begin at a cell.
+    /// Returns the number of shards whose first holder is a given cell.
     fn shards_per_cell(&self) -> u32 {
         match self.layout {
             Layout::Ring(shards, _) | Layout::Sets(shards, _) => shards,
         }
     }
 
-    /// The room of a leaf server or a mixer; members of a set stand in different ones.
+    /// Returns the zone of a leaf server, given the number of cells; the members of a replica set are in different zones.
     pub fn zone(&self, number: u32, cells: u32) -> u8 {
         let zones = self.zones.len() as u32;
         match self.layout {
--- a/crates/wharfhub-testbed/src/site/profiles.rs
+++ b/crates/wharfhub-testbed/src/site/profiles.rs
@@ -1,9 +1,10 @@
-//! The operators' deployments, as their accounts describe them.
+//! The operators' deployments, with parameters from their descriptions.
 
 use super::{Class, Layout, ScoringRule, Site};
 use crate::model::LeafServerSetup;
 
-/// Florists in Wales: a ring, calls of one part, hedged requests, leaf servers that stop nothing.
+/// Returns the deployment of a florist in Wales: ring placement, calls of one part, hedged requests, leaf servers that don't stop
+/// cancelled work.
 pub fn cardiff() -> Site {
     Site {
         name: "cardiff",
@@ -84,8 +85,8 @@
     vec![area, slot, hold]
 }
 
-/// Materials in Szeged: sets with four shards, calls of many parts with work of their own, one attempt at a time, leaf servers
-/// that pause and stop what is called off.
+/// Returns the deployment of a materials company in Szeged: replica sets with four shards, calls of several parts with fixed work
+/// per call, one attempt at a time, leaf servers that pause and that stop cancelled work.
 pub fn szeged() -> Site {
     Site {
         name: "szeged",
--- a/crates/wharfhub-testbed/src/site/queries.rs
+++ b/crates/wharfhub-testbed/src/site/queries.rs
@@ -1,65 +1,65 @@
-//! The queries of a scenario's clients, drawn ahead: nothing here waits for an answer.
+//! The queries of a scenario's clients, all of which are drawn in advance, independently of answers.
 
 use super::{Class, Fault, Scenario};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, Gamma, Zipf};
 
-/// Spread of work among parts, as a share of its mean.
+/// Coefficient of variation of the work of parts.
 const WORK_CV: f64 = 0.4;
-/// Distinct route keys.
+/// Number of distinct route keys.
 const KEYS: f64 = 3000.0;
-/// Exponent of Zipf's law: how much more popular the first keys are.
+/// Exponent of the Zipf distribution of keys.
 const KEY_SKEW: f64 = 0.9;
-/// Shares of a class's time to give up that clients wait: at least, and at most.
+/// Minimum and maximum timeout of a client, as a share of its class's longest.
 const MIN_WAIT_SHARE: f64 = 0.6;
 const MAX_WAIT_SHARE: f64 = 1.0;
-/// Clients that leave early do so after this time (seconds): at least, and at most.
+/// Minimum and maximum time after which a client that disconnects early does so (seconds).
 const MIN_LEAVING_S: f64 = 0.01;
 const MAX_LEAVING_S: f64 = 0.6;
 
-/// A part of a query, as it really is.
+/// Part of a query, with its actual work and result.
 #[derive(Clone, Copy, Debug)]
 pub struct Part {
-    /// Its shard.
+    /// Shard of the part.
     pub shard: u32,
-    /// Its share of the answer.
+    /// Share of the query's answer.
     pub weight: f64,
-    /// What a full answer costs (core seconds).
+    /// Work of a full answer (core seconds).
     pub work_s: f64,
-    /// Whether anything there matches.
+    /// Whether anything in the shard matches the query.
     pub matches: bool,
 }
 
-/// A client's query over all its tries.
+/// Query of a client, including its retries.
 #[derive(Clone, Debug)]
 pub struct Query {
-    /// When it is first asked (seconds of the scenario).
+    /// Time at which the query is first sent (seconds from the beginning of the scenario).
     pub at: f64,
-    /// Its class.
+    /// Index of the class.
     pub class: usize,
-    /// Its tenant.
+    /// Index of the tenant.
     pub tenant: usize,
-    /// Its key.
+    /// Route key.
     pub key: u64,
-    /// Its parts.
+    /// Parts of the query.
     pub parts: Vec<Part>,
-    /// How long the client waits in all (seconds).
+    /// Time for which the client waits, over all retries (seconds).
     pub timeout_s: f64,
-    /// The client leaves after this time, whatever comes (seconds).
+    /// Time after which the client disconnects from a request that has no answer yet (seconds); `f64::MAX` if never.
     pub disconnects_after_s: f64,
-    /// Which mixer it starts at.
+    /// Index of the first mixer that the query is sent to.
     pub mixer: usize,
 }
 
 impl Query {
-    /// Work of all its parts in full (core seconds).
+    /// Returns the work of full answers for all parts (core seconds).
     pub fn work_s(&self) -> f64 {
         self.parts.iter().map(|part| part.work_s).sum()
     }
 }
 
-/// The distributions that a scenario's queries are drawn from.
+/// Distributions of the gaps between a scenario's queries, of the route keys and of the work of parts.
 struct Distributions {
     gaps: Exp<f64>,
     keys: Zipf<f64>,
@@ -70,14 +70,14 @@
     fn of(scenario: &Scenario) -> Distributions {
         let variance = WORK_CV * WORK_CV;
         Distributions {
-            gaps: Exp::new(scenario.queries_per_s()).expect("a scenario has a load above 0"),
-            keys: Zipf::new(KEYS, KEY_SKEW).expect("there are keys"),
-            work: Gamma::new(1.0 / variance, variance).expect("work has a spread"),
+            gaps: Exp::new(scenario.queries_per_s()).expect("load should be above 0"),
+            keys: Zipf::new(KEYS, KEY_SKEW).expect("Zipf parameters should be valid"),
+            work: Gamma::new(1.0 / variance, variance).expect("gamma parameters should be valid"),
         }
     }
 }
 
-/// The index of the share that a draw from 0 to 1 falls into; none where rounding puts it beyond the last.
+/// Returns the index of the share into which a draw from 0 to 1 falls, or `None` if the draw is beyond the last because of rounding.
 fn index_by_share(mut draw: f64, mut shares: impl Iterator<Item = f64>) -> Option<usize> {
     shares.position(|share| {
         draw -= share;
@@ -86,7 +86,7 @@
 }
 
 impl Scenario {
-    /// All queries, in the order of time: the same whatever the mixers are set to.
+    /// Returns all queries in order of time. They don't depend on the mixers' settings, so that runs can be compared.
     pub fn queries(&self) -> Vec<Query> {
         let mut rng = self.rng(1);
         let distributions = Distributions::of(self);
@@ -101,7 +101,7 @@
         }
     }
 
-    /// How many times the usual rate clients send at that time.
+    /// Returns the factor by which clients send more queries than usual at this time.
     fn burst_at(&self, at: f64) -> f64 {
         let burst = |(from, to, fault): &(f64, f64, Fault)| match fault {
             Fault::Burst(factor) if (*from..*to).contains(&at) => Some(*factor),
@@ -147,7 +147,8 @@
         }
     }
 
-    /// Queries of one key address the same shards, and consecutive ones where the deployment has it so.
+    /// Returns the shards of a query, which are consecutive if the deployment says so. Queries with the same key, class and number
+    /// of parts address the same shards.
     fn shards_of_key(&self, key: u64, class: usize, count: usize) -> Vec<usize> {
         let mut by_key = ChaCha8Rng::seed_from_u64(key * 31 + class as u64);
         let all = self.shards() as usize;
--- a/crates/wharfhub-testbed/src/site/scenario.rs
+++ b/crates/wharfhub-testbed/src/site/scenario.rs
@@ -1,6 +1,4 @@
-//! A scenario: a deployment, its load, and what goes wrong.
-//!
-//! A seed fixes every draw.
+//! A scenario: a deployment under load, with faults. All random draws depend only on the seed.
 
 use super::{cardiff, Class, Site};
 use crate::model::{LeafServerSetup, Pauses};
@@ -8,63 +6,64 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// What goes wrong in a scenario.
+/// Fault in a scenario. "Some" leaf servers are a share of all that is drawn.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// All leaf servers are so many times slower together.
+    /// All leaf servers are slower by this factor.
     Slow(f64),
-    /// A share of them is so many times slower.
+    /// Some leaf servers are slower: share, factor.
     SomeSlow(f64, f64),
-    /// A share of them dies at the start of it and comes back cold at its end.
+    /// Some leaf servers die at the beginning of the fault and restart with slow start at its end: share.
     Dead(f64),
-    /// A share of them answers nothing.
+    /// Some leaf servers send no answers: share.
     Silent(f64),
-    /// A share of them fails so many of their parts at once.
+    /// Some leaf servers answer a part of their parts with an immediate error: share of the servers, share of the parts.
     Fails(f64, f64),
-    /// A share of them drains, ends, and comes back cold.
+    /// Some leaf servers drain, terminate at the end of the fault, and restart with slow start: share.
     Drain(f64),
-    /// A share of them stands still for so long, so often (seconds).
+    /// Some leaf servers pause periodically: share, length and period (seconds).
     Pauses(f64, f64, f64),
-    /// A machine room is lost, with its mixers or without; its leaf servers come back cold, its mixers knowing nothing.
+    /// A zone is lost, and if the flag is set, its mixers too. The leaf servers restart with slow start, the mixers with no state
+    /// but their last endpoint list.
     ZoneLoss(u8, bool),
-    /// So many times as much is asked.
+    /// Clients send more queries by this factor.
     Burst(f64),
-    /// Connections to leaf servers fall silent in both directions, so many a second, though they stay open.
+    /// Connections to leaf servers stop carrying data in both directions but stay open: connections per second.
     SilentConnections(f64),
 }
 
-/// A deployment under load for some time, with faults.
+/// Deployment under load for a limited time, with faults.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// For every draw.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Leaf servers.
+    /// Number of leaf servers.
     pub leaf_servers: u32,
-    /// Mixers.
+    /// Number of mixers.
     pub mixers: u32,
-    /// Its length (seconds).
+    /// Length of the scenario (seconds).
     pub seconds: f64,
-    /// What is asked, in shares of what the leaf servers can do in full.
+    /// Work of all queries if answered in full, as a share of the leaf servers' capacity.
     pub load: f64,
-    /// The deployment.
+    /// Deployment that is run.
     pub site: Site,
-    /// Share of an area-search's parts at which something matches.
+    /// Share of the parts of the first class at which something matches; in other classes every part has a match.
     pub selectivity: f64,
-    /// Work of a word, in shares of that of a full answer.
+    /// Work of a pre-check, as a share of the work of a full answer.
     pub pre_check_work: f64,
-    /// Whether leaf servers answer words before what waits.
+    /// Whether leaf servers run pre-checks before other waiting jobs.
     pub pre_check_first: bool,
-    /// The operators' setting of phases, as JSON; none where they are off.
+    /// Value of the mixer setting `phases` as JSON; `None` turns two-phase queries off.
     pub phases: Option<String>,
-    /// Share of the leaf servers that know phases.
+    /// Share of the leaf servers that support pre-checks.
     pub pre_check_share: f64,
-    /// What goes wrong, from when to when (seconds of the scenario).
+    /// Faults, each with its beginning and end (seconds from the beginning of the scenario).
     pub faults: Vec<(f64, f64, Fault)>,
-    /// The list tells changes so much later (seconds, at least and at most).
+    /// Minimum and maximum delay of changes of the endpoint list (seconds).
     pub lag_s: (f64, f64),
-    /// Every part takes just its class's work, and leaf servers have cores without end.
+    /// Whether every part takes exactly the mean work of its class and leaf servers have unlimited cores.
     pub ideal: bool,
-    /// Share of the clients that leave early.
+    /// Share of the clients that disconnect early.
     pub disconnecting_share: f64,
 }
 
@@ -91,7 +90,7 @@
 }
 
 impl Scenario {
-    /// What a leaf server is made of.
+    /// Returns the configuration of a leaf server, with the pauses drawn for it.
     pub fn leaf_server_setup(&self, leaf_server: u32) -> LeafServerSetup {
         let setup = self.site.leaf_servers;
         if self.ideal {
@@ -112,42 +111,43 @@
         LeafServerSetup { pauses, ..setup }
     }
 
-    /// How many cells there are.
+    /// Returns the number of cells.
     pub fn cells(&self) -> u32 {
         self.site.cells(self.leaf_servers)
     }
 
-    /// How many shards there are.
+    /// Returns the number of shards.
     pub fn shards(&self) -> u32 {
         self.cells() * self.site.shards_per_cell()
     }
 
-    /// A leaf server's cell.
+    /// Returns the cell of a leaf server.
     pub fn cell(&self, leaf_server: u32) -> u32 {
         leaf_server % self.cells()
     }
 
-    /// A leaf server's room.
+    /// Returns the zone of a leaf server.
     pub fn zone(&self, leaf_server: u32) -> u8 {
         self.site.zone(leaf_server, self.cells())
     }
 
-    /// A mixer's room.
+    /// Returns the zone of a mixer.
     pub fn mixer_zone(&self, mixer: u32) -> u8 {
         (mixer % self.site.zones.len() as u32) as u8
     }
 
-    /// One of the leaf servers that hold a shard.
+    /// Returns one of the leaf servers that hold a shard.
     pub fn holder(&self, shard: u32) -> u32 {
         shard % self.cells()
     }
 
-    /// Whether a leaf server holds a shard.
+    /// Returns whether a leaf server holds a shard.
     pub fn holds(&self, leaf_server: u32, shard: u32) -> bool {
         let cells = self.cells();
         (self.cell(leaf_server) + cells - shard % cells) % cells < self.site.replication_factor()
     }
 
+    /// Returns the minimum and maximum number of parts of a query of a class.
     pub(super) fn parts_of(&self, class: &Class) -> (usize, usize) {
         let share = (class.parts.2 * f64::from(self.shards())).round() as usize;
         (
@@ -156,7 +156,8 @@
         )
     }
 
-    /// Work of a call beside its parts' (core seconds), for a query of so many parts: those of a cell share one.
+    /// Returns the fixed work of the calls for a query of `parts` parts (core seconds). If calls may have several parts, all parts
+    /// for one cell are assumed to share a call.
     fn call_work_s(&self, parts: f64) -> f64 {
         let calls = if self.site.call.0 > 1 {
             parts.min(f64::from(self.cells()))
@@ -166,7 +167,7 @@
         calls * self.site.call.1
     }
 
-    /// Queries a second, by the load.
+    /// Returns the query rate (1/s) that results in the scenario's load.
     pub fn queries_per_s(&self) -> f64 {
         let work = |class: &Class| {
             let (min, max) = self.parts_of(class);
@@ -177,14 +178,14 @@
         self.load * f64::from(self.leaf_servers) * self.site.leaf_servers.cores as f64 / each
     }
 
-    /// The random numbers of one purpose.
+    /// Returns the random number generator for one purpose, which is independent of those for other purposes.
     pub fn rng(&self, purpose: u64) -> ChaCha8Rng {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
         rng.set_stream(purpose);
         rng
     }
 
-    /// Which leaf servers know phases, and which a fault concerns: a share of them, drawn.
+    /// Draws a share of the leaf servers, such as those that support pre-checks or are affected by a fault.
     pub fn draw_leaf_servers(&self, purpose: u64, share: f64) -> Vec<u32> {
         let mut all: Vec<u32> = (0..self.leaf_servers).collect();
         all.shuffle(&mut self.rng(purpose));
--- a/crates/wharfhub-testbed/src/site/settings_json.rs
+++ b/crates/wharfhub-testbed/src/site/settings_json.rs
@@ -1,14 +1,14 @@
-//! The settings of a scenario, as JSON that the daemon's own decoder reads.
+//! Encoding of a scenario's mixer settings as the JSON that the daemon reads.
 
 use super::{Class, Scenario, Site};
 use std::fmt::Write;
 
-/// A tenant may send so many times its share before it counts as over quota.
+/// Quota of a tenant, as a multiple of its share of the queries.
 const QUOTA_SLACK: f64 = 1.5;
-/// Queries and parts in flight that a mixer may have: at least, and by the seconds of its load that it may hold.
+/// Limit of the queries and parts in flight at a mixer: minimum, and time over which its load may accumulate (seconds).
 const MIN_IN_FLIGHT: f64 = 1000.0;
 const IN_FLIGHT_S: f64 = 3.0;
-/// Parts of a usual query, with itself.
+/// Number of entries that a typical query counts for: the query itself and its parts.
 const IN_FLIGHT_PER_QUERY: f64 = 8.0;
 
 fn joined(items: impl Iterator<Item = String>) -> String {
@@ -29,13 +29,13 @@
     )
 }
 
-/// A value for each class.
+/// Returns the values of all classes, separated by commas.
 fn by_class(site: &Site, value: impl Fn(&Class) -> f64) -> String {
     joined(site.classes.iter().map(|class| value(class).to_string()))
 }
 
 impl Scenario {
-    /// The settings, as the daemon reads them.
+    /// Returns the mixer settings in the form that the daemon reads.
     pub fn settings(&self) -> String {
         let site = &self.site;
         let classes = joined(site.classes.iter().map(class_json));
--- a/crates/wharfhub-testbed/src/standin.rs
+++ b/crates/wharfhub-testbed/src/standin.rs
@@ -1,8 +1,7 @@
-//! Leaf servers that stand_in in for real ones, on loopback sockets: the model of `model.rs` behind both styles.
+//! Stand-in leaf servers on loopback sockets, which run the model of `model.rs` behind the frame protocol and the search API.
 //!
-//! This file owns their sockets and clock. Each leaf server has a thread that ends jobs when their time has come, and one for
-//! each connection that reads. It must never decide what a leaf server does (the model does), and never answer with a value
-//! but its own.
+//! Each stand-in has one thread that completes jobs at their time and one reader thread per connection. All behaviour comes
+//! from the model, so that runs on sockets and in virtual time agree.
 
 use crate::model::{Admission, IncomingJob, LeafServer, ServerFault};
 use crate::rules::{self, RuleChecker};
@@ -15,13 +14,13 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Longest frame, head or body that a stand_in-in reads.
+/// Maximum length of a frame, HTTP head or HTTP body that a stand-in reads.
 const MAX_FRAME_BYTES: usize = 1 << 20;
 const MAX_HEADERS: usize = 64;
-/// The purpose of the draw that says which servers are slow.
+/// Random number stream that selects the slow servers.
 const SLOW_SERVERS_RNG_STREAM: u64 = 20;
 
-/// A lock that a thread that died leaves usable.
+/// Locks a mutex even if a thread has panicked while holding it.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|broken| broken.into_inner())
 }
@@ -30,22 +29,22 @@
     io::ErrorKind::InvalidData.into()
 }
 
-/// What all that take part in a scenario on sockets share.
+/// State shared by the stand-ins and clients of a scenario on sockets.
 pub struct Shared {
-    /// The scenario.
+    /// Scenario that is run.
     pub scenario: Scenario,
-    /// What is asked on it.
+    /// Queries of the scenario.
     pub queries: Vec<Query>,
-    /// When it began.
+    /// Time at which the scenario begins.
     pub start: Instant,
-    /// The judge.
+    /// Checker of the mixer's behaviour.
     pub rules: Mutex<RuleChecker>,
-    /// Work of all leaf servers by class (core seconds), attempts, and words.
+    /// Totals of all leaf servers: work by class (core seconds), number of attempts, and how many of these were pre-checks.
     pub work: Mutex<(Vec<f64>, u64, u64)>,
 }
 
 impl Shared {
-    /// Time of the scenario (seconds); below 0 before it begins.
+    /// Returns the time since the beginning of the scenario (seconds); negative before it.
     pub fn now(&self) -> f64 {
         match self.start.checked_duration_since(Instant::now()) {
             Some(before) => -before.as_secs_f64(),
@@ -53,7 +52,7 @@
         }
     }
 
-    /// How many times slower all leaf servers are now.
+    /// Returns the factor by which all leaf servers are slower at this time.
     fn common_slowdown(&self, now: f64) -> f64 {
         let slow = |(from, to, fault): &(f64, f64, Fault)| match fault {
             Fault::Slow(factor) if (*from..*to).contains(&now) => Some(*factor),
@@ -63,10 +62,10 @@
     }
 }
 
-/// A job that a leaf server holds: how its answer goes back.
+/// Part that a leaf server has accepted, with the connection for its answer.
 struct AcceptedPart {
     stream: Arc<Mutex<TcpStream>>,
-    id: String, // of the request, without the shard
+    id: String, // request id, without the shard
     shard: u32,
     matches: bool,
     pre_check: bool,
@@ -80,7 +79,7 @@
     rng: ChaCha8Rng,
 }
 
-/// One leaf server.
+/// Stand-in for one leaf server.
 pub struct StandIn {
     number: u32,
     shared: Arc<Shared>,
@@ -88,7 +87,8 @@
     changed: Condvar,
 }
 
-/// Opens a leaf server; gives its address. Its threads end with the process.
+/// Starts a stand-in, with the search API or else the frame protocol, and returns its address. Its threads run until the process
+/// ends.
 pub fn open(shared: &Arc<Shared>, number: u32, search: bool) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
@@ -112,7 +112,7 @@
         for stream in listener.incoming().flatten() {
             let stand_in = stand_in.clone();
             std::thread::spawn(move || {
-                // What can't be used ends its connection, as at a real leaf server.
+                // Invalid input closes the connection, as at a real leaf server.
                 let _ = stream
                     .set_nodelay(true)
                     .and_then(|()| stand_in.serve(stream, search));
@@ -122,7 +122,8 @@
     Ok(address)
 }
 
-/// How many times slower than usual a leaf server is by itself: those that a `SomeSlow` concerns are slow all scenario.
+/// Returns the factor by which a leaf server itself is slower. On sockets, servers affected by `SomeSlow` are slow throughout
+/// the scenario.
 fn own_slowdown(scenario: &Scenario, number: u32) -> f64 {
     let slowdown = |(_, _, fault): &(f64, f64, Fault)| match fault {
         Fault::SomeSlow(share, factor) => scenario
@@ -219,8 +220,8 @@
         self.accept_part(id, (pre_check, 0.0), true, out)
     }
 
-    /// A part has come: `ID.SHARD`, of a request whose id begins with its query's number.
-    /// With it comes the work of its call, where it is the first of one.
+    /// Handles the arrival of a part. `id` has the form `ID.SHARD`, where ID contains the number of the query. `call_work_s` is the
+    /// fixed work of the call, which is charged to the first part of each call.
     fn accept_part(
         &self,
         id: &str,
@@ -237,7 +238,7 @@
         {
             let mut rules = lock(&self.shared.rules);
             rules.part_sent(now, (0, self.number), id, query, (shard, pre_check));
-            // Whether the mixer still waits for an earlier attempt can't be seen from here.
+            // The stand-in can't see whether the mixer still waits for an earlier attempt, so no attempt counts as in flight.
             rules.attempt_over(id, shard);
         }
         let scenario = &self.shared.scenario;
@@ -271,13 +272,13 @@
         self.handle_admission(now, &mut state, admission, accepted)
     }
 
-    /// The query of a request's id, `LETTER NUMBER` up to the first hyphen.
+    /// Returns the query to which a request id refers: a letter and the query's number, up to the first hyphen.
     fn query_of(&self, id: &str) -> Option<&Query> {
         let number: usize = id[1..].split('-').next()?.parse().ok()?;
         self.shared.queries.get(number)
     }
 
-    /// Counts a part that has come, and what came of it.
+    /// Adds an attempt to the totals and notifies the rule checker if the part may be executed.
     fn count(
         &self,
         now: f64,
@@ -300,7 +301,7 @@
         }
     }
 
-    /// Keeps a part that was accepted last, or answers it.
+    /// Stores a part that the model accepted, or answers it at once.
     fn handle_admission(
         &self,
         now: f64,
@@ -312,7 +313,7 @@
             Admission::Accepted => {
                 let job = state.last;
                 state.accepted.insert(job, part);
-                // What takes no time is answered here and now.
+                // Jobs that take no time are completed at once.
                 self.advance(state, now);
                 if !state.accepted.is_empty() {
                     self.changed.notify_one();
@@ -326,7 +327,7 @@
         Ok(())
     }
 
-    /// Nobody waits for a part any more: `ID.SHARD`, on the connection that it came on.
+    /// Cancels the part `ID.SHARD` that arrived on this connection.
     fn cancel(&self, id: &str, out: &Arc<Mutex<TcpStream>>) {
         let mut state = lock(&self.state);
         self.advance(&mut state, self.shared.now());
@@ -348,7 +349,7 @@
         }
     }
 
-    /// Reckons what the leaf server has done; what has ended is answered.
+    /// Advances the model to `now` and answers the completed parts.
     fn advance(&self, state: &mut State, now: f64) {
         for job in state.model.advance(now, self.shared.common_slowdown(now)) {
             let silent = state.model.fault == ServerFault::Silent;
@@ -365,7 +366,7 @@
         }
     }
 
-    /// Ends jobs when their time has come.
+    /// Completes jobs at their time; runs in a thread of its own.
     fn end_jobs(&self) {
         let mut state = lock(&self.state);
         loop {
@@ -390,9 +391,9 @@
         }
     }
 
-    /// Writes an answer; whoever does not read it has gone.
+    /// Writes an answer. Errors are ignored, because the mixer may have closed the connection.
     fn answer(&self, accepted: &AcceptedPart, end: &str) {
-        let value = rules::value(
+        let value = rules::part_value(
             &accepted.id,
             accepted.shard,
             self.number,
--- a/crates/wharfhub-testbed/tests/scenarios.rs
+++ b/crates/wharfhub-testbed/tests/scenarios.rs
@@ -3,7 +3,7 @@
 use rstest::rstest;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use wharfhub_testbed::rules::{value, AnswerPart, RequestOutcome, RuleChecker};
+use wharfhub_testbed::rules::{part_value, AnswerPart, RequestOutcome, RuleChecker};
 use wharfhub_testbed::site::{szeged, Fault, Scenario, Site};
 use wharfhub_testbed::standin::{lock, open, Shared};
 use wharfhub_testbed::{daemon, emulator, load, tally};
@@ -152,7 +152,7 @@
         let value = |index: usize| {
             let shard = area.parts[index].shard;
             let leaf_server = scenario.holder(shard);
-            value("q1-0", shard, leaf_server, word)
+            part_value("q1-0", shard, leaf_server, word)
         };
         let values: Vec<String> = (0..area.parts.len()).map(value).collect();
         let pieces = values
@@ -169,7 +169,7 @@
         );
     };
     let one = |rules: &mut RuleChecker, complete: bool| {
-        let value = value("q1-0", shard, holder, false);
+        let value = part_value("q1-0", shard, holder, false);
         rules.request_ended(
             "q1-0",
             area,
@@ -226,14 +226,14 @@
             }),
         ),
         (
-            "out at once",
+            "in flight at once",
             Box::new(|rules| {
                 (0..2)
                     .for_each(|_| rules.part_sent(1.0, (0, holder), "q1-0", area, (shard, false)));
             }),
         ),
         (
-            "asked ahead",
+            "was pre-checked",
             Box::new(|rules| {
                 rules.part_sent(1.0, (0, hold_at), "q1-0", hold, (hold.parts[0].shard, true))
             }),
@@ -259,7 +259,7 @@
         (
             "value",
             Box::new(|rules| {
-                let value = value("q2-0", shard, holder, false);
+                let value = part_value("q2-0", shard, holder, false);
                 rules.request_ended(
                     "q1-0",
                     area,
