--- a/crates/wharfhub-testbed/src/emulator/clients.rs
+++ b/crates/wharfhub-testbed/src/emulator/clients.rs
@@ -48,10 +48,10 @@
             ..QueryRequest::default()
         };
         let mixer = self.choose_mixer(query, retry);
-        self.tally.tries[tally::ASKED] += 1;
+        self.tally.requests[tally::TOTAL] += 1;
         if self.mixers[mixer].coordinator.is_none() {
             // The mixer is dead, so the connection is refused.
-            self.tally.tries[tally::FAILED] += 1;
+            self.tally.requests[tally::FAILED] += 1;
             return self.retry_or_finish(number, retry, None, true);
         }
         self.requests += 1;
@@ -88,7 +88,7 @@
             return;
         };
         let took_s = self.now - open.asked_at;
-        self.tally.tries[tally::LEFT] += 1;
+        self.tally.requests[tally::CLIENT_LEFT] += 1;
         let query = &self.queries[number];
         let id = format!("q{number}-{retry}");
         if took_s >= open.timeout_s - 1e-6 {
@@ -104,7 +104,7 @@
             open.timeout_s,
         );
         let ended_s = self.now - START_S - query.at;
-        self.tally.query(self.scenario, query, None, ended_s);
+        self.tally.record_query(self.scenario, query, None, ended_s);
         self.drive(open.mixer, |coordinator, now, out| {
             coordinator.client_disconnected(now, open.request, out)
         });
@@ -134,11 +134,11 @@
                 return self.count_answer(number, complete, &is_present, &pruned);
             }
             FinalAnswer::Rejected { retry_after_s, .. } => {
-                self.tally.tries[tally::REFUSED] += 1;
+                self.tally.requests[tally::REFUSED] += 1;
                 Some(retry_after_s)
             }
             FinalAnswer::Failed { .. } => {
-                self.tally.tries[tally::FAILED] += 1;
+                self.tally.requests[tally::FAILED] += 1;
                 None
             }
         };
@@ -155,8 +155,8 @@
     ) {
         let query = &self.queries[number];
         let since_s = self.now - START_S - query.at;
-        self.tally.tries[tally::ANSWERED] += 1;
-        self.tally.tries[tally::IN_PART] += u64::from(!complete);
+        self.tally.requests[tally::ANSWERED] += 1;
+        self.tally.requests[tally::PARTIAL] += u64::from(!complete);
         let mut share = 0.0;
         for (index, part) in query.parts.iter().enumerate() {
             if !is_present[index] {
@@ -168,12 +168,12 @@
             } else {
                 1.0
             };
-            self.tally.useful_s += part.work_s * work;
+            self.tally.useful_work_s += part.work_s * work;
             self.tally.pruned += u64::from(pruned[index]);
         }
         let share = if complete { 1.0 } else { share };
         self.tally
-            .query(self.scenario, query, Some((since_s, share)), since_s);
+            .record_query(self.scenario, query, Some((since_s, share)), since_s);
     }
 
     /// Schedules a retry after a request that ended without an answer, or ends the query.
@@ -202,7 +202,7 @@
                 Event::SendRequest(number, retry + 1),
             );
         } else {
-            self.tally.query(self.scenario, query, None, since_s);
+            self.tally.record_query(self.scenario, query, None, since_s);
         }
     }
 }
--- a/crates/wharfhub-testbed/src/soak/plan.rs
+++ b/crates/wharfhub-testbed/src/soak/plan.rs
@@ -1,6 +1,8 @@
-//! The plan of a soak: who there is and which fault comes from when to when, drawn from a seed.
+//! The plan of a soak, drawn from a seed: the numbers of mixers and servers, the settings, and each fault with its start and
+//! duration.
 //!
-//! Faults are drawn independently of each other, so that they overlap. This file must never look at a clock or a socket.
+//! Faults are drawn independently of each other, so that they overlap. A plan depends on its seed alone, so the code here uses
+//! no clock and no socket.
 
 use super::processes::Signal;
 use super::registry::Outage;
@@ -8,59 +10,64 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Processes of a soak, least and most.
-const MIXERS: (usize, usize) = (3, 40);
-/// Odds that there are few processes, and how many at most.
-const FEW_MIXERS_ODDS: f64 = 0.4;
-const MAX_FEW_MIXERS: usize = 8;
-/// Odds that idle clients fill the descriptors of few processes; how many descriptors these have then, and otherwise.
-const CROWD_ODDS: f64 = 0.3;
-const CROWDED_SOCKETS: usize = 192;
+/// Smallest and largest number of mixers in a soak.
+const MIXER_COUNTS: (usize, usize) = (3, 40);
+/// Probability of a small fleet of mixers.
+const SMALL_FLEET_PROBABILITY: f64 = 0.4;
+/// Largest number of mixers in a small fleet.
+const MAX_SMALL_FLEET_MIXERS: usize = 8;
+/// Probability that idle clients use up the descriptors of the mixers, in a fleet of at most [`QUICK_MIXERS`].
+const DESCRIPTOR_SHORTAGE_PROBABILITY: f64 = 0.3;
+/// Descriptor limit of a mixer whose descriptors idle clients use up.
+const SHORTAGE_SOCKETS: usize = 192;
+/// Descriptor limit of a mixer otherwise.
 const SOCKETS: usize = 512;
-/// The longest wait of a client is one of these (milliseconds).
-const LONGEST_WAITS_MS: [u64; 4] = [900, 900, 1500, 3000];
-/// Processes of the quick one.
+/// Values of the clients' longest timeout, one of which is drawn (milliseconds).
+const MAX_CLIENT_TIMEOUTS_MS: [u64; 4] = [900, 900, 1500, 3000];
+/// Number of mixers in a quick soak.
 const QUICK_MIXERS: usize = 10;
 /// Leaf servers of each cell.
-const SERVERS_EACH_CELL: usize = 4;
-const CELLS: (u32, u32) = (2, 4);
-/// Time before the first fault and after the last one (seconds).
-const QUIET_BEFORE_S: f64 = 3.0;
-const QUIET_AFTER_S: f64 = 10.0;
-/// Time in which faults begin (seconds).
-const FAULTS_S: (f64, f64) = (14.0, 6.0);
-/// Faults that begin in a second, on average.
-const FAULTS_A_SECOND: f64 = 3.0;
-/// What the settings may say of the fleet's size: as many as there are, or so many.
-const NOTIFIED_FLEET_SIZES: [usize; 2] = [300, 860];
+const SERVERS_PER_CELL: usize = 4;
+/// Smallest and largest number of cells.
+const CELL_COUNTS: (u32, u32) = (2, 4);
+/// Time before the first fault (seconds).
+const FAULT_FREE_START_S: f64 = 3.0;
+/// Time from the end of the period in which faults start to the end of the soak (seconds).
+const FAULT_FREE_END_S: f64 = 10.0;
+/// Length of the period in which faults start, in a full and in a quick soak (seconds).
+const FAULT_PERIODS_S: (f64, f64) = (14.0, 6.0);
+/// Average number of faults that start in a second.
+const FAULTS_PER_S: f64 = 3.0;
+/// Fleet sizes that the settings may name instead of the actual one.
+const CONFIGURED_FLEET_SIZES: [usize; 2] = [300, 860];
 
-/// What is judged by.
+/// Parameters of the checker.
 #[derive(Clone, Debug)]
 pub struct Terms {
-    /// How many mixers there are.
+    /// Number of mixers.
     pub mixers: usize,
-    /// Nothing may go to a server that drains so long after it was told (seconds).
+    /// Time after the notification from which on no part may go to a draining server (seconds).
     pub drain_grace_s: f64,
-    /// How long repeats of keyed parts are discarded (seconds).
-    pub window_s: f64,
+    /// Time for which servers discard repeats of keyed parts (seconds).
+    pub dedup_window_s: f64,
     /// Length of the soak (seconds).
-    pub length_s: f64,
-    /// Whether lists are pushed.
-    pub pushed: bool,
-    /// Whether idle clients fill the descriptors: new connections may be shut unread then.
-    pub is_crowded: bool,
+    pub duration_s: f64,
+    /// Whether an agent pushes the list to the mixers.
+    pub lists_pushed: bool,
+    /// Whether idle clients use up the mixers' descriptors. New connections may then be closed before they are read.
+    pub has_descriptor_shortage: bool,
 }
 
-/// What arrives of an answer that is cut off, before its connection is closed.
+/// The part of a cut-off answer that arrives before its connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cut {
-    /// Nothing.
+    /// No byte arrives.
     NoByte,
-    /// Half of it.
+    /// Half of the bytes arrive.
     Half,
-    /// All but the last byte.
+    /// All bytes but the last arrive.
     AllButLast,
-    /// Half of it, and the connection stays open.
+    /// Half of the bytes arrive, and the connection stays open.
     HalfThenSilence,
 }
 
@@ -72,8 +79,8 @@
         Cut::HalfThenSilence,
     ];
 
-    /// How much arrives of so many bytes.
-    pub fn arriving(self, bytes: usize) -> usize {
+    /// Returns how many of the given number of bytes arrive.
+    pub fn arriving_bytes(self, bytes: usize) -> usize {
         match self {
             Cut::NoByte => 0,
             Cut::Half | Cut::HalfThenSilence => bytes / 2,
@@ -82,238 +89,247 @@
     }
 }
 
-/// A fault.
+/// A fault that is injected into the mixers, discovery, the leaf servers or the clients.
 #[derive(Clone, Debug, PartialEq)]
 pub enum InjectedFault {
-    /// A mixer is killed, and started again so long after it, with the list that it was first started with.
+    /// A mixer is killed and later restarted, with the last complete list that it received as its known list.
     Kill {
-        /// Which.
+        /// Number of the mixer.
         mixer: usize,
-        /// When it is started again (seconds later).
+        /// Time from the kill to the restart (seconds).
         down_s: f64,
     },
-    /// Many mixers at once.
+    /// Many mixers are killed at the same time, and each is restarted as in `Kill`.
     KillMany {
-        /// Which.
+        /// Numbers of the mixers.
         mixers: Vec<usize>,
-        /// When they are started again (seconds later).
+        /// Time from the kill to the restart (seconds).
         down_s: f64,
     },
-    /// A mixer is told to end, and started again once it has, or was killed.
+    /// A mixer gets SIGTERM and is restarted after it has exited, or was killed because it took too long.
     Terminate {
-        /// Which.
+        /// Number of the mixer.
         mixer: usize,
-        /// Signals that follow, each so long after the one before (seconds).
+        /// Signals that follow the SIGTERM, each with the delay after the previous signal (seconds).
         series: Vec<(Signal, f64)>,
     },
-    /// A mixer reads its configuration again, some times in a row.
+    /// A mixer reloads its configuration several times in a row.
     Reread {
-        /// Which.
+        /// Number of the mixer.
         mixer: usize,
-        /// How often.
+        /// Number of reloads.
         times: usize,
-        /// Time between two (seconds).
+        /// Time between two reloads (seconds).
         every_s: f64,
     },
-    /// A mixer stands still.
+    /// A mixer is stopped by SIGSTOP and continued.
     Stop {
-        /// Which.
+        /// Number of the mixer.
         mixer: usize,
-        /// For how long (seconds).
+        /// Duration (seconds).
         for_s: f64,
     },
-    /// A new configuration moves a mixer to the other address of discovery.
+    /// A new configuration makes a mixer use its other address of discovery.
     Move {
-        /// Which.
+        /// Number of the mixer.
         mixer: usize,
     },
-    /// Discovery goes down.
+    /// Discovery is down for all mixers.
     DiscoveryDown {
-        /// What becomes of calls.
+        /// Way in which calls fail.
         outage: Outage,
-        /// For how long (seconds).
+        /// Duration (seconds).
         for_s: f64,
     },
-    /// Discovery does not answer some mixers.
+    /// Discovery does not answer the calls of some mixers.
     DiscoveryHangs {
-        /// Which.
+        /// Numbers of the mixers.
         mixers: Vec<usize>,
-        /// For how long (seconds).
+        /// Duration (seconds).
         for_s: f64,
     },
-    /// Discovery answers late.
+    /// Discovery delays its answers to calls that do not wait for a change.
     DiscoverySlow {
-        /// By how much (seconds).
+        /// Delay (seconds).
         by_s: f64,
-        /// For how long (seconds).
+        /// Duration (seconds).
         for_s: f64,
     },
     /// All answers of discovery are cut off.
     AnswersCut {
-        /// What arrives of them.
+        /// Part of each answer that arrives.
         cut: Cut,
-        /// For how long (seconds).
+        /// Duration (seconds).
         for_s: f64,
     },
-    /// A server drains, and the next answers to some mixers are cut off.
+    /// A server drains, and the next answers of discovery to some mixers are cut off.
     DrainCut {
-        /// Which server; it is gone and back as in `Drain`.
+        /// Number of the draining server, which is removed and returns as in `Drain`.
         server: usize,
-        /// Which mixers.
+        /// Numbers of the mixers whose answers are cut off.
         mixers: Vec<usize>,
-        /// How many answers to each.
+        /// Number of answers to each mixer that are cut off.
         count: usize,
-        /// What arrives of them.
+        /// Part of each answer that arrives.
         cut: Cut,
-        /// Discovery is down for so long before (seconds).
+        /// Length of an outage of discovery before the drain, 0 for none (seconds).
         outage_s: f64,
     },
-    /// All open watches fall silent for good.
+    /// All open watches of discovery fall silent and are never answered.
     WatchesSilent,
-    /// All open watches are reset.
+    /// Discovery closes the connections of all open watches.
     WatchesReset,
-    /// A server drains, and is gone some seconds later; it comes back after that.
+    /// A server drains, stops and is removed from the list, and later returns.
     Drain {
-        /// Which.
+        /// Number of the server.
         server: usize,
-        /// When it is gone (seconds later).
+        /// Time from the start of the drain to the removal (seconds).
         gone_s: f64,
-        /// When it is back (seconds later).
+        /// Time from the start of the drain to the return (seconds).
         back_s: f64,
     },
-    /// Servers die and are taken off the list so much later; they come back after that.
+    /// Servers stop without draining, are removed from the list some time later, and return.
     Die {
-        /// Which.
+        /// Numbers of the servers.
         servers: Vec<usize>,
-        /// When discovery has noticed (seconds later).
+        /// Time from the stop to the removal from the list (seconds).
         noticed_s: f64,
-        /// When they are back (seconds later).
+        /// Time from the stop to the return (seconds).
         back_s: f64,
     },
-    /// A server takes work and answers nothing.
+    /// A server accepts parts and does not answer.
     ServerHangs {
-        /// Which.
+        /// Number of the server.
         server: usize,
-        /// For how long (seconds).
+        /// Duration (seconds).
         for_s: f64,
     },
-    /// A server resets connections under its calls.
+    /// A server closes connections on some of the calls that it receives.
     ServerResets {
-        /// Which.
+        /// Number of the server.
         server: usize,
-        /// For how long (seconds).
+        /// Duration (seconds).
         for_s: f64,
     },
-    /// A server turns work away.
+    /// A server rejects parts at random.
     ServerFull {
-        /// Which.
+        /// Number of the server.
         server: usize,
-        /// For how long (seconds).
+        /// Duration (seconds).
         for_s: f64,
     },
-    /// Clients close their connections early.
+    /// Clients close some of their connections before the answer.
     ClientsLeave {
-        /// For how long (seconds).
+        /// Duration (seconds).
         for_s: f64,
     },
 }
 
-/// A fault and when it begins.
+/// A fault with the time at which it starts.
 #[derive(Clone, Debug)]
-pub struct Planned {
-    /// When (seconds).
+pub struct PlannedFault {
+    /// Start of the fault (seconds since the start of the soak).
     pub at: f64,
-    /// What.
+    /// The fault.
     pub fault: InjectedFault,
 }
 
-/// A soak.
+/// The plan of one soak.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Its seed.
+    /// Seed from which the plan was drawn.
     pub seed: u64,
-    /// What is judged by.
+    /// Parameters of the checker.
     pub terms: Terms,
-    /// Cells of the servers.
+    /// Number of cells.
     pub cells: u32,
-    /// How many servers there are.
+    /// Number of leaf servers.
     pub servers: usize,
-    /// What the settings say of the fleet's size.
-    pub notified_size: usize,
-    /// Descriptors of each mixer.
+    /// Number of mixers that the settings name.
+    pub configured_fleet_size: usize,
+    /// Descriptor limit of each mixer.
     pub sockets: usize,
-    /// How long a client waits for its answer, at most (milliseconds).
-    pub longest_wait_ms: u64,
-    /// Whether attempts may be cancelled, and two may be in flight.
-    pub cancel: bool,
-    /// Whether two attempts of a part may be in flight.
-    pub copies: bool,
-    /// The faults, in order of time.
-    pub faults: Vec<Planned>,
+    /// Longest timeout of a client (milliseconds).
+    pub max_client_timeout_ms: u64,
+    /// Whether mixers may cancel attempts.
+    pub allows_cancelling: bool,
+    /// Whether mixers may have two attempts of a part in flight.
+    pub allows_second_copies: bool,
+    /// Faults in order of their start.
+    pub faults: Vec<PlannedFault>,
 }
 
 impl Plan {
-    /// The plan of a seed.
+    /// Draws the plan of a seed.
     pub fn draw(seed: u64, quick: bool) -> Plan {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let max = if rng.random_bool(FEW_MIXERS_ODDS) {
-            MAX_FEW_MIXERS
+        let max = if rng.random_bool(SMALL_FLEET_PROBABILITY) {
+            MAX_SMALL_FLEET_MIXERS
         } else {
-            MIXERS.1
+            MIXER_COUNTS.1
         };
         let mixers = if quick {
             QUICK_MIXERS
         } else {
-            rng.random_range(MIXERS.0..=max)
+            rng.random_range(MIXER_COUNTS.0..=max)
         };
-        let is_crowded = mixers <= QUICK_MIXERS && rng.random_bool(CROWD_ODDS);
-        let cells = rng.random_range(CELLS.0..=CELLS.1);
-        let servers = cells as usize * SERVERS_EACH_CELL;
-        let faults_s = if quick { FAULTS_S.1 } else { FAULTS_S.0 };
-        let count = (faults_s * FAULTS_A_SECOND) as usize;
-        let mut faults: Vec<Planned> = (0..count)
-            .map(|_| Planned {
-                at: QUIET_BEFORE_S + rng.random_range(0.0..faults_s),
+        let has_descriptor_shortage =
+            mixers <= QUICK_MIXERS && rng.random_bool(DESCRIPTOR_SHORTAGE_PROBABILITY);
+        let cells = rng.random_range(CELL_COUNTS.0..=CELL_COUNTS.1);
+        let servers = cells as usize * SERVERS_PER_CELL;
+        let fault_period_s = if quick {
+            FAULT_PERIODS_S.1
+        } else {
+            FAULT_PERIODS_S.0
+        };
+        let count = (fault_period_s * FAULTS_PER_S) as usize;
+        let mut faults: Vec<PlannedFault> = (0..count)
+            .map(|_| PlannedFault {
+                at: FAULT_FREE_START_S + rng.random_range(0.0..fault_period_s),
                 fault: draw_fault(&mut rng, mixers, servers),
             })
             .collect();
         faults.sort_by(|a, b| a.at.total_cmp(&b.at));
-        let sizes = [mixers, NOTIFIED_FLEET_SIZES[0], NOTIFIED_FLEET_SIZES[1]];
+        let fleet_sizes = [mixers, CONFIGURED_FLEET_SIZES[0], CONFIGURED_FLEET_SIZES[1]];
         Plan {
             seed,
             terms: Terms {
                 mixers,
                 drain_grace_s: *[0.5, 0.5, 0.7, 2.0].choose(&mut rng).unwrap_or(&0.5),
-                window_s: 1.0,
-                length_s: QUIET_BEFORE_S + faults_s + QUIET_AFTER_S,
-                pushed: rng.random_bool(0.25),
-                is_crowded,
+                dedup_window_s: 1.0,
+                duration_s: FAULT_FREE_START_S + fault_period_s + FAULT_FREE_END_S,
+                lists_pushed: rng.random_bool(0.25),
+                has_descriptor_shortage,
             },
             cells,
             servers,
-            notified_size: *sizes.choose(&mut rng).unwrap_or(&mixers),
-            sockets: if is_crowded { CROWDED_SOCKETS } else { SOCKETS },
-            longest_wait_ms: *LONGEST_WAITS_MS
+            configured_fleet_size: *fleet_sizes.choose(&mut rng).unwrap_or(&mixers),
+            sockets: if has_descriptor_shortage {
+                SHORTAGE_SOCKETS
+            } else {
+                SOCKETS
+            },
+            max_client_timeout_ms: *MAX_CLIENT_TIMEOUTS_MS
                 .choose(&mut rng)
-                .unwrap_or(&LONGEST_WAITS_MS[0]),
-            cancel: rng.random_bool(0.75),
-            copies: rng.random_bool(0.75),
+                .unwrap_or(&MAX_CLIENT_TIMEOUTS_MS[0]),
+            allows_cancelling: rng.random_bool(0.75),
+            allows_second_copies: rng.random_bool(0.75),
             faults,
         }
     }
 
-    /// How long a client waits for its answer, at most (seconds).
-    pub fn longest_wait_s(&self) -> f64 {
-        self.longest_wait_ms as f64 / 1000.0
+    /// Returns the longest timeout of a client (seconds).
+    pub fn max_client_timeout_s(&self) -> f64 {
+        self.max_client_timeout_ms as f64 / 1000.0
     }
 
-    /// The cell of a server.
+    /// Returns the cell of a server.
     pub fn cell(&self, server: usize) -> u32 {
         server as u32 % self.cells
     }
 }
 
-fn draw_some(rng: &mut ChaCha8Rng, count: usize, share: f64) -> Vec<usize> {
+fn draw_subset(rng: &mut ChaCha8Rng, count: usize, share: f64) -> Vec<usize> {
     (0..count).filter(|_| rng.random_bool(share)).collect()
 }
 
@@ -327,7 +343,7 @@
         .unwrap_or(&Outage::Closes)
 }
 
-/// Signals that follow one to end: none, or the same again, and configurations to be read.
+/// Draws the signals that follow a SIGTERM: at most three, each another SIGTERM or a SIGHUP.
 fn draw_signals(rng: &mut ChaCha8Rng) -> Vec<(Signal, f64)> {
     let count = rng.random_range(0..=3);
     (0..count)
@@ -342,7 +358,7 @@
         .collect()
 }
 
-/// What a fault concerns unless it draws that itself, and for how long (seconds).
+/// Target and duration of a fault whose kind does not draw its own.
 #[derive(Clone, Copy)]
 struct FaultTarget {
     mixer: usize,
@@ -362,7 +378,7 @@
         kind @ 16..=26 => draw_server_fault(rng, kind, target, servers),
         _ => InjectedFault::DrainCut {
             server: target.server,
-            mixers: draw_some(rng, mixers, 0.6),
+            mixers: draw_subset(rng, mixers, 0.6),
             count: rng.random_range(1..=3),
             cut: draw_cut(rng),
             outage_s: if rng.random_bool(0.3) {
@@ -374,7 +390,7 @@
     }
 }
 
-/// A fault of the processes of mixers.
+/// Draws a fault of mixer processes.
 fn draw_process_fault(
     rng: &mut ChaCha8Rng,
     kind: i32,
@@ -388,7 +404,7 @@
             down_s: rng.random_range(0.2..7.0),
         },
         3 => InjectedFault::KillMany {
-            mixers: draw_some(rng, mixers, 0.6),
+            mixers: draw_subset(rng, mixers, 0.6),
             down_s: rng.random_range(0.2..5.0),
         },
         4..=5 => InjectedFault::Terminate {
@@ -415,7 +431,7 @@
     }
 }
 
-/// A fault of discovery, or of the connections to it.
+/// Draws a fault of discovery or of the connections to it.
 fn draw_discovery_fault(
     rng: &mut ChaCha8Rng,
     kind: i32,
@@ -429,7 +445,7 @@
             for_s: rng.random_range(0.5..9.0),
         },
         11 => InjectedFault::DiscoveryHangs {
-            mixers: draw_some(rng, mixers, 0.4),
+            mixers: draw_subset(rng, mixers, 0.4),
             for_s,
         },
         12 => InjectedFault::DiscoverySlow {
@@ -445,7 +461,7 @@
     }
 }
 
-/// A fault of leaf servers, or of clients.
+/// Draws a fault of leaf servers or of clients.
 fn draw_server_fault(
     rng: &mut ChaCha8Rng,
     kind: i32,
@@ -467,7 +483,7 @@
             let share = rng.random_range(0.1..0.4);
             let back_s = noticed_s + rng.random_range(0.5..6.0);
             InjectedFault::Die {
-                servers: draw_some(rng, servers, share),
+                servers: draw_subset(rng, servers, share),
                 noticed_s,
                 back_s,
             }
--- a/crates/wharfhub-testbed/src/soak/processes.rs
+++ b/crates/wharfhub-testbed/src/soak/processes.rs
@@ -1,6 +1,6 @@
-//! The mixers of a soak: real processes of the daemon, started, killed, stopped and told to end.
+//! The mixers of a soak: real processes of the daemon that are started, stopped, reconfigured, terminated and killed.
 //!
-//! All that this file starts ends with its value. It must never touch a process that it did not start.
+//! Dropping a [`MixerProcess`] kills its process.
 
 use super::clients;
 use super::history::{ProcessEvent, Recorder};
@@ -14,30 +14,31 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How often a process is looked at.
-const TICK: Duration = Duration::from_millis(20);
-/// A process listens within this time.
-const MAX_START: Duration = Duration::from_secs(2);
-/// A process that was told to end is killed so long after that, and its clients' longest wait (seconds): the operators' term.
-const KILLED_AFTER_S: f64 = 0.7;
-/// A client's wait counts as so much at most there (seconds).
-const MAX_COUNTED_WAIT_S: f64 = 3.0;
-/// The classes' deadline is at least this (seconds).
+/// Interval at which a process is checked for its listener or its exit.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Longest wait for a process to listen.
+const MAX_LISTEN_DELAY: Duration = Duration::from_secs(2);
+/// By the operators' terms, a process that has not exited after SIGTERM is killed after the clients' longest timeout plus this
+/// time (seconds).
+const KILL_DELAY_S: f64 = 0.7;
+/// Upper limit of the clients' timeout in that sum (seconds).
+const MAX_COUNTED_TIMEOUT_S: f64 = 3.0;
+/// Smallest deadline of the classes in the settings (seconds).
 const MIN_DEADLINE_S: f64 = 1.0;
-/// What is read of the guard's counts.
-const VIOLATIONS: &str = "svc_violations_total";
-const STOPS: &str = "svc_guard_stops_total";
+/// Metrics of the invariant checks that are recorded.
+const VIOLATIONS_METRIC: &str = "svc_violations_total";
+const STOPPED_ACTIONS_METRIC: &str = "svc_guard_stops_total";
 
 /// A signal that a soak sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// Stands still.
+    /// SIGSTOP: the process is stopped.
     Stop,
-    /// Goes on.
+    /// SIGCONT: the process continues.
     Continue,
-    /// Ends in order.
+    /// SIGTERM: the process shuts down gracefully.
     Terminate,
-    /// Reads its configuration again.
+    /// SIGHUP: the process reloads its configuration.
     HangUp,
 }
 
@@ -52,7 +53,7 @@
     }
 }
 
-/// What a mixer is started with.
+/// The configuration file of a mixer and the values in it that stay the same during a soak.
 #[derive(Clone, Debug)]
 struct Config {
     path: PathBuf,
@@ -75,14 +76,14 @@
             "{{\"name\":\"soak\",\"listen\":\"{listen}\",\"seed\":\"{seed:x}\",\"discovery\":\"{discovery}\",\
              \"limits\":{{\"sockets\":{sockets},\"memory_mb\":64}},\"known\":{known},\"settings\":{settings}}}"
         );
-        // Whole or not at all: a process may be reading it.
-        let fresh = path.with_extension("new");
-        std::fs::write(&fresh, text)?;
-        std::fs::rename(&fresh, path)
+        // The rename replaces the file atomically, since a process may be reading it.
+        let new_path = path.with_extension("new");
+        std::fs::write(&new_path, text)?;
+        std::fs::rename(&new_path, path)
     }
 }
 
-/// A mixer over all its processes.
+/// A mixer. The mixer has at most one process at a time, which may be replaced by a new one.
 pub struct MixerProcess {
     number: usize,
     program: PathBuf,
@@ -90,8 +91,8 @@
     log: PathBuf,
     child: Mutex<Option<Child>>,
     recorder: Arc<Recorder>,
-    /// When it is killed after it was told to end.
-    end_within: Duration,
+    /// Time from SIGTERM after which a process that has not exited is killed.
+    kill_delay: Duration,
 }
 
 impl Drop for MixerProcess {
@@ -104,15 +105,15 @@
     }
 }
 
-/// An address of this machine at which nobody listens, on a loopback address of the mixer's own: no other socket gets its
-/// port before the mixer does.
+/// Returns a free address on a loopback IP that only this mixer uses, so that no other socket takes the port before the mixer
+/// listens.
 fn free_address(mixer: usize) -> io::Result<SocketAddr> {
-    let own = std::net::Ipv4Addr::new(127, 9, 0, (mixer % 250) as u8 + 1);
-    TcpListener::bind((own, 0))?.local_addr()
+    let loopback = std::net::Ipv4Addr::new(127, 9, 0, (mixer % 250) as u8 + 1);
+    TcpListener::bind((loopback, 0))?.local_addr()
 }
 
 impl MixerProcess {
-    /// A mixer that does not run yet. Its logs go to that folder.
+    /// Creates a mixer without starting it. Its logs go to `folder`.
     pub fn new(
         number: usize,
         plan: &Plan,
@@ -138,18 +139,18 @@
             log: folder.join(format!("m{number}.log")),
             child: Mutex::new(None),
             recorder: recorder.clone(),
-            end_within: Duration::from_secs_f64(
-                plan.longest_wait_s().min(MAX_COUNTED_WAIT_S) + KILLED_AFTER_S,
+            kill_delay: Duration::from_secs_f64(
+                plan.max_client_timeout_s().min(MAX_COUNTED_TIMEOUT_S) + KILL_DELAY_S,
             ),
         })
     }
 
-    /// Where it listens.
+    /// Returns the address at which the mixer listens.
     pub fn address(&self) -> SocketAddr {
         self.config.listen
     }
 
-    /// Starts it, with that as its last known list.
+    /// Starts a process with `known` as its last known list.
     pub fn start(&self, discovery: SocketAddr, known: &str) -> io::Result<()> {
         self.config.write(discovery, known)?;
         let mut command = Command::new(&self.program);
@@ -159,13 +160,14 @@
             .env_remove("LB_DISCOVERY")
             .stderr(Stdio::piped())
             .spawn()?;
-        self.recorder.process(self.number, ProcessEvent::Started);
+        self.recorder
+            .record_process(self.number, ProcessEvent::Started);
         let errors = child.stderr.take().ok_or(io::ErrorKind::BrokenPipe)?;
         let mut log = File::options().create(true).append(true).open(&self.log)?;
         let recorder = self.recorder.clone();
         std::thread::spawn(move || {
             for line in BufReader::new(errors).lines().map_while(Result::ok) {
-                // A log that can't be written is no reason to end the soak.
+                // The soak goes on if a log can't be written.
                 let _ = writeln!(log, "{:.3} {line}", recorder.now());
             }
         });
@@ -173,24 +175,24 @@
         Ok(())
     }
 
-    /// Whether it says that it is ready.
+    /// Returns whether the process reports that it is ready.
     pub fn is_ready(&self) -> bool {
         clients::get(self.address(), "/-/ready").is_ok_and(|(status, _)| status == 200)
     }
 
-    /// Waits until it answers; says whether it did.
+    /// Waits until the process answers calls and returns whether it does in time.
     pub fn await_listener(&self) -> bool {
-        let until = Instant::now() + MAX_START;
+        let until = Instant::now() + MAX_LISTEN_DELAY;
         while clients::get(self.address(), "/-/healthy").is_err() {
             if Instant::now() > until {
                 return false;
             }
-            std::thread::sleep(TICK);
+            std::thread::sleep(POLL_INTERVAL);
         }
         true
     }
 
-    /// Sends a signal to it, where it runs.
+    /// Sends a signal to the process, if one is running.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         let Some(id) = lock(&self.child).as_ref().map(Child::id) else {
             return Ok(());
@@ -201,49 +203,53 @@
             .map(drop)
     }
 
-    /// Writes a configuration address of discovery, and has it read.
-    pub fn move_to(&self, discovery: SocketAddr, known: &str) -> io::Result<()> {
+    /// Writes a configuration with this address of discovery and makes the process reload it.
+    pub fn reconfigure(&self, discovery: SocketAddr, known: &str) -> io::Result<()> {
         self.config.write(discovery, known)?;
         self.recorder
-            .process(self.number, ProcessEvent::Reconfigured);
+            .record_process(self.number, ProcessEvent::Reconfigured);
         self.signal(Signal::HangUp)
     }
 
-    /// Whether a process of it runs.
-    pub fn runs(&self) -> bool {
+    /// Returns whether a process has been started and not yet been found to have exited.
+    pub fn is_running(&self) -> bool {
         lock(&self.child).is_some()
     }
 
-    /// Notes a process that has ended by itself.
-    pub fn look(&self) {
+    /// Records a process that has exited without a signal to do so.
+    pub fn record_crash(&self) {
         let mut child = lock(&self.child);
         if child
             .as_mut()
             .is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))))
         {
             *child = None;
-            self.recorder.process(self.number, ProcessEvent::Crashed);
+            self.recorder
+                .record_process(self.number, ProcessEvent::Crashed);
         }
     }
 
-    /// Kills it.
+    /// Kills the process, if one is running.
     pub fn kill(&self) {
         if let Some(mut child) = lock(&self.child).take() {
-            self.recorder.process(self.number, ProcessEvent::Killed);
+            self.recorder
+                .record_process(self.number, ProcessEvent::Killed);
             let _ = child.kill();
             let _ = child.wait();
-            self.recorder.process(self.number, ProcessEvent::Dead);
+            self.recorder
+                .record_process(self.number, ProcessEvent::Reaped);
         }
     }
 
-    /// Tells it to end, sends it other signals meanwhile, each so long after the one before, and waits until it has ended or
-    /// is killed.
+    /// Sends SIGTERM, then the signals of `series`, each with its delay after the previous one, and waits until the process has
+    /// exited or its time is up and it is killed.
     pub fn terminate(&self, series: &[(Signal, Duration)]) -> io::Result<()> {
-        if !self.runs() {
+        if !self.is_running() {
             return Ok(());
         }
-        self.recorder.process(self.number, ProcessEvent::Terminated);
-        let until = Instant::now() + self.end_within;
+        self.recorder
+            .record_process(self.number, ProcessEvent::SigtermSent);
+        let until = Instant::now() + self.kill_delay;
         self.signal(Signal::Terminate)?;
         for (signal, after) in series {
             std::thread::sleep((*after).min(until.saturating_duration_since(Instant::now())));
@@ -255,20 +261,21 @@
         while child.try_wait()?.is_none() {
             if Instant::now() > until {
                 self.recorder
-                    .process(self.number, ProcessEvent::KilledAtEnd);
+                    .record_process(self.number, ProcessEvent::KilledAfterSigterm);
                 child.kill()?;
                 child.wait()?;
                 return Ok(());
             }
-            std::thread::sleep(TICK);
+            std::thread::sleep(POLL_INTERVAL);
         }
-        self.recorder.process(self.number, ProcessEvent::Ended);
+        self.recorder
+            .record_process(self.number, ProcessEvent::Exited);
         Ok(())
     }
 
-    /// Notes what its guard has counted since its start.
-    pub fn note_guard(&self) {
-        if !self.runs() {
+    /// Records the counts of the invariant checks since the start of the process.
+    pub fn record_invariant_counts(&self) {
+        if !self.is_running() {
             return;
         }
         let Ok((_, text)) = clients::get(self.address(), "/-/figures") else {
@@ -277,50 +284,54 @@
         let sum = |name: &str| {
             text.lines()
                 .filter(|line| line.starts_with(name))
-                .filter_map(count)
+                .filter_map(parse_count)
                 .sum()
         };
-        self.recorder
-            .process(self.number, ProcessEvent::Violations(sum(VIOLATIONS)));
-        self.recorder
-            .process(self.number, ProcessEvent::Stops(sum(STOPS)));
+        self.recorder.record_process(
+            self.number,
+            ProcessEvent::InvariantViolations(sum(VIOLATIONS_METRIC)),
+        );
+        self.recorder.record_process(
+            self.number,
+            ProcessEvent::StoppedActions(sum(STOPPED_ACTIONS_METRIC)),
+        );
     }
 }
 
-/// The count at the end of a line of figures.
-fn count(line: &str) -> Option<u64> {
+/// Parses the count at the end of a line of metrics.
+fn parse_count(line: &str) -> Option<u64> {
     line.rsplit(' ').next()?.parse().ok()
 }
 
-/// The settings of all mixers of a plan.
+/// Returns the settings that all mixers of a plan share, as JSON.
 fn settings(plan: &Plan) -> String {
     let Plan {
         terms,
         cells,
-        notified_size,
-        cancel,
-        copies,
+        configured_fleet_size,
+        allows_cancelling,
+        allows_second_copies,
         ..
     } = plan;
-    let give_up_s = plan.longest_wait_s().max(MIN_DEADLINE_S);
-    let mode = if terms.pushed {
+    let deadline_s = plan.max_client_timeout_s().max(MIN_DEADLINE_S);
+    let mode = if terms.lists_pushed {
         "automatic"
     } else {
         "subscribe"
     };
     let shards = cells * 2;
     format!(
-        "{{\"categories\":[{{\"name\":\"slot\",\"aimS\":0.4,\"giveUpS\":{give_up_s},\"effect\":\"retryable\",\"lateWorth\":0.3,\
-         \"worth\":1.0}},{{\"name\":\"hold\",\"aimS\":0.4,\"giveUpS\":{give_up_s},\"effect\":\"dedup\",\"windowS\":{window_s},\
+        "{{\"categories\":[{{\"name\":\"slot\",\"aimS\":0.4,\"giveUpS\":{deadline_s},\"effect\":\"retryable\",\"lateWorth\":0.3,\
+         \"worth\":1.0}},{{\"name\":\"hold\",\"aimS\":0.4,\"giveUpS\":{deadline_s},\"effect\":\"dedup\",\"windowS\":{dedup_window_s},\
          \"lateWorth\":0.1,\"worth\":2.0}}],\"tenants\":[{{\"name\":\"acme\",\"share\":1.0,\"allowancePerS\":100000.0}}],\
-         \"zones\":[\"a\"],\"myZone\":0,\"replicasOfMe\":{notified_size},\"roundS\":0.005,\"discovery\":\"{mode}\",\
+         \"zones\":[\"a\"],\"myZone\":0,\"replicasOfMe\":{configured_fleet_size},\"roundS\":0.005,\"discovery\":\"{mode}\",\
          \"familyInfo\":{{\"cells\":{cells},\"inARow\":2,\"slabs\":{shards},\"perCall\":1,\"classPartial\":[0.9,0.9],\
          \"completeFrom\":[1.0,1.0],\"floorByClass\":[1.0,1.0],\"followUp\":[0,0]}},\
-         \"permissions\":{{\"cancelling\":{cancel},\"connIdleS\":4.0,\"connectTimeoutS\":0.25,\"maxRetryAfterS\":2.0,\
-         \"mostHeld\":200,\"retryAfter\":true,\"secondCopies\":{copies},\"sendCap\":4,\"streamsPerConn\":32}},\
+         \"permissions\":{{\"cancelling\":{allows_cancelling},\"connIdleS\":4.0,\"connectTimeoutS\":0.25,\"maxRetryAfterS\":2.0,\
+         \"mostHeld\":200,\"retryAfter\":true,\"secondCopies\":{allows_second_copies},\"sendCap\":4,\"streamsPerConn\":32}},\
          \"rules\":{{\"askWithinS\":10.0,\"coldFrom\":0.5,\"coldS\":3.0,\"drainGraceS\":{grace_s},\"fallMultiple\":2.5,\
          \"overloadForS\":1.5}}}}",
-        window_s = terms.window_s,
+        dedup_window_s = terms.dedup_window_s,
         grace_s = terms.drain_grace_s,
     )
 }
