--- a/crates/wharfhub-testbed/src/model/tests.rs
+++ b/crates/wharfhub-testbed/src/model/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of model.rs that need its privates.
+//! Unit tests of the leaf server model.
 
 use super::*;
 
@@ -22,7 +22,7 @@
     sender_knows_start: true,
 };
 
-/// Turns a leaf server whenever it has to be; gives what ended, each with its time in milliseconds.
+/// Runs a leaf server until it is idle. Returns the completed jobs, each with its time in milliseconds.
 fn run(server: &mut LeafServer<char>, mut now: f64, slow: f64) -> Vec<(char, u32)> {
     let mut ended = Vec::new();
     while let Some(next) = server.next_event_at(now, slow) {
@@ -37,7 +37,8 @@
     ended
 }
 
-fn with(setup: LeafServerSetup, jobs: &str) -> LeafServer<char> {
+/// Returns a leaf server at which these jobs have arrived at the time 1; `w` stands for a pre-check.
+fn server_with_jobs(setup: LeafServerSetup, jobs: &str) -> LeafServer<char> {
     let mut server = LeafServer::new(setup);
     server.advance(1.0, 1.0);
     jobs.chars().for_each(|job| {
@@ -55,8 +56,8 @@
 }
 
 #[test]
-fn a_word_goes_before_what_waits() {
-    let mut server = with(
+fn a_pre_check_runs_before_waiting_jobs() {
+    let mut server = server_with_jobs(
         LeafServerSetup {
             queue_capacity: 3,
             ..SETUP
@@ -70,8 +71,8 @@
 }
 
 #[test]
-fn one_runs_one_waits_and_the_next_is_turned_away() {
-    let mut server = with(SETUP, "ab");
+fn a_job_is_rejected_if_the_queue_is_full() {
+    let mut server = server_with_jobs(SETUP, "ab");
     assert_eq!(server.arrive(1.0, PART, 0.5), Admission::QueueFull);
     assert_eq!(run(&mut server, 1.0, 2.0), [('a', 1200), ('b', 1400)]);
     assert_eq!(
@@ -84,40 +85,40 @@
 }
 
 #[test]
-fn what_runs_together_shares_the_cores_and_nothing_runs_in_a_pause() {
-    let mut server = with(LeafServerSetup { slots: 2, ..SETUP }, "ab");
+fn running_jobs_share_the_cores_and_make_no_progress_during_a_pause() {
+    let mut server = server_with_jobs(LeafServerSetup { slots: 2, ..SETUP }, "ab");
     assert_eq!(run(&mut server, 1.0, 1.0), [('a', 1200), ('b', 1200)]);
     let pauses = Some(Pauses {
         period_s: 5.0,
         duration_s: 0.3,
         first_at: 1.05,
     });
-    let mut server = with(LeafServerSetup { pauses, ..SETUP }, "a");
+    let mut server = server_with_jobs(LeafServerSetup { pauses, ..SETUP }, "a");
     assert_eq!(run(&mut server, 1.0, 1.0), [('a', 1400)]);
 }
 
 #[test]
-fn what_is_called_off_stops_only_where_the_box_stops_it() {
-    for (cancels, left) in [(true, Some(0.05)), (false, None)] {
-        let mut server = with(LeafServerSetup { cancels, ..SETUP }, "ab");
+fn a_cancelled_job_stops_only_if_the_server_supports_cancellation() {
+    for (cancels, expected_s) in [(true, Some(0.05)), (false, None)] {
+        let mut server = server_with_jobs(LeafServerSetup { cancels, ..SETUP }, "ab");
         server.advance(1.05, 1.0);
-        let spared = server
+        let saved_s = server
             .cancel('a')
             .map(|left_s| (left_s * 1000.0).round() / 1000.0);
-        assert_eq!(spared, left);
+        assert_eq!(saved_s, expected_s);
         let last = if cancels { 1150 } else { 1200 };
         assert_eq!(run(&mut server, 1.05, 1.0).last(), Some(&('b', last)));
     }
 }
 
 #[test]
-fn a_cold_box_is_pushed_over_by_what_a_warm_one_bears() {
-    let push = |started_at: f64, sender_knows_start: bool| {
+fn a_load_that_a_warm_server_sustains_overloads_it_during_slow_start() {
+    let collapses = |started_at: f64, sender_knows_start: bool| {
         let mut server = LeafServer::new(SETUP);
         if started_at > 0.0 {
             server.start(started_at);
         }
-        // Twice what one core does, for three seconds.
+        // The work is twice the capacity of the one core, for three seconds.
         for step in 0..60u32 {
             let now = 20.0 + f64::from(step) * 0.05;
             server.advance(now, 1.0);
@@ -133,7 +134,10 @@
         }
         server.has_collapsed
     };
-    assert!(push(20.0, true), "cold");
-    assert!(!push(20.0, false), "nobody was told of its start");
-    assert!(!push(0.0, true) && !push(5.0, true), "warm");
+    assert!(collapses(20.0, true), "slow start");
+    assert!(!collapses(20.0, false), "no sender knows of the start");
+    assert!(
+        !collapses(0.0, true) && !collapses(5.0, true),
+        "full capacity"
+    );
 }
--- a/crates/wharfhub-testbed/tests/compatibility.rs
+++ b/crates/wharfhub-testbed/tests/compatibility.rs
@@ -1,12 +1,12 @@
-//! Scenarios in virtual time whose decisions are those of release dade8db, by the digest of all that the mixers did.
+//! Checks that emulated mixers decide the same as in release dade8db, by the digest of all their actions.
 //!
-//! A change that is meant to alter decisions takes the new digests over and says so in its commit.
+//! A change that alters decisions on purpose updates the digests and says so in its commit message.
 
 use rstest::rstest;
 use wharfhub_testbed::emulator;
 use wharfhub_testbed::site::{cardiff, szeged, Fault, Scenario, Site};
 
-/// A scenario with faults of every kind.
+/// Returns a scenario with many kinds of faults, one after another and overlapping.
 fn faulty_scenario(site: Site, phases: bool, seed: u64) -> Scenario {
     let faults = vec![
         (1.0, 3.0, Fault::SomeSlow(0.2, 4.0)),
@@ -39,8 +39,11 @@
 #[case::ring_in_two_phases(faulty_scenario(cardiff(), true, 3), 0x05c0_2b7d_e08b_dad8)]
 #[case::sets(faulty_scenario(szeged(), false, 4), 0x2d73_5657_3660_3616)]
 #[case::sets_another_seed(faulty_scenario(szeged(), false, 5), 0x680c_fdf9_a4a2_b4d5)]
-fn decisions_are_those_of_the_former_release(#[case] scenario: Scenario, #[case] digest: u64) {
-    let run = emulator::run(&scenario).expect("a day that can be played");
+fn decisions_are_unchanged_since_the_previous_release(
+    #[case] scenario: Scenario,
+    #[case] digest: u64,
+) {
+    let run = emulator::run(&scenario).expect("scenario settings should be valid");
     assert!(run.requests > 100, "{} queries", run.requests);
     assert_eq!(run.digest, digest, "{:#018x}", run.digest);
 }
--- a/crates/wharfhub-testbed/tests/fleet.rs
+++ b/crates/wharfhub-testbed/tests/fleet.rs
@@ -1,6 +1,7 @@
-//! The hollow fleet and its discovery stand-in: the hard cases of lists and watches, on the daemon's own control code.
+//! Tests of the hollow fleet and its discovery stand-in, with difficult cases of lists and watches. Hollow mixers run the
+//! daemon's own control code.
 //!
-//! Waits end when what is looked for has come about, or fail after a time that a busy machine does not need.
+//! Waits end as soon as their condition holds, or fail after a time that suffices even on a busy machine.
 
 use rstest::rstest;
 use std::io::{Read, Write};
@@ -18,13 +19,16 @@
     HollowMixer, Layout, ListedServer, MixerReport, MixerSettings, MixerSetup, Phase, Published,
 };
 
-/// Longer than anything here takes on a busy machine.
+/// Timeout of all waits; longer than any of them takes on a busy machine.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
-fn wait_until(what: &str, mut is_so: impl FnMut() -> bool) {
+fn wait_until(condition: &str, mut is_met: impl FnMut() -> bool) {
     let until = Instant::now() + MAX_WAIT;
-    while !is_so() {
-        assert!(Instant::now() < until, "never came about: {what}");
+    while !is_met() {
+        assert!(
+            Instant::now() < until,
+            "timed out waiting until {condition}"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -56,7 +60,7 @@
 
 fn wait_for_revision(mixer: &mut HollowMixer, revision: u64) -> MixerReport {
     let mut last = mixer.report();
-    wait_until(&format!("revision {revision}"), || {
+    wait_until(&format!("the mixer has revision {revision}"), || {
         last = mixer.report();
         assert_eq!(last.failure, None);
         last.revision >= revision
@@ -64,9 +68,9 @@
     last
 }
 
-/// So many mixers had one complete list each and one change each by their watch; beside it only a heartbeat that crosses
-/// the watch's answer may tell it again.
-fn assert_told_once(discovery: &Discovery, mixers: u64) {
+/// Asserts that each mixer received one complete list and one change through its watch. The change may be sent again only in the
+/// answer to a heartbeat that crosses the answer to the watch.
+fn assert_notified_once(discovery: &Discovery, mixers: u64) {
     let counters = discovery.counters();
     assert_eq!(counters.complete_lists, mixers);
     assert!(
@@ -75,7 +79,7 @@
     );
 }
 
-/// A first list in each form comes into force whole, and so does a change of each of its lines in one answer.
+/// A mixer applies the complete first list in each layout, and then a change of every entry in one answer.
 #[rstest]
 #[case::compact(1_000, Layout::Compact)]
 #[case::indented(1_000, Layout::Indented)]
@@ -83,7 +87,7 @@
 #[case::large_and_indented(5_300, Layout::Indented)]
 #[case::larger(10_000, Layout::Compact)]
 #[case::larger_and_indented(10_000, Layout::Indented)]
-fn a_list_and_a_change_of_each_of_its_lines_come_into_force(
+fn a_list_and_a_change_of_each_of_its_entries_are_applied(
     #[case] count: u32,
     #[case] layout: Layout,
 ) {
@@ -101,11 +105,11 @@
         wait_for_revision(&mut mixer, changed.revision).servers,
         u64::from(count)
     );
-    assert_told_once(&discovery, 1);
+    assert_notified_once(&discovery, 1);
 }
 
 #[test]
-fn a_thousand_changes_come_in_one_answer() {
+fn a_thousand_changes_are_sent_in_one_answer() {
     let discovery = discovery(1_500, Behavior::default());
     let mut mixer = mixer(0, discovery.addresses[0], 1_500);
     wait_for_revision(&mut mixer, 1);
@@ -115,11 +119,11 @@
     };
     let changed = discovery.publish(servers(1_000).iter().map(gone).collect());
     assert_eq!(wait_for_revision(&mut mixer, changed.revision).servers, 500);
-    assert_told_once(&discovery, 1);
+    assert_notified_once(&discovery, 1);
 }
 
 #[test]
-fn changes_of_servers_that_are_unknown_add_them_or_do_nothing() {
+fn a_change_adds_an_unknown_server_and_a_removal_of_one_has_no_effect() {
     let discovery = discovery(10, Behavior::default());
     let mut mixer = mixer(0, discovery.addresses[0], 10);
     wait_for_revision(&mut mixer, 1);
@@ -136,16 +140,16 @@
     assert_eq!(wait_for_revision(&mut mixer, changed.revision).servers, 11);
 }
 
-/// A list that is cut off, time and again, changes nothing; the first whole one counts.
+/// Truncated lists are not applied, even if they are repeated; the first complete list is.
 #[test]
-fn lists_that_are_cut_off_change_nothing() {
+fn truncated_lists_are_not_applied() {
     let cut = Behavior {
         delivery: Delivery::TruncateAfter(5_000),
         ..Behavior::default()
     };
     let discovery = discovery(200, cut);
     let mut mixer = mixer(0, discovery.addresses[0], 200);
-    wait_until("three lists were cut off", || {
+    wait_until("three lists are truncated", || {
         discovery.counters().complete_lists >= 3
     });
     assert_eq!(mixer.report().applied, []);
@@ -154,7 +158,7 @@
 }
 
 #[test]
-fn a_discovery_that_only_tells_whole_lists_is_understood() {
+fn a_mixer_works_with_a_discovery_that_only_sends_complete_lists() {
     let discovery = discovery(
         50,
         Behavior {
@@ -173,12 +177,12 @@
     assert_eq!(discovery.counters().change_answers, 0);
 }
 
-/// Silent, down, or cut off from the mixer's region: a change is in force once discovery can be reached.
+/// After discovery was unresponsive, down or partitioned from the mixer's region, the mixer applies the change that it missed.
 #[rstest]
 #[case::silent(Behavior { is_unresponsive: true, ..Behavior::default() }, false)]
 #[case::down(Behavior { is_down: true, ..Behavior::default() }, false)]
 #[case::cut_off(Behavior::default(), true)]
-fn a_change_is_in_force_after_trouble_of_discovery(#[case] fault: Behavior, #[case] cut_off: bool) {
+fn a_change_is_applied_after_a_fault_of_discovery(#[case] fault: Behavior, #[case] cut_off: bool) {
     let discovery = discovery(20, Behavior::default());
     let mut mixer = mixer(0, discovery.addresses[0], 20);
     wait_for_revision(&mut mixer, 1);
@@ -189,15 +193,15 @@
     let changed = discovery.publish(vec![advance_phase(&servers(1)[0])]);
     let before = discovery.counters();
     if cut_off {
-        // Nothing passes; the mixer opens another connection for its next call.
-        wait_until("another connection", || {
+        // No data passes; the mixer opens another connection for its next call.
+        wait_until("another connection is opened", || {
             discovery.counters().connections > before.connections
         });
         assert_eq!(discovery.counters().calls, before.calls);
     } else {
         let tried =
             |counters: wharfhub_testbed::fleet::Counters| counters.calls + counters.connections;
-        wait_until("another call", || {
+        wait_until("another call is made", || {
             tried(discovery.counters()) > tried(before)
         });
     }
@@ -207,9 +211,10 @@
     wait_for_revision(&mut mixer, changed.revision);
 }
 
-/// Each region has versions of its own; together again, each mixer has all changes of both, without a complete list.
+/// Partitioned regions count their versions separately. After the partition, each mixer gets all changes of both regions without a
+/// complete list.
 #[test]
-fn regions_with_different_versions_meet_again() {
+fn partitioned_regions_exchange_their_changes_when_they_rejoin() {
     let all = servers(40);
     let mut regions = Regions::start(2, &all, Behavior::default()).unwrap();
     let mut mixers: Vec<HollowMixer> = regions
@@ -249,9 +254,9 @@
     assert_eq!(regions.counters().complete_lists, 2);
 }
 
-/// A change that is told late is in force no sooner; the time until then counts from when it could be told.
+/// A mixer doesn't apply a delayed change before discovery sends it; propagation time is counted from when it may be sent.
 #[test]
-fn a_late_change_is_in_force_no_sooner_than_it_is_told() {
+fn a_delayed_change_is_not_applied_before_it_is_sent() {
     let discovery = discovery(
         10,
         Behavior {
@@ -284,9 +289,9 @@
     stream
 }
 
-/// One that asks for list after list and reads nothing is closed; the others hear of the change.
+/// Discovery closes a connection that requests many lists and reads nothing; all other watchers receive the change.
 #[test]
-fn one_slow_watcher_among_860_is_closed_and_the_others_are_served() {
+fn one_slow_watcher_among_860_is_disconnected_and_the_others_are_served() {
     let discovery = discovery(2_000, Behavior::default());
     let address = discovery.addresses[0];
     let mut slow = watch(address, "");
@@ -295,8 +300,10 @@
     let mut watchers: Vec<TcpStream> = (0..859)
         .map(|_| watch(address, "?index=1&wait=60000"))
         .collect();
-    wait_until("all watch", || discovery.counters().watches == 859);
-    wait_until("the slow one is closed", || {
+    wait_until("all watches are open", || {
+        discovery.counters().watches == 859
+    });
+    wait_until("the slow connection is closed", || {
         discovery.counters().slow_closed == 1
     });
     discovery.publish(vec![advance_phase(&servers(1)[0])]);
@@ -320,16 +327,16 @@
     }
 }
 
-/// A process of mixers dies while their lists are half written; started again, all have the list.
+/// Mixers whose process is killed while their list is half sent get the complete list after a restart.
 #[test]
-fn mixers_killed_in_the_middle_of_a_list_come_back() {
+fn mixers_killed_while_receiving_a_list_recover() {
     let stall = Behavior {
         delivery: Delivery::StallAfter(20_000),
         ..Behavior::default()
     };
     let discovery = discovery(300, stall);
     let mut fleet = Fleet::start(fleet(&discovery, 6, 2)).unwrap();
-    wait_until("all have half a list", || {
+    wait_until("all mixers have half a list", || {
         discovery.counters().complete_lists >= 6
     });
     assert!(fleet
@@ -355,7 +362,7 @@
 }
 
 #[test]
-fn a_fleet_that_holds_too_much_memory_is_an_error() {
+fn a_fleet_that_uses_too_much_memory_fails() {
     let discovery = discovery(10, Behavior::default());
     let setup = FleetSetup {
         max_memory_bytes: 1_000_000,
@@ -369,7 +376,7 @@
 }
 
 #[test]
-fn a_version_that_never_comes_is_an_error() {
+fn waiting_for_a_version_that_is_never_published_fails() {
     let discovery = discovery(10, Behavior::default());
     let mut fleet = Fleet::start(fleet(&discovery, 2, 1)).unwrap();
     fleet.await_revisions(&[1], MAX_WAIT.as_secs_f64()).unwrap();
@@ -380,7 +387,7 @@
     );
 }
 
-/// A limit that makes no sense is rejected before anything starts, by its key.
+/// An invalid limit is rejected before any process starts, with an error that begins with its key.
 #[rstest]
 #[case::no_mixer("mixers", |setup: &mut FleetSetup| setup.mixers = 0)]
 #[case::too_many_mixers("mixers", |setup: &mut FleetSetup| setup.mixers = 2_001)]
@@ -392,11 +399,14 @@
 #[case::no_time("settings.ask_within_s", |setup: &mut FleetSetup| setup.settings.poll_within_s = 0.0)]
 #[case::no_targets("settings.target_factor", |setup: &mut FleetSetup| setup.settings.target_factor = -1.0)]
 #[case::no_cell("settings.cells", |setup: &mut FleetSetup| setup.settings.cells = 0)]
-fn bad_limits_are_named(#[case] key: &str, #[case] spoil: fn(&mut FleetSetup)) {
+fn an_invalid_limit_is_rejected_by_its_key(
+    #[case] key: &str,
+    #[case] break_limit: fn(&mut FleetSetup),
+) {
     let discovery = discovery(1, Behavior::default());
     let mut setup = fleet(&discovery, 4, 2);
     setup.program = "/nowhere".into();
-    spoil(&mut setup);
+    break_limit(&mut setup);
     let error = Fleet::start(setup).err().unwrap();
     assert!(
         error.to_string().starts_with(&format!("{key}: ")),
@@ -405,7 +415,7 @@
 }
 
 #[test]
-fn a_host_turns_down_what_it_does_not_understand() {
+fn a_host_process_rejects_invalid_input() {
     let run = |input: &str| host::run(input.as_bytes(), Vec::new());
     assert!(matches!(run(""), Err(HostError::Setup)));
     assert!(matches!(run("{}\n"), Err(HostError::Setup)));
@@ -423,7 +433,7 @@
 }
 
 #[test]
-fn a_host_process_ends_with_its_input() {
+fn a_host_process_exits_at_the_end_of_its_input() {
     let discovery = discovery(5, Behavior::default());
     let mut command = Command::new(env!("CARGO_BIN_EXE_wharfhub-testbed"));
     command
@@ -440,7 +450,9 @@
         "{{\"numbers\":[0],\"discovery\":\"{address}\",\"settings\":{settings},\"seed\":1}}"
     )
     .unwrap();
-    wait_until("the mixer asks", || discovery.counters().calls > 0);
+    wait_until("the mixer calls discovery", || {
+        discovery.counters().calls > 0
+    });
     drop(input);
     assert!(child.wait().unwrap().success());
 }
@@ -455,7 +467,7 @@
 };
 const NO_NEWS: Answer = Answer::Changes { since: 5 };
 
-/// What is answered at 10 s, having come at 9 s, with version 5 in force and versions from 3 on remembered.
+/// Answers at 10 s to a call that arrived at 9 s, while version 5 is current and the changes since version 3 are kept.
 #[rstest]
 #[case::complete_list(Call::CompleteList, 5, Some(Answer::CompleteList))]
 #[case::heartbeat(HEARTBEAT, 5, Some(NO_NEWS))]
@@ -463,7 +475,7 @@
 #[case::watch_with_news(WATCH, 6, Some(NO_NEWS))]
 #[case::from_too_long_ago(Call::Watch { since: 2, wait_s: 3.0 }, 5, Some(Answer::CompleteList))]
 #[case::of_another_discovery(Call::Watch { since: 9, wait_s: 3.0 }, 5, Some(Answer::CompleteList))]
-fn calls_are_answered_by_the_version_they_know(
+fn the_answer_to_a_call_depends_on_the_version_that_the_caller_has(
     #[case] call: Call,
     #[case] revision: u64,
     #[case] expected: Option<Answer>,
@@ -479,7 +491,7 @@
             .collect::<Vec<_>>()
     );
     assert_eq!(queue.watches(), usize::from(expected.is_none()));
-    // A watch without news is over when its time is.
+    // A watch without changes is answered at its timeout.
     let over = queue.poll(13.0, revision, |_| true);
     assert_eq!(
         over,
@@ -492,7 +504,7 @@
 }
 
 #[test]
-fn calls_take_turns_and_those_that_wait_too_long_fail() {
+fn calls_are_answered_in_order_and_fail_after_waiting_too_long() {
     let mut queue = CallQueue::new(0.5);
     (0..6).for_each(|key| queue.push(0.0, key, Call::CompleteList));
     assert_eq!(queue.next_due_at(), Some(0.5));
@@ -508,13 +520,13 @@
         [(2, served), (3, served), (4, failed), (5, failed)]
     );
     assert_eq!((queue.max_queued(), queue.next_due_at()), (6, None));
-    // The next one finds it idle again.
+    // The queue is idle again for the next call.
     queue.push(20.0, 7, Call::CompleteList);
     assert_eq!(queue.next_due_at(), Some(20.5));
 }
 
 #[test]
-fn a_line_predicts_the_size_that_was_kept_out() {
+fn a_linear_fit_predicts_a_size_that_was_not_fitted() {
     let points = [50.0, 100.0, 215.0, 430.0].map(|x| (x, 3.0 + 0.5 * x));
     let fit = LineFit::of(&points).unwrap();
     assert!((fit.base - 3.0).abs() < 1e-6 && (fit.slope - 0.5).abs() < 1e-9 && fit.residual < 1e-9);
@@ -524,7 +536,7 @@
 }
 
 #[test]
-fn propagation_counts_a_later_version_for_those_before_it() {
+fn a_later_version_counts_for_the_propagation_of_earlier_ones() {
     let published = [1, 2].map(|revision| Published {
         revision,
         at_us: revision * 1_000_000,
@@ -563,9 +575,9 @@
     );
 }
 
-/// A fleet is measured whole: each change comes into force at each mixer, by one answer and one call.
+/// In a measurement of a fleet, every mixer applies every change, at the cost of one answer and one call.
 #[test]
-fn a_measured_point_counts_two_messages_for_a_change_and_a_mixer() {
+fn a_measurement_counts_one_change_answer_per_change_and_mixer() {
     let load = Load {
         mixers: 4,
         servers: 30,
@@ -585,7 +597,7 @@
         (12, 0)
     );
     assert_eq!(point.start.complete_lists, 4);
-    // Beside the watches only heartbeats may tell a change again.
+    // Apart from the watches, only answers to heartbeats may contain a change again.
     assert!(
         (12..=12 + point.change.heartbeats).contains(&point.change.change_answers),
         "{point:?}"
--- a/crates/wharfhub-testbed/tests/scenarios.rs
+++ b/crates/wharfhub-testbed/tests/scenarios.rs
@@ -1,4 +1,5 @@
-//! Scenarios in virtual time with every fault, and scenarios on sockets: the rules hold, and a seed replays.
+//! Scenarios with all kinds of faults, in virtual time and on sockets: mixers must not violate any rule, and the same seed must
+//! repeat a run exactly.
 
 use rstest::rstest;
 use std::sync::{Arc, Mutex};
@@ -8,7 +9,8 @@
 use wharfhub_testbed::standin::{lock, open, Shared};
 use wharfhub_testbed::{daemon, emulator, load, tally};
 
-fn phased() -> Scenario {
+/// Returns a scenario with two-phase queries.
+fn two_phase() -> Scenario {
     let phases = Some("{\"classes\":[\"area-search\"]}".into());
     Scenario {
         seconds: 20.0,
@@ -19,17 +21,17 @@
     }
 }
 
-/// Whatever goes wrong, with phases on: not one rule breaks, words do prune, and the same seed does the same again.
+/// Two-phase queries under each fault: no rule is violated, pre-checks prune parts, and the same seed repeats the run.
 #[rstest]
-#[case::calm(Scenario { ..phased() })]
-#[case::all_slow(Scenario { load: 1.2, faults: vec![(5.0, 14.0, Fault::Slow(2.0))], ..phased() })]
-#[case::dead_and_cold_again(Scenario { faults: vec![(4.0, 9.0, Fault::Dead(0.25))], ..phased() })]
-#[case::silent(Scenario { faults: vec![(4.0, 12.0, Fault::Silent(0.25))], ..phased() })]
-#[case::all_silent(Scenario { faults: vec![(5.0, 8.0, Fault::Silent(1.0))], ..phased() })]
-#[case::fast_errors(Scenario { faults: vec![(4.0, 12.0, Fault::Fails(0.25, 0.8))], ..phased() })]
-#[case::drains(Scenario { faults: vec![(4.0, 9.0, Fault::Drain(0.25))], ..phased() })]
-#[case::mixed_fleet(Scenario { pre_check_share: 0.5, ..phased() })]
-#[case::clients_leave(Scenario { disconnecting_share: 0.3, ..phased() })]
+#[case::calm(Scenario { ..two_phase() })]
+#[case::all_slow(Scenario { load: 1.2, faults: vec![(5.0, 14.0, Fault::Slow(2.0))], ..two_phase() })]
+#[case::dead_and_cold_again(Scenario { faults: vec![(4.0, 9.0, Fault::Dead(0.25))], ..two_phase() })]
+#[case::silent(Scenario { faults: vec![(4.0, 12.0, Fault::Silent(0.25))], ..two_phase() })]
+#[case::all_silent(Scenario { faults: vec![(5.0, 8.0, Fault::Silent(1.0))], ..two_phase() })]
+#[case::fast_errors(Scenario { faults: vec![(4.0, 12.0, Fault::Fails(0.25, 0.8))], ..two_phase() })]
+#[case::drains(Scenario { faults: vec![(4.0, 9.0, Fault::Drain(0.25))], ..two_phase() })]
+#[case::mixed_fleet(Scenario { pre_check_share: 0.5, ..two_phase() })]
+#[case::clients_leave(Scenario { disconnecting_share: 0.3, ..two_phase() })]
 #[case::all_at_once(Scenario {
     load: 1.3,
     pre_check_share: 0.75,
@@ -41,9 +43,9 @@
         (6.0, 12.0, Fault::Fails(0.25, 0.6)),
         (10.0, 16.0, Fault::Silent(0.125)),
     ],
-    ..phased()
+    ..two_phase()
 })]
-fn the_rules_hold(#[case] scenario: Scenario) {
+fn mixers_with_two_phase_queries_violate_no_rule(#[case] scenario: Scenario) {
     for seed in 1..4 {
         let scenario = Scenario {
             seed,
@@ -68,7 +70,8 @@
     }
 }
 
-/// The same at the other kind of deployment: sets, calls of many parts, one attempt at a time, pauses, rooms that are lost.
+/// The same checks at the other deployment, with replica sets, calls of several parts, one attempt at a time, pauses and lost
+/// zones.
 #[rstest]
 #[case::quiet(0.4, vec![])]
 #[case::some_slow(0.6, vec![(4.0, 14.0, Fault::SomeSlow(0.2, 8.0))])]
@@ -83,7 +86,7 @@
     (5.0, 15.0, Fault::Pauses(0.3, 0.4, 3.0)),
     (6.0, 10.0, Fault::Burst(1.8)),
 ])]
-fn the_rules_hold_where_replicas_stand_in_sets(
+fn mixers_with_replica_sets_violate_no_rule(
     #[case] load: f64,
     #[case] faults: Vec<(f64, f64, Fault)>,
 ) {
@@ -117,10 +120,10 @@
     }
 }
 
-/// The judge sees each breach; without that, scenarios without any would mean nothing.
+/// The rule checker reports each kind of violation. Otherwise, runs without violations would prove nothing.
 #[test]
 #[expect(clippy::too_many_lines)]
-fn the_judge_sees_each_breach() {
+fn the_rule_checker_reports_each_violation() {
     let scenario = Scenario::default();
     let queries = scenario.queries();
     let area = queries
@@ -142,17 +145,17 @@
         },
         ..scenario.clone()
     };
-    let seen = |play: &dyn Fn(&mut RuleChecker)| {
+    let violations_of = |play: &dyn Fn(&mut RuleChecker)| {
         let mut rules = RuleChecker::new(&single, 0.0);
         rules.request_started("q1-0");
         play(&mut rules);
         rules.violations.join("; ")
     };
-    let complete = |rules: &mut RuleChecker, word: bool| {
+    let complete = |rules: &mut RuleChecker, pre_check: bool| {
         let value = |index: usize| {
             let shard = area.parts[index].shard;
             let leaf_server = scenario.holder(shard);
-            part_value("q1-0", shard, leaf_server, word)
+            part_value("q1-0", shard, leaf_server, pre_check)
         };
         let values: Vec<String> = (0..area.parts.len()).map(value).collect();
         let pieces = values
@@ -184,8 +187,8 @@
             1.0,
         );
     };
-    type Breach<'a> = (&'a str, Box<dyn Fn(&mut RuleChecker) + 'a>);
-    let breaches: Vec<Breach> = vec![
+    type Case<'a> = (&'a str, Box<dyn Fn(&mut RuleChecker) + 'a>);
+    let cases: Vec<Case> = vec![
         ("lost", Box::new(|rules| rules.finish())),
         (
             "second final",
@@ -276,20 +279,24 @@
             }),
         ),
     ];
-    for (name, play) in breaches {
-        let broken = seen(&*play);
-        assert!(broken.contains(name), "{name} is not seen: {broken:?}");
+    for (name, play) in cases {
+        let violations = violations_of(&*play);
+        assert!(
+            violations.contains(name),
+            "{name} is not reported: {violations:?}"
+        );
     }
     assert_eq!(
-        seen(&|rules| complete(rules, false)),
+        violations_of(&|rules| complete(rules, false)),
         "",
-        "a sound answer is no breach"
+        "a correct answer is not a violation"
     );
 }
 
-/// The daemon between clients and stand-ins of both styles, on sockets. No timing is asserted but the clients' own.
+/// Runs the daemon between clients and stand-ins of both protocols, on sockets. Only the timeouts of the clients are checked, with
+/// a tolerance, because the machine may be busy.
 #[test]
-fn a_short_scenario_on_sockets_breaks_no_rule() {
+fn a_short_scenario_on_sockets_violates_no_rule() {
     let program = daemon::program().unwrap();
     let scenario = Scenario {
         seconds: 2.0,
@@ -297,7 +304,7 @@
         leaf_servers: 6,
         mixers: 1,
         pre_check_share: 0.7,
-        ..phased()
+        ..two_phase()
     };
     let search = [1, 4];
     let shared = Arc::new(Shared {
@@ -321,5 +328,5 @@
     rules.finish();
     assert!(rules.violations.is_empty(), "{:?}", rules.violations);
     assert!(lock(&load.tally).requests[tally::ANSWERED] > 0);
-    assert!(lock(&shared.work).2 > 0, "nothing was asked ahead");
+    assert!(lock(&shared.work).2 > 0, "no pre-checks were sent");
 }
--- a/crates/wharfhub-testbed/tests/standin.rs
+++ b/crates/wharfhub-testbed/tests/standin.rs
@@ -11,7 +11,7 @@
 const SLOW_FACTOR: f64 = 20.0;
 const PART_S: f64 = 0.005;
 
-/// Opens the one leaf server of a scenario on which a part takes so long (seconds).
+/// Starts the only leaf server of a scenario; a part takes `part_s` seconds.
 fn open(part_s: f64, faults: Vec<(f64, f64, Fault)>) -> SocketAddr {
     let site = Site {
         layout: Layout::Ring(1, 1),
@@ -47,36 +47,40 @@
         work: Mutex::new((vec![0.0; scenario.site.classes.len()], 0, 0)),
         scenario,
     });
-    standin::open(&shared, 0, false).expect("a loopback port is free")
+    standin::open(&shared, 0, false).expect("cannot open a stand-in on a loopback port")
 }
 
-/// Sends the part as a mixer does; gives the answer and the time it took.
-fn ask(server: SocketAddr) -> (String, Duration) {
-    let mut stream = TcpStream::connect(server).expect("the leaf server listens");
+/// Sends a part in a frame, as a mixer does, and returns the answer and the latency.
+fn send_part(server: SocketAddr) -> (String, Duration) {
+    let mut stream = TcpStream::connect(server).expect("cannot connect to the leaf server");
     let rest = "qq0-0.0 0 d=9000 1\nx";
     let frame = [&(rest.len() as u32).to_be_bytes()[..], rest.as_bytes()].concat();
-    let asked = Instant::now();
-    stream.write_all(&frame).expect("the frame is taken");
+    let sent_at = Instant::now();
+    stream.write_all(&frame).expect("cannot send the frame");
     let mut head = [0; 4];
-    stream.read_exact(&mut head).expect("an answer begins");
+    stream
+        .read_exact(&mut head)
+        .expect("cannot read the length of the answer");
     let mut answer = vec![0; u32::from_be_bytes(head) as usize];
-    stream.read_exact(&mut answer).expect("the answer is whole");
+    stream
+        .read_exact(&mut answer)
+        .expect("cannot read the complete answer");
     (
-        String::from_utf8(answer).expect("the answer is text"),
-        asked.elapsed(),
+        String::from_utf8(answer).expect("the answer should be UTF-8"),
+        sent_at.elapsed(),
     )
 }
 
 #[test]
-fn a_part_that_takes_no_time_is_answered() {
-    let (answer, _) = ask(open(0.0, Vec::new()));
+fn a_part_without_work_is_answered() {
+    let (answer, _) = send_part(open(0.0, Vec::new()));
     assert!(answer.starts_with("aq0-0.0 served "), "{answer}");
 }
 
 #[test]
-fn a_server_that_a_trouble_slows_takes_as_many_times_as_long() {
+fn a_server_slowed_by_a_fault_takes_longer_by_the_factor() {
     let slow = (0.0, f64::MAX, Fault::SomeSlow(1.0, SLOW_FACTOR));
-    let (answer, took) = ask(open(PART_S, vec![slow]));
+    let (answer, took) = send_part(open(PART_S, vec![slow]));
     assert!(answer.starts_with("aq0-0.0 served "), "{answer}");
     assert!(took.as_secs_f64() >= PART_S * SLOW_FACTOR, "{took:?}");
 }
