--- a/crates/wharfhub-testbed/src/emulator/clients.rs
+++ b/crates/wharfhub-testbed/src/emulator/clients.rs
@@ -58,7 +58,7 @@
         self.rules.request_started(&id);
         let caller = (number as u64) << 8 | u64::from(retry);
         let mut accepted = None;
-        let asked_at = self.now;
+        let sent_at = self.now;
         // The coordinator may answer immediately, so its commands are executed only after the request is recorded as open.
         let mut commands = Vec::new();
         self.drive(mixer, |coordinator, now, out| {
@@ -71,7 +71,7 @@
             OpenRequest {
                 mixer,
                 request,
-                asked_at,
+                sent_at,
                 timeout_s,
             },
         );
@@ -87,7 +87,7 @@
         let Some(open) = self.open_requests.remove(&(number, retry)) else {
             return;
         };
-        let took_s = self.now - open.asked_at;
+        let took_s = self.now - open.sent_at;
         self.tally.requests[tally::CLIENT_LEFT] += 1;
         let query = &self.queries[number];
         let id = format!("q{number}-{retry}");
@@ -118,7 +118,7 @@
                 "answers: {id} got an answer although the request had ended"
             ));
         };
-        let took_s = self.now - open.asked_at;
+        let took_s = self.now - open.sent_at;
         let query = &self.queries[number];
         let outcome = request_outcome(&answer);
         self.rules
--- a/crates/wharfhub-testbed/src/emulator/faults.rs
+++ b/crates/wharfhub-testbed/src/emulator/faults.rs
@@ -10,7 +10,7 @@
 
 impl Emulator<'_> {
     /// Applies the beginning or the end of a fault.
-    pub(super) fn fault_changes(&mut self, number: usize, begins: bool) {
+    pub(super) fn apply_fault(&mut self, number: usize, begins: bool) {
         let scenario = self.scenario;
         let fault = &scenario.faults[number].2;
         let affected: Vec<u32> = match fault {
@@ -25,9 +25,9 @@
         }
         for leaf_server in &affected {
             if begins {
-                self.fault_begins(fault, *leaf_server);
+                self.begin_fault(fault, *leaf_server);
             } else {
-                self.fault_ends(fault, *leaf_server);
+                self.end_fault(fault, *leaf_server);
             }
         }
         for leaf_server in affected {
@@ -43,7 +43,7 @@
     }
 
     /// Applies the beginning of a fault to one of the affected leaf servers.
-    fn fault_begins(&mut self, fault: &Fault, leaf_server: u32) {
+    fn begin_fault(&mut self, fault: &Fault, leaf_server: u32) {
         let server = &mut self.leaf_servers[leaf_server as usize];
         match fault {
             Fault::Dead(_) => {
@@ -71,7 +71,7 @@
     }
 
     /// Applies the end of a fault to one of the affected leaf servers.
-    fn fault_ends(&mut self, fault: &Fault, leaf_server: u32) {
+    fn end_fault(&mut self, fault: &Fault, leaf_server: u32) {
         let server = &mut self.leaf_servers[leaf_server as usize];
         match fault {
             Fault::Dead(_) | Fault::ZoneLoss(..) => self.restart_server(leaf_server),
--- a/crates/wharfhub-testbed/src/emulator/leaf_servers.rs
+++ b/crates/wharfhub-testbed/src/emulator/leaf_servers.rs
@@ -32,8 +32,8 @@
         mut parts: Vec<CallPart>,
     ) -> Vec<AttemptKey> {
         let now = self.now;
-        let at = &mut self.mixers[mixer];
-        let Some(coordinator) = &at.coordinator else {
+        let sender = &mut self.mixers[mixer];
+        let Some(coordinator) = &sender.coordinator else {
             return Vec::new();
         };
         // Parts whose attempt has ended since the coordinator issued the call are not sent.
@@ -42,7 +42,7 @@
             return Vec::new();
         }
         let context = selection_context(&self.deployment, coordinator, now);
-        match at.pool.select(leaf_server, parts.len(), &context) {
+        match sender.pool.select(leaf_server, parts.len(), &context) {
             Selection::Open(connection) => {
                 self.send_on_connection(mixer, leaf_server, connection, parts)
             }
@@ -213,28 +213,28 @@
     /// Cancels an attempt that the mixer no longer waits for.
     pub(super) fn cancel_attempt(&mut self, mixer: usize, attempt: AttemptKey) {
         // An attempt that still waits for its connection is dropped when the connection is established.
-        let Some((leaf_server, connection, job)) = self.mixers[mixer].in_flight.remove(&attempt)
+        let Some((leaf_server, connection, number)) = self.mixers[mixer].in_flight.remove(&attempt)
         else {
             return;
         };
         let now = self.now;
-        let at = &mut self.mixers[mixer];
-        if let Some(coordinator) = &at.coordinator {
-            at.pool.attempt_abandoned(
+        let sender = &mut self.mixers[mixer];
+        if let Some(coordinator) = &sender.coordinator {
+            sender.pool.attempt_abandoned(
                 leaf_server,
                 connection,
                 attempt,
                 &selection_context(&self.deployment, coordinator, now),
             );
         }
-        if let Some(known) = self.jobs.get(&job) {
+        if let Some(job) = self.jobs.get(&number) {
             self.rules.attempt_over(
-                &known.query_request.id,
-                known.query_request.parts[known.index].shard,
+                &job.query_request.id,
+                job.query_request.parts[job.index].shard,
             );
-            let delay_s = known.delay_s;
+            let delay_s = job.delay_s;
             if !self.mixers[mixer].pool.is_silent(leaf_server, connection) {
-                self.schedule(now + delay_s, Event::CancelArrives(leaf_server, job));
+                self.schedule(now + delay_s, Event::CancelArrives(leaf_server, number));
             }
         }
     }
@@ -259,12 +259,12 @@
                 coordinator.attempt_ended(now, attempt, outcome, value, out)
             });
         }
-        let at = &self.mixers[mixer];
-        let Some(coordinator) = &at.coordinator else {
+        let receiver = &self.mixers[mixer];
+        let Some(coordinator) = &receiver.coordinator else {
             return;
         };
         // The leaf server answers, so if another of its connections has been silent for long, that connection is faulty.
-        for silent in at.pool.suspect_ids(
+        for silent in receiver.pool.suspect_ids(
             leaf_server,
             &selection_context(&self.deployment, coordinator, now),
             sent_at,
@@ -283,10 +283,10 @@
     ) {
         for attempt in self.mixers[mixer].pool.close(leaf_server, connection) {
             let flight = self.mixers[mixer].in_flight.remove(&attempt);
-            if let Some(known) = flight.and_then(|(_, _, job)| self.jobs.remove(&job)) {
+            if let Some(job) = flight.and_then(|(_, _, job)| self.jobs.remove(&job)) {
                 self.rules.attempt_over(
-                    &known.query_request.id,
-                    known.query_request.parts[known.index].shard,
+                    &job.query_request.id,
+                    job.query_request.parts[job.index].shard,
                 );
             }
             // Attempts that were not sent yet were not executed.
@@ -319,8 +319,8 @@
 
     /// Advances a leaf server to the current time, and answers the parts and handshakes that it has completed.
     pub(super) fn advance(&mut self, leaf_server: u32) {
-        let ended = self.leaf_servers[leaf_server as usize].advance(self.now, self.slowdown);
-        for task in ended {
+        let completed = self.leaf_servers[leaf_server as usize].advance(self.now, self.slowdown);
+        for task in completed {
             match task {
                 Task::Part(number) => self.part_completed(leaf_server, number),
                 Task::Handshake(mixer, incarnation, connection) => {
@@ -362,7 +362,7 @@
         }
     }
 
-    /// Handles one part of an arriving call. Rejections and errors are answered at once.
+    /// Handles one part of an incoming call. Rejections and errors are answered at once.
     pub(super) fn part_arrives(&mut self, leaf_server: u32, number: u64) {
         let Some(job) = self.jobs.get(&number) else {
             return;
@@ -372,7 +372,7 @@
         let work_s = part.work_s * self.work_share(job.pre_check);
         let (mixer, incarnation, connection, attempt) =
             (job.mixer, job.incarnation, job.connection, job.attempt);
-        let (id, sent_at, back) = (
+        let (id, sent_at, arrives_at) = (
             job.query_request.id.clone(),
             job.sent_at,
             self.now + job.delay_s,
@@ -385,7 +385,7 @@
             leaf_server,
             self.leaf_servers[leaf_server as usize].started_at,
         );
-        let arriving = IncomingJob {
+        let incoming = IncomingJob {
             job: task,
             work_s: work_s + job.call_work_s,
             nominal_work_s,
@@ -393,21 +393,21 @@
             sender_knows_start,
         };
         let draw: f64 = self.rng.random();
-        let arrival = self.leaf_servers[leaf_server as usize].arrive(self.now, arriving, draw);
+        let admission = self.leaf_servers[leaf_server as usize].arrive(self.now, incoming, draw);
         if matches!(
-            arrival,
+            admission,
             Admission::Accepted | Admission::Failed | Admission::Ignored
         ) {
             self.rules.part_ran(&id, part.shard, sent_at);
         }
-        let outcome = match arrival {
+        let outcome = match admission {
             Admission::Accepted => {
                 self.tally.work_s[self.queries[job.query].class] += work_s;
-                self.by_leaf_server[leaf_server as usize].insert(number);
+                self.jobs_by_server[leaf_server as usize].insert(number);
                 return;
             }
             Admission::Ignored => {
-                self.by_leaf_server[leaf_server as usize].insert(number);
+                self.jobs_by_server[leaf_server as usize].insert(number);
                 return;
             }
             Admission::QueueFull => Outcome::Rejected,
@@ -419,7 +419,7 @@
             number,
             (mixer, incarnation, connection),
             (attempt, outcome, None),
-            back,
+            arrives_at,
         );
     }
 
@@ -461,7 +461,7 @@
             self.leaf_servers[leaf_server as usize].fault,
             ServerFault::Silent | ServerFault::Lost
         );
-        self.by_leaf_server[leaf_server as usize].remove(&number);
+        self.jobs_by_server[leaf_server as usize].remove(&number);
         let Some(job) = self.jobs.get(&number).filter(|_| !silent) else {
             return;
         };
@@ -478,12 +478,18 @@
             job.pre_check,
         );
         let value = (outcome == Outcome::Ok).then(|| Rc::from(value));
-        let (to, back) = (
+        let (target, arrives_at) = (
             (job.mixer, job.incarnation, job.connection),
             self.now + job.delay_s,
         );
         let attempt = job.attempt;
-        self.send_answer(leaf_server, number, to, (attempt, outcome, value), back);
+        self.send_answer(
+            leaf_server,
+            number,
+            target,
+            (attempt, outcome, value),
+            arrives_at,
+        );
     }
 
     /// Handles the cancellation of a part at a leaf server.
@@ -495,11 +501,13 @@
             return;
         }
         self.advance(leaf_server);
-        if let Some(left_s) = self.leaf_servers[leaf_server as usize].cancel(Task::Part(number)) {
-            self.by_leaf_server[leaf_server as usize].remove(&number);
+        if let Some(remaining_s) =
+            self.leaf_servers[leaf_server as usize].cancel(Task::Part(number))
+        {
+            self.jobs_by_server[leaf_server as usize].remove(&number);
             if let Some(job) = self.jobs.remove(&number) {
                 self.tally.work_s[self.queries[job.query].class] -=
-                    (left_s - job.call_work_s).max(0.0);
+                    (remaining_s - job.call_work_s).max(0.0);
             }
         }
         self.schedule_next_event(leaf_server);
@@ -510,7 +518,7 @@
         self.advance(leaf_server);
         self.leaf_servers[leaf_server as usize].die();
         self.event_versions[leaf_server as usize] += 1;
-        self.by_leaf_server[leaf_server as usize].clear();
+        self.jobs_by_server[leaf_server as usize].clear();
         self.reset_connections(leaf_server);
     }
 
--- a/crates/wharfhub-testbed/src/emulator/mod.rs
+++ b/crates/wharfhub-testbed/src/emulator/mod.rs
@@ -149,7 +149,7 @@
 struct OpenRequest {
     mixer: usize,
     request: RequestKey,
-    asked_at: f64,
+    sent_at: f64,
     timeout_s: f64,
 }
 
@@ -182,7 +182,7 @@
     event_versions: Vec<u64>, // by leaf server: version of its valid `Progress` event
     jobs: BTreeMap<u64, Job>,
     last_job: u64,
-    by_leaf_server: Vec<BTreeSet<u64>>,
+    jobs_by_server: Vec<BTreeSet<u64>>,
     handshakes: u64,
     supports_pre_check: Vec<bool>,
     affected_servers: Vec<Vec<u32>>, // by fault
@@ -242,7 +242,7 @@
             event_versions: vec![0; scenario.leaf_servers as usize],
             jobs: BTreeMap::new(),
             last_job: 0,
-            by_leaf_server: vec![BTreeSet::new(); scenario.leaf_servers as usize],
+            jobs_by_server: vec![BTreeSet::new(); scenario.leaf_servers as usize],
             handshakes: 0,
             supports_pre_check,
             affected_servers: scenario.faults.iter().enumerate().map(affected).collect(),
@@ -275,10 +275,10 @@
     }
 
     fn new_coordinator(&self, number: u32, incarnation: u32) -> Coordinator {
-        let mut own = (*self.deployment).clone();
-        own.policy.zone = self.scenario.mixer_zone(number);
+        let mut deployment = (*self.deployment).clone();
+        deployment.policy.zone = self.scenario.mixer_zone(number);
         let seed = self.scenario.seed * 1000 + u64::from(number) + (u64::from(incarnation) << 40);
-        Coordinator::new(Rc::new(own), seed, self.now)
+        Coordinator::new(Rc::new(deployment), seed, self.now)
     }
 
     /// Schedules an event; a time in the past counts as now.
@@ -312,20 +312,25 @@
             self.schedule(START_S + from, Event::Fault(number, true));
             self.schedule(START_S + to, Event::Fault(number, false));
         }
-        // The emulation continues after the last query, until every query has been answered or has timed out.
+        // The emulation continues for 8 s after the last query, longer than the client timeouts of the operators' deployments, so
+        // that every query can end.
         let end = START_S + self.scenario.seconds + 8.0;
-        while let Some(Reverse(due)) = self.events.pop() {
-            self.now = due.at as f64 / 1e6;
+        while let Some(Reverse(next)) = self.events.pop() {
+            self.now = next.at as f64 / 1e6;
             if self.now > end {
                 break;
             }
-            self.handle_event(due.event);
+            self.handle_event(next.event);
         }
     }
 
     fn into_run(mut self) -> Run {
         self.rules.finish();
-        for _ in self.leaf_servers.iter().filter(|one| one.has_collapsed) {
+        for _ in self
+            .leaf_servers
+            .iter()
+            .filter(|server| server.has_collapsed)
+        {
             self.rules
                 .record_violation("cold: a leaf server was overloaded during slow start".into());
         }
@@ -357,14 +362,14 @@
     }
 
     /// Calls the coordinator of a mixer and executes its commands. Has no effect on a dead mixer.
-    fn drive(&mut self, mixer: usize, act: impl FnOnce(&mut Coordinator, f64, &mut Vec<Command>)) {
+    fn drive(&mut self, mixer: usize, call: impl FnOnce(&mut Coordinator, f64, &mut Vec<Command>)) {
         let Some(coordinator) = &mut self.mixers[mixer].coordinator else {
             return;
         };
         let mut commands = std::mem::take(&mut self.commands);
-        let begun = Instant::now();
-        act(coordinator, self.now, &mut commands);
-        self.mixers[mixer].cpu_ns += begun.elapsed().as_nanos() as u64;
+        let started = Instant::now();
+        call(coordinator, self.now, &mut commands);
+        self.mixers[mixer].cpu_ns += started.elapsed().as_nanos() as u64;
         loop {
             let unsent = self.execute_commands(mixer, &mut commands);
             let Some(coordinator) = self.mixers[mixer]
@@ -400,8 +405,8 @@
                                 | u64::from(part.query_request.parts[part.index].shard) << 1,
                         );
                     }
-                    let none = self.send_call(mixer, leaf_server, parts).into_iter();
-                    unsent.extend(none.map(|attempt| (attempt, Outcome::ConnectFailed)));
+                    let rejected = self.send_call(mixer, leaf_server, parts).into_iter();
+                    unsent.extend(rejected.map(|attempt| (attempt, Outcome::ConnectFailed)));
                 }
                 Command::Reply {
                     caller,
@@ -448,8 +453,8 @@
 
     fn handle_event(&mut self, event: Event) {
         match event {
-            Event::SendRequest(query, number) => self.send_request(query, number),
-            Event::ClientDisconnects(query, number) => self.client_disconnects(query, number),
+            Event::SendRequest(query, retry) => self.send_request(query, retry),
+            Event::ClientDisconnects(query, retry) => self.client_disconnects(query, retry),
             Event::Wake(mixer, incarnation, wake) if self.is_current(mixer, incarnation) => {
                 self.drive(mixer, |coordinator, now, out| {
                     coordinator.wake(now, wake, out)
@@ -502,7 +507,7 @@
             Event::Expired(..) => {}
             Event::CancelArrives(leaf_server, job) => self.cancel_arrives(leaf_server, job),
             Event::ListUpdate(mixer, entry) => self.list_update_arrives(mixer, entry),
-            Event::Fault(number, begins) => self.fault_changes(number, begins),
+            Event::Fault(number, begins) => self.apply_fault(number, begins),
             Event::Restart(leaf_server) => self.restart_server(leaf_server),
             Event::ConnectionGoesSilent => self.silence_random_connection(),
         }
@@ -537,13 +542,13 @@
 
     /// Stops a mixer. If its machine is lost too, its clients get no reset and wait until their timeout.
     fn mixer_dies(&mut self, mixer: usize, machine_lost: bool) {
-        let at = &mut self.mixers[mixer];
-        if at.coordinator.take().is_none() {
+        let dying = &mut self.mixers[mixer];
+        if dying.coordinator.take().is_none() {
             return;
         }
-        (at.incarnation, at.died_at) = (at.incarnation + 1, self.now);
-        at.pool = ConnectionPool::new(self.scenario.mixers, self.scenario.site.idle_timeout_s);
-        at.in_flight.clear();
+        (dying.incarnation, dying.died_at) = (dying.incarnation + 1, self.now);
+        dying.pool = ConnectionPool::new(self.scenario.mixers, self.scenario.site.idle_timeout_s);
+        dying.in_flight.clear();
         self.rules.mixer_died(mixer as u32);
         let interrupted: Vec<(usize, u32)> = self
             .open_requests
--- a/crates/wharfhub-testbed/src/load.rs
+++ b/crates/wharfhub-testbed/src/load.rs
@@ -2,7 +2,8 @@
 //!
 //! The open loop sends each query at its scheduled time, independently of earlier answers, and measures latency from the scheduled
 //! time; otherwise slow answers would hide the queueing that they cause (coordinated omission). Retries and timeouts follow the
-//! same rules as in the emulator. A closed loop with a single client is available for measurements of the cost of one query.
+//! same rules as in the emulator, but with the mean backoff instead of a random one. A closed loop with a single client is
+//! available for measurements of the cost of one query.
 
 use crate::rules::{self, AnswerPart, RequestOutcome};
 use crate::site::{Query, Scenario};
@@ -71,7 +72,7 @@
             let late = ((shared.now() - query.at).max(0.0) * 1e6) as u64;
             let _ = lock(&load.lateness).record(late.max(1));
             let load = &load;
-            scope.spawn(move || load.query(number, query));
+            scope.spawn(move || load.run_query(number, query));
         }
     });
     load
@@ -105,25 +106,25 @@
                 at: self.shared.now(),
                 ..self.shared.queries[number].clone()
             };
-            self.query(number, &query);
+            self.run_query(number, &query);
         }
     }
 
     /// Sends a query and its retries.
-    fn query(&self, number: usize, query: &Query) {
+    fn run_query(&self, number: usize, query: &Query) {
         let (shared, scenario) = (&self.shared, &self.shared.scenario);
         let class = &scenario.site.classes[query.class];
         for retry in 0.. {
             let id = format!("q{number}-{retry}");
-            let asked_at = if retry == 0 { query.at } else { shared.now() };
-            let timeout_s = query.at + query.timeout_s - asked_at;
+            let sent_at = if retry == 0 { query.at } else { shared.now() };
+            let timeout_s = query.at + query.timeout_s - sent_at;
             let mixer = (query.mixer + retry as usize) % self.mixers.len();
             lock(&shared.rules).request_started(&id);
             lock(&self.tally).requests[tally::TOTAL] += 1;
             let answer = self.send_request(mixer, &id, number, query, timeout_s);
-            let (took_s, since_s) = (shared.now() - asked_at, shared.now() - query.at);
+            let (took_s, since_s) = (shared.now() - sent_at, shared.now() - query.at);
             let mut retry_after_s = None;
-            let ended = match &answer {
+            let outcome = match &answer {
                 Ok(answer) if answer.status == 200 => {
                     match json::from_str::<AnswerJson>(&answer.body) {
                         Ok(body) => {
@@ -149,8 +150,8 @@
                     RequestOutcome::Abandoned
                 }
             };
-            lock(&shared.rules).request_ended(&id, query, &ended, took_s, timeout_s);
-            let kind = match ended {
+            lock(&shared.rules).request_ended(&id, query, &outcome, took_s, timeout_s);
+            let kind = match outcome {
                 RequestOutcome::Rejected(_) => tally::REFUSED,
                 RequestOutcome::Abandoned => tally::CLIENT_LEFT,
                 _ => tally::FAILED,
@@ -187,7 +188,7 @@
                 .iter()
                 .position(|part| part.shard == piece.tablet)
         };
-        let value = |piece: &PieceJson| emulator_value(scenario, id, piece.tablet, &piece.cell);
+        let value = |piece: &PieceJson| normalized_value(scenario, id, piece.tablet, &piece.cell);
         let parts: Vec<(usize, String)> = body
             .pieces
             .iter()
@@ -258,11 +259,11 @@
             body.len()
         );
         // The mixer may have closed an idle connection in the meantime; in that case the request is sent again on a new one.
-        let kept = lock(&self.pools[mixer]).pop();
-        if let Some(kept) = kept {
-            match self.exchange(kept, mixer, &request, timeout_s) {
+        let idle_stream = lock(&self.pools[mixer]).pop();
+        if let Some(idle_stream) = idle_stream {
+            match self.exchange(idle_stream, mixer, &request, timeout_s) {
                 Err(error) if !is_timeout(&error) => {}
-                ended => return ended,
+                result => return result,
             }
         }
         let stream = TcpStream::connect(self.mixers[mixer])?;
@@ -331,7 +332,7 @@
 /// Converts a part's value to the form of [`rules::part_value`]. A leaf server with the search API returns a list of hits, in which
 /// the id of the only hit is the value. An empty list is the answer to a pre-check; the list doesn't identify the leaf server, so
 /// any holder is assumed and only the correctness of the answer is checked.
-fn emulator_value(scenario: &Scenario, id: &str, shard: u32, cell: &str) -> String {
+fn normalized_value(scenario: &Scenario, id: &str, shard: u32, cell: &str) -> String {
     if cell.starts_with("{\"hits\":[],") {
         return rules::part_value(id, shard, scenario.holder(shard), true);
     }
--- a/crates/wharfhub-testbed/src/model.rs
+++ b/crates/wharfhub-testbed/src/model.rs
@@ -30,9 +30,9 @@
     pub slow_start_from: f64,
     /// Time from a start until the full capacity is reached (seconds).
     pub slow_start_s: f64,
-    /// Multiple of the current capacity above which arriving work overloads a server during slow start.
+    /// Multiple of the current capacity above which incoming work overloads a server during slow start.
     pub overload_multiple: f64,
-    /// Length of the window over which arriving work is compared with that limit (seconds).
+    /// Length of the window over which incoming work is compared with that limit (seconds).
     pub overload_window_s: f64,
     /// Whether the server stops cancelled jobs.
     pub cancels: bool,
@@ -202,24 +202,24 @@
     pub fn advance(&mut self, now: f64, slowdown: f64) -> Vec<J> {
         let done_s = (now - self.advanced_to).max(0.0) * self.rate(self.advanced_to, slowdown);
         self.advanced_to = self.advanced_to.max(now);
-        let mut ended = Vec::new();
-        for (left_s, _) in &mut self.running {
-            self.completed_work_s += done_s.min(*left_s);
-            *left_s -= done_s;
+        let mut completed = Vec::new();
+        for (remaining_s, _) in &mut self.running {
+            self.completed_work_s += done_s.min(*remaining_s);
+            *remaining_s -= done_s;
         }
-        self.running.retain(|(left_s, job)| {
-            let over = *left_s <= ROUNDING_S;
-            if over {
-                ended.push(*job);
+        self.running.retain(|(remaining_s, job)| {
+            let is_done = *remaining_s <= ROUNDING_S;
+            if is_done {
+                completed.push(*job);
             }
-            !over
+            !is_done
         });
-        self.begin();
-        ended
+        self.start_waiting_jobs();
+        completed
     }
 
     /// Moves waiting jobs to free slots.
-    fn begin(&mut self) {
+    fn start_waiting_jobs(&mut self) {
         while self.running.len() < self.setup.slots.max(self.setup.cores) {
             let Some(next) = self
                 .prioritized
@@ -235,35 +235,35 @@
     /// Returns the time at which [`LeafServer::advance`] must be called next if nothing else happens, or `None` if no job
     /// runs.
     pub fn next_event_at(&self, now: f64, slowdown: f64) -> Option<f64> {
-        let min_s = self
+        let shortest_s = self
             .running
             .iter()
-            .map(|(left_s, _)| *left_s)
+            .map(|(remaining_s, _)| *remaining_s)
             .reduce(f64::min)?;
         let rate = self.rate(now, slowdown);
         let ends_at = if rate > 0.0 {
-            now + min_s / rate
+            now + shortest_s / rate
         } else {
             f64::MAX
         };
-        let edge = self
-            .setup
-            .pauses
-            .map_or(f64::MAX, |pauses| match pauses.boundary(now) {
-                Ok(edge) | Err(edge) => edge,
-            });
-        Some(ends_at.min(edge).max(now) + EVENT_DELAY_S)
+        let pause_boundary =
+            self.setup
+                .pauses
+                .map_or(f64::MAX, |pauses| match pauses.boundary(now) {
+                    Ok(pause_boundary) | Err(pause_boundary) => pause_boundary,
+                });
+        Some(ends_at.min(pause_boundary).max(now) + EVENT_DELAY_S)
     }
 
     /// Handles the arrival of a job. `draw` is a random number from 0 to 1, which decides whether the job fails.
-    pub fn arrive(&mut self, now: f64, arriving: IncomingJob<J>, draw: f64) -> Admission {
+    pub fn arrive(&mut self, now: f64, incoming: IncomingJob<J>, draw: f64) -> Admission {
         let IncomingJob {
             job,
             work_s,
             nominal_work_s,
             is_prioritized,
             sender_knows_start,
-        } = arriving;
+        } = incoming;
         if self.fault == ServerFault::Dead {
             return Admission::Refused;
         }
@@ -294,7 +294,7 @@
             &mut self.waiting
         };
         queue.push_back((work_s, job));
-        self.begin();
+        self.start_waiting_jobs();
         Admission::Accepted
     }
 
@@ -302,7 +302,7 @@
     /// apply.
     pub fn add_priority_work(&mut self, job: J, work_s: f64) {
         self.prioritized.push_back((work_s, job));
-        self.begin();
+        self.start_waiting_jobs();
     }
 
     /// Cancels a job. Returns the work that is saved (core seconds), or `None` if the server does not stop cancelled jobs or
@@ -311,18 +311,18 @@
         if !self.setup.cancels {
             return None;
         }
-        let mut left = None;
-        let mut keep = |(left_s, other): &(f64, J)| {
+        let mut saved_s = None;
+        let mut keep = |(remaining_s, other): &(f64, J)| {
             if *other == job {
-                left = Some(*left_s);
+                saved_s = Some(*remaining_s);
             }
             *other != job
         };
         self.running.retain(&mut keep);
         self.prioritized.retain(&mut keep);
         self.waiting.retain(&mut keep);
-        self.begin();
-        left
+        self.start_waiting_jobs();
+        saved_s
     }
 
     /// Records an arrival and returns whether it overloads the server during slow start. All work that arrived within the window
--- a/crates/wharfhub-testbed/src/rules.rs
+++ b/crates/wharfhub-testbed/src/rules.rs
@@ -1,7 +1,7 @@
 //! Checker of the mixer's behaviour, used by every run in virtual time and on sockets.
 //!
 //! The checker relies only on messages between clients, mixers and leaf servers and on the scenario itself, never on the mixer's
-//! own state: an error in the mixer must not hide itself.
+//! own state, so that an error in that state can't hide a violation.
 
 use crate::site::{Query, Scenario};
 use std::collections::BTreeMap;
@@ -85,10 +85,10 @@
     }
 
     /// Records a violation.
-    pub fn record_violation(&mut self, what: String) {
+    pub fn record_violation(&mut self, description: String) {
         self.violation_count += 1;
         if self.violations.len() < MAX_RECORDED_VIOLATIONS {
-            self.violations.push(what);
+            self.violations.push(description);
         }
     }
 
@@ -129,12 +129,14 @@
     ) {
         let (shard, pre_check) = sent;
         let class = self.scenario.site.classes[query.class].clone();
-        if let Some(notified) = self
-            .unavailable_since
-            .get(&(mixer, leaf_server))
-            .filter(|notified| now > **notified + self.scenario.site.drain_grace_s + self.slack_s)
+        if let Some(notified_at) =
+            self.unavailable_since
+                .get(&(mixer, leaf_server))
+                .filter(|notified_at| {
+                    now > **notified_at + self.scenario.site.drain_grace_s + self.slack_s
+                })
         {
-            let late = now - notified;
+            let late = now - notified_at;
             self.record_violation(format!(
                 "drain: {id}.{shard} was sent to leaf server {leaf_server} {late:.3} s after the notification"
             ));
@@ -151,15 +153,16 @@
             ));
         }
         let slack_s = self.slack_s;
-        let (safe, window_s, name) = (class.is_retryable(), class.dedup_window_s, class.name);
+        let (is_retryable, window_s, name) =
+            (class.is_retryable(), class.dedup_window_s, class.name);
         let entry = self.requests.entry(id.to_string()).or_default();
-        let (over, sends) = (entry.ended, entry.parts.entry(shard).or_default());
-        let after_s = sends.may_run_since.map_or(0.0, |first| now - first);
-        let late = !safe && after_s > window_s + slack_s;
-        sends.attempts += 1;
-        sends.in_flight += 1;
-        let (attempts, in_flight) = (sends.attempts, sends.in_flight);
-        if over {
+        let (has_ended, part) = (entry.ended, entry.parts.entry(shard).or_default());
+        let after_s = part.may_run_since.map_or(0.0, |first| now - first);
+        let late = !is_retryable && after_s > window_s + slack_s;
+        part.attempts += 1;
+        part.in_flight += 1;
+        let (attempts, in_flight) = (part.attempts, part.in_flight);
+        if has_ended {
             self.record_violation(format!(
                 "ended: {id}.{shard} was sent after the final answer"
             ));
@@ -185,18 +188,18 @@
         if let Some(part) = self
             .requests
             .get_mut(id)
-            .and_then(|one| one.parts.get_mut(&shard))
+            .and_then(|request| request.parts.get_mut(&shard))
         {
             part.in_flight = part.in_flight.saturating_sub(1);
         }
     }
 
-    /// Records that a leaf server accepted an attempt that was sent at `sent_at`, so the part may be executed.
+    /// Records that a leaf server got an attempt that was sent at `sent_at` and did not reject it, so the part may be executed.
     pub fn part_ran(&mut self, id: &str, shard: u32, sent_at: f64) {
         let part = self
             .requests
             .get_mut(id)
-            .and_then(|one| one.parts.get_mut(&shard));
+            .and_then(|request| request.parts.get_mut(&shard));
         if let Some(part) = part {
             part.may_run_since = Some(
                 part.may_run_since
@@ -215,30 +218,30 @@
         &mut self,
         id: &str,
         query: &Query,
-        ended: &RequestOutcome,
+        outcome: &RequestOutcome,
         took_s: f64,
         timeout_s: f64,
     ) {
         let entry = self.requests.entry(id.to_string()).or_default();
-        let ran = entry
+        let may_have_run = entry
             .parts
             .values()
             .any(|part| part.may_run_since.is_some());
-        let again = std::mem::replace(&mut entry.ended, true);
+        let already_ended = std::mem::replace(&mut entry.ended, true);
         let class = self.scenario.site.classes[query.class].clone();
-        if again {
+        if already_ended {
             return self.record_violation(format!("answers: {id} got a second final answer"));
         }
-        if took_s > timeout_s + self.slack_s && !matches!(ended, RequestOutcome::Abandoned) {
+        if took_s > timeout_s + self.slack_s && !matches!(outcome, RequestOutcome::Abandoned) {
             self.record_violation(format!(
                 "time: {id} was answered after {took_s:.3} s, with a timeout of {timeout_s:.3} s"
             ));
         }
-        match ended {
-            RequestOutcome::Answered(complete, pieces) => {
-                let share: f64 = pieces
+        match outcome {
+            RequestOutcome::Answered(complete, parts) => {
+                let share: f64 = parts
                     .iter()
-                    .map(|piece| query.parts[piece.index].weight)
+                    .map(|answer| query.parts[answer.index].weight)
                     .sum();
                 if share + WEIGHT_SUM_TOLERANCE < class.min_share {
                     self.record_violation(format!(
@@ -249,11 +252,11 @@
                         "whole: {id} was marked complete with a share of {share:.3}"
                     ));
                 }
-                for piece in pieces {
-                    self.check_value(id, query, piece);
+                for answer in parts {
+                    self.check_value(id, query, answer);
                 }
             }
-            RequestOutcome::Rejected(_) if !class.is_retryable() && ran => {
+            RequestOutcome::Rejected(_) if !class.is_retryable() && may_have_run => {
                 self.record_violation(format!(
                     "refusal: {id} of {} was rejected after a leaf server had accepted a part",
                     class.name
@@ -265,22 +268,22 @@
 
     /// Checks that a value comes from a leaf server that holds the shard and belongs to this request, and that a pre-check
     /// without a match is correct.
-    fn check_value(&mut self, id: &str, query: &Query, piece: &AnswerPart) {
-        let part = query.parts[piece.index];
-        let pre_check = piece.value.ends_with(" none");
-        let leaf_server = piece
+    fn check_value(&mut self, id: &str, query: &Query, answer: &AnswerPart) {
+        let part = query.parts[answer.index];
+        let pre_check = answer.value.ends_with(" none");
+        let leaf_server = answer
             .value
             .split('@')
             .nth(1)
             .and_then(|rest| rest.split(' ').next()?.parse::<u32>().ok());
         let is_genuine = leaf_server.is_some_and(|leaf_server| {
             self.scenario.holds(leaf_server, part.shard)
-                && piece.value == part_value(id, part.shard, leaf_server, pre_check)
+                && answer.value == part_value(id, part.shard, leaf_server, pre_check)
         });
         if !is_genuine {
             self.record_violation(format!(
                 "value: {id}.{} was answered with {:?}",
-                part.shard, piece.value
+                part.shard, answer.value
             ));
         } else if pre_check && part.matches {
             self.record_violation(format!(
@@ -308,7 +311,7 @@
         let lost: Vec<String> = self
             .requests
             .iter()
-            .filter(|(_, one)| !one.ended)
+            .filter(|(_, request)| !request.ended)
             .map(|(id, _)| id.clone())
             .collect();
         for id in lost {
--- a/crates/wharfhub-testbed/src/site/mod.rs
+++ b/crates/wharfhub-testbed/src/site/mod.rs
@@ -50,7 +50,7 @@
 /// Placement of shards on leaf servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Layout {
-    /// Each leaf server is a cell of its own. Parameters: shards per cell, and consecutive cells that hold a shard.
+    /// Each leaf server is a cell of its own. Parameters: shards that begin at a cell, and consecutive cells that hold a shard.
     Ring(u32, u32),
     /// The leaf servers form replica sets, each of which is a cell. Parameters: shards per set, and leaf servers per set, which are
     /// in different zones.
--- a/crates/wharfhub-testbed/src/site/queries.rs
+++ b/crates/wharfhub-testbed/src/site/queries.rs
@@ -77,7 +77,7 @@
     }
 }
 
-/// Returns the index of the share into which a draw from 0 to 1 falls, or `None` if the draw is beyond the last because of rounding.
+/// Returns the index of the share into which a draw from 0 to 1 falls, or `None` if rounding puts the draw beyond the last share.
 fn index_by_share(mut draw: f64, mut shares: impl Iterator<Item = f64>) -> Option<usize> {
     shares.position(|share| {
         draw -= share;
--- a/crates/wharfhub-testbed/src/site/scenario.rs
+++ b/crates/wharfhub-testbed/src/site/scenario.rs
@@ -17,7 +17,7 @@
     Dead(f64),
     /// Some leaf servers send no answers: share.
     Silent(f64),
-    /// Some leaf servers answer a part of their parts with an immediate error: share of the servers, share of the parts.
+    /// Some leaf servers answer some parts with an immediate error: share of the servers, share of their parts.
     Fails(f64, f64),
     /// Some leaf servers drain, terminate at the end of the fault, and restart with slow start: share.
     Drain(f64),
--- a/crates/wharfhub-testbed/src/standin.rs
+++ b/crates/wharfhub-testbed/src/standin.rs
@@ -22,7 +22,9 @@
 
 /// Locks a mutex even if a thread has panicked while holding it.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(|broken| broken.into_inner())
+    mutex
+        .lock()
+        .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
 fn invalid() -> io::Error {
@@ -69,13 +71,13 @@
     shard: u32,
     matches: bool,
     pre_check: bool,
-    search: bool,
+    is_search: bool,
 }
 
 struct State {
     model: LeafServer<u64>,
     accepted: BTreeMap<u64, AcceptedPart>,
-    last: u64,
+    last_job: u64,
     rng: ChaCha8Rng,
 }
 
@@ -89,7 +91,7 @@
 
 /// Starts a stand-in, with the search API or else the frame protocol, and returns its address. Its threads run until the process
 /// ends.
-pub fn open(shared: &Arc<Shared>, number: u32, search: bool) -> io::Result<SocketAddr> {
+pub fn open(shared: &Arc<Shared>, number: u32, is_search: bool) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
     let mut model = LeafServer::new(shared.scenario.leaf_server_setup(number));
@@ -97,7 +99,7 @@
     let state = State {
         model,
         accepted: BTreeMap::new(),
-        last: 0,
+        last_job: 0,
         rng: shared.scenario.rng(1000 + u64::from(number)),
     };
     let stand_in = Arc::new(StandIn {
@@ -106,8 +108,8 @@
         state: Mutex::new(state),
         changed: Condvar::new(),
     });
-    let ending = stand_in.clone();
-    std::thread::spawn(move || ending.end_jobs());
+    let worker = stand_in.clone();
+    std::thread::spawn(move || worker.complete_jobs());
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let stand_in = stand_in.clone();
@@ -115,7 +117,7 @@
                 // Invalid input closes the connection, as at a real leaf server.
                 let _ = stream
                     .set_nodelay(true)
-                    .and_then(|()| stand_in.serve(stream, search));
+                    .and_then(|()| stand_in.serve(stream, is_search));
             });
         }
     });
@@ -136,11 +138,11 @@
 }
 
 impl StandIn {
-    fn serve(&self, stream: TcpStream, search: bool) -> io::Result<()> {
+    fn serve(&self, stream: TcpStream, is_search: bool) -> io::Result<()> {
         let out = Arc::new(Mutex::new(stream.try_clone()?));
         let mut reader = BufReader::new(stream);
         loop {
-            if search {
+            if is_search {
                 self.read_request(&mut reader, &out)?;
             } else {
                 self.read_frame(&mut reader, &out)?;
@@ -171,7 +173,7 @@
                 return Err(invalid());
             };
             let length: usize = length.parse().map_err(|_| invalid())?;
-            let pre_check = list.split(',').any(|word| word == "p=1");
+            let pre_check = list.split(',').any(|field| field == "p=1");
             self.accept_part(
                 id,
                 (pre_check, std::mem::take(&mut call_work_s)),
@@ -220,13 +222,13 @@
         self.accept_part(id, (pre_check, 0.0), true, out)
     }
 
-    /// Handles the arrival of a part. `id` has the form `ID.SHARD`, where ID contains the number of the query. `call_work_s` is the
-    /// fixed work of the call, which is charged to the first part of each call.
+    /// Handles the arrival of a part. `id` is the request id, a dot and the shard. `call_work_s` is the fixed work of the call,
+    /// which is charged to the first part of each call.
     fn accept_part(
         &self,
         id: &str,
         (pre_check, call_work_s): (bool, f64),
-        search: bool,
+        is_search: bool,
         out: &Arc<Mutex<TcpStream>>,
     ) -> io::Result<()> {
         let (id, shard) = id.rsplit_once('.').ok_or_else(invalid)?;
@@ -250,23 +252,23 @@
         let work_s = part.work_s * work_share;
         let mut state = lock(&self.state);
         self.advance(&mut state, now);
-        state.last += 1;
+        state.last_job += 1;
         let draw = state.rng.random();
-        let arriving = IncomingJob {
-            job: state.last,
+        let incoming = IncomingJob {
+            job: state.last_job,
             work_s: work_s + call_work_s,
             nominal_work_s: scenario.site.classes[query.class].work_s + call_work_s,
             is_prioritized: pre_check && scenario.pre_check_first,
             sender_knows_start: true,
         };
-        let admission = state.model.arrive(now, arriving, draw);
+        let admission = state.model.arrive(now, incoming, draw);
         let accepted = AcceptedPart {
             stream: out.clone(),
             id: id.into(),
             shard,
             matches: part.matches,
             pre_check,
-            search,
+            is_search,
         };
         self.count(now, &accepted, admission, query.class, work_s);
         self.handle_admission(now, &mut state, admission, accepted)
@@ -311,7 +313,7 @@
     ) -> io::Result<()> {
         match admission {
             Admission::Accepted => {
-                let job = state.last;
+                let job = state.last_job;
                 state.accepted.insert(job, part);
                 // Jobs that take no time are completed at once.
                 self.advance(state, now);
@@ -331,14 +333,14 @@
     fn cancel(&self, id: &str, out: &Arc<Mutex<TcpStream>>) {
         let mut state = lock(&self.state);
         self.advance(&mut state, self.shared.now());
-        let same = |accepted: &AcceptedPart| {
+        let is_same = |accepted: &AcceptedPart| {
             Arc::ptr_eq(&accepted.stream, out)
                 && format!("{}.{}", accepted.id, accepted.shard) == id
         };
         let Some(job) = state
             .accepted
             .iter()
-            .find(|(_, accepted)| same(accepted))
+            .find(|(_, accepted)| is_same(accepted))
             .map(|(job, _)| *job)
         else {
             return;
@@ -367,7 +369,7 @@
     }
 
     /// Completes jobs at their time; runs in a thread of its own.
-    fn end_jobs(&self) {
+    fn complete_jobs(&self) {
         let mut state = lock(&self.state);
         loop {
             let now = self.shared.now();
@@ -380,47 +382,50 @@
                     let wait = Duration::from_secs_f64((at - now).clamp(1e-5, 1.0));
                     match self.changed.wait_timeout(state, wait) {
                         Ok((state, _)) => state,
-                        Err(broken) => broken.into_inner().0,
+                        Err(poisoned) => poisoned.into_inner().0,
                     }
                 }
                 None => self
                     .changed
                     .wait(state)
-                    .unwrap_or_else(|broken| broken.into_inner()),
+                    .unwrap_or_else(|poisoned| poisoned.into_inner()),
             };
         }
     }
 
     /// Writes an answer. Errors are ignored, because the mixer may have closed the connection.
-    fn answer(&self, accepted: &AcceptedPart, end: &str) {
+    fn answer(&self, accepted: &AcceptedPart, result: &str) {
         let value = rules::part_value(
             &accepted.id,
             accepted.shard,
             self.number,
             accepted.pre_check,
         );
-        let bytes = if accepted.search {
-            search_answer(accepted, end, &value)
+        let bytes = if accepted.is_search {
+            search_answer(accepted, result, &value)
         } else {
-            frame_answer(accepted, end, &value)
+            frame_answer(accepted, result, &value)
         };
         let _ = lock(&accepted.stream).write_all(&bytes);
     }
 }
 
-fn frame_answer(accepted: &AcceptedPart, end: &str, value: &str) -> Vec<u8> {
-    let (end, value) = match (end, accepted.pre_check) {
+fn frame_answer(accepted: &AcceptedPart, result: &str, value: &str) -> Vec<u8> {
+    let (result, value) = match (result, accepted.pre_check) {
         ("served", true) => ("none", value),
         ("served", false) => ("served", value),
-        (end, _) => (end, ""),
+        (result, _) => (result, ""),
     };
-    let rest = format!("a{}.{} {end} 0 qps=1\n{value}", accepted.id, accepted.shard);
+    let rest = format!(
+        "a{}.{} {result} 0 qps=1\n{value}",
+        accepted.id, accepted.shard
+    );
     [&(rest.len() as u32).to_be_bytes()[..], rest.as_bytes()].concat()
 }
 
-fn search_answer(accepted: &AcceptedPart, end: &str, value: &str) -> Vec<u8> {
+fn search_answer(accepted: &AcceptedPart, result: &str, value: &str) -> Vec<u8> {
     let shards = "\"_shards\":{\"total\":1,\"successful\":1,\"skipped\":0,\"failed\":0}";
-    let (status, body) = match (end, accepted.pre_check) {
+    let (status, body) = match (result, accepted.pre_check) {
         ("skipped", _) => (
             "429 Too Many Requests",
             "{\"error\":{},\"status\":429}".to_string(),
--- a/crates/wharfhub-testbed/tests/scenarios.rs
+++ b/crates/wharfhub-testbed/tests/scenarios.rs
@@ -65,7 +65,7 @@
         assert_eq!(
             emulator::run(&scenario).unwrap().digest,
             run.digest,
-            "seed {seed} does not replay"
+            "seed {seed} does not repeat the run"
         );
     }
 }
@@ -115,7 +115,7 @@
         assert_eq!(
             emulator::run(&scenario).unwrap().digest,
             run.digest,
-            "seed {seed} does not replay"
+            "seed {seed} does not repeat the run"
         );
     }
 }
