--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: prices, quotas, predicted latencies and congestion.
+//! Tests of admission: prices, quotas, predicted latencies and congestion.
 
 use crate::common::*;
 use wharfhub::decisions::api::*;
@@ -7,15 +7,15 @@
 const OK: Outcome = Outcome::Ok;
 
 #[test]
-fn an_idle_fleet_rejects_nothing() {
+fn no_query_is_rejected_while_the_replicas_are_idle() {
     let mut driver = Driver::new(settings(class()), &[replica(1), replica(2)]);
     for id in 1..200 {
         assert!(!rejected(&driver.round_trip(id, 0, 0.05)));
     }
 }
 
-/// Answers that come ever later raise the price; some queries are then rejected before any part is sent, and the price falls
-/// again within the time that the docs state.
+/// Slow answers raise the price, and some queries are then rejected before any of their parts is sent. The price falls again
+/// within the documented time, for which the test allows 45 s.
 #[test]
 fn delay_raises_a_price_that_rejects_whole_queries_and_falls_again() {
     let mut driver = Driver::new(settings(class()), &[replica(1)]);
@@ -27,7 +27,10 @@
         let out = driver.round_trip(id, 0, 0.48);
         if rejected(&out) {
             rejections += 1;
-            assert!(sends(&out).is_empty(), "a rejected query was sent: {out:?}");
+            assert!(
+                sends(&out).is_empty(),
+                "parts of a rejected query were sent: {out:?}"
+            );
         }
     }
     assert!(rejections > 5, "{rejections} rejected");
@@ -35,13 +38,13 @@
     for id in 100..150 {
         assert!(
             !rejected(&driver.round_trip(id, 0, 0.05)),
-            "the price did not fall"
+            "the price has not fallen"
         );
     }
 }
 
 #[test]
-fn a_query_pays_the_price_of_its_most_expensive_shard() {
+fn a_query_is_admitted_at_the_price_of_its_most_expensive_shard() {
     let mut two_cells = settings(class());
     two_cells.cells = 2;
     let far = ReplicaEntry {
@@ -52,12 +55,12 @@
     for id in 1..30 {
         driver.round_trip(id, id % 2, 0.05);
     }
-    let (mut cheap, mut expensive) = (0, 0);
+    let (mut cheap_rejections, mut expensive_rejections) = (0, 0);
     for id in 30..200 {
         driver.round_trip(id, 1, 0.48);
-        cheap += usize::from(rejected(&driver.round_trip(1000 + id, 0, 0.05)));
+        cheap_rejections += usize::from(rejected(&driver.round_trip(1000 + id, 0, 0.05)));
         let both = driver.query(2000 + id, &[0, 1], 3.0);
-        expensive += usize::from(rejected(&both));
+        expensive_rejections += usize::from(rejected(&both));
         for (part, replica) in sends(&both) {
             driver.end(
                 part,
@@ -68,8 +71,8 @@
             );
         }
     }
-    assert_eq!(cheap, 0);
-    assert!(expensive > 5, "{expensive}");
+    assert_eq!(cheap_rejections, 0);
+    assert!(expensive_rejections > 5, "{expensive_rejections} rejected");
 }
 
 #[test]
@@ -82,18 +85,18 @@
     driver.round_trip(1, 0, 0.05);
     assert!(
         rejected(&driver.query_of(0, 2, &[0], 1.9, true)),
-        "1.1 s old, objective 1 s"
+        "the first try is 1.1 s old and the objective 1 s"
     );
     assert!(
         !rejected(&driver.query_of(0, 3, &[0], 2.5, true)),
-        "half a second old"
+        "the first try is 0.5 s old"
     );
 }
 
-/// At size an aggregator gets too few answers of each replica to read its delay (here one a second): their last latencies
-/// reject queries all the same.
+/// In a large deployment an aggregator gets too few answers from each replica for a reading of its delay (here one answer per
+/// second). Queries are then rejected because of the last known latencies.
 #[test]
-fn known_latencies_reject_where_no_replica_has_enough_answers_for_a_reading() {
+fn known_latencies_reject_queries_where_no_replica_has_enough_answers_for_a_reading() {
     let replicas: Vec<_> = (1..11).map(replica).collect();
     let mut driver = Driver::new(settings(class()), &replicas);
     for id in 1..200 {
@@ -111,11 +114,11 @@
     assert!(rejections > 10, "{rejections} rejected");
 }
 
-/// Latencies of a while ago are no reason to reject: in a large fleet one slow answer of each replica would otherwise reject
-/// queries until the next answer, and rejected queries bring none.
+/// A known latency loses its influence on the price with time. Otherwise, in a large fleet, one slow answer from each replica
+/// would cause rejections until the next answer, and rejected queries bring no answers.
 #[test]
-fn an_old_latency_no_longer_rejects() {
-    let rejections = |timeout_s: f64| {
+fn an_old_latency_no_longer_rejects_queries() {
+    let rejections = |pause_s: f64| {
         let mut driver = Driver::new(settings(class()), &[replica(1), replica(2)]);
         for id in 1..40 {
             for (part, at) in sends(&driver.query(id, &[0], 3.0)) {
@@ -124,7 +127,7 @@
             }
         }
         let ask = |id: u32| {
-            driver.pass(timeout_s);
+            driver.pass(pause_s);
             let out = driver.query(1000 + id, &[0], 3.0);
             sends(&out)
                 .iter()
@@ -136,14 +139,15 @@
     let (at_once, later) = (rejections(0.0), rejections(6.0));
     assert!(
         at_once > 30 && later < 10,
-        "rejected at once {at_once}, after a while {later}"
+        "{at_once} rejected without pauses, {later} with pauses of 6 s"
     );
 }
 
-/// Found in a fleet of 100 aggregators and 60 replicas: each was answered by a replica every few seconds, and its last slow
-/// answer rejected queries long after the others' answers had shown that the congestion was over.
+/// Guards against a failure seen with 100 aggregators and 60 replicas: each aggregator was answered by a given replica only
+/// every few seconds, and the last slow answer of that replica caused rejections long after answers of the other replicas
+/// had shown that the congestion was over.
 #[test]
-fn congestion_that_other_replicas_show_to_be_over_rejects_nothing() {
+fn no_query_is_rejected_once_other_replicas_show_that_congestion_is_over() {
     let many = Settings {
         cells: 20,
         ..settings(class())
@@ -171,25 +175,27 @@
             .count()
     };
     for id in 130..160 {
-        driver.round_trip(id, id % 10, 0.05); // half of them answer, and are fast again
+        driver.round_trip(id, id % 10, 0.05); // half of the replicas answer, and are fast again
     }
     assert_eq!(rejections(&mut driver, 200), 0);
 }
 
-/// Found in retry storms: tries whose clients leave before an answer is likely only feed the storm.
+/// Guards against a failure seen in retry storms: tries whose clients disconnect before an answer is likely only add to the
+/// load.
 #[test]
 fn a_try_whose_client_will_not_wait_long_enough_is_rejected() {
     let mut driver = Driver::new(settings(class()), &[replica(1)]);
     for id in 1..30 {
         driver.round_trip(id, 0, 0.3);
     }
-    let hasty = driver.query(100, &[0], 0.25);
-    assert!(rejected(&hasty) && sends(&hasty).is_empty());
+    let short_query = driver.query(100, &[0], 0.25);
+    assert!(rejected(&short_query) && sends(&short_query).is_empty());
     assert!(!rejected(&driver.query(101, &[0], 3.0)));
 }
 
-/// Found at Szeged as capacity was lost: an answer shows the queue that its part met, one latency ago. By then twice as much
-/// was in flight, and 47% of what was admitted came late.
+/// An answer shows the queue at the time at which its part was sent, one latency ago. Guards against a failure seen at Szeged
+/// while capacity was lost: by the time of the answers twice as many attempts were in flight, and 47% of the admitted
+/// queries were answered late.
 #[test]
 fn attempts_in_flight_count_before_any_answer_shows_their_queue() {
     let class = ClassSettings {
@@ -215,15 +221,16 @@
     assert_eq!(
         rejections(200..202, &mut driver),
         0,
-        "no more is in flight than when the answered ones were sent"
+        "no more attempts are in flight than when the answered ones were sent"
     );
     assert!(
         rejections(300..340, &mut driver) > 8,
-        "no answer has come, but the queue has grown"
+        "no answer has arrived, but the queue has grown"
     );
 }
 
-/// Found in a release under load: that holders are in slow start is no sign that a query would be late.
+/// Guards against a failure seen during a release under load: queries were rejected because their holders were in slow start,
+/// which does not mean that the answers would be late.
 #[test]
 fn holders_in_slow_start_are_no_reason_to_reject() {
     let mut driver = warm_fleet(Settings {
@@ -247,7 +254,8 @@
     assert_eq!(rejections, 0);
 }
 
-/// A burst or a retry storm of one tenant costs that tenant: beyond its quota its queries draw fewer tokens.
+/// Queries of a tenant beyond its quota draw fewer tokens, so a burst or a retry storm is rejected at the expense of the tenant
+/// that causes it.
 #[test]
 fn a_tenant_beyond_its_quota_is_rejected_first() {
     let tenant = TenantSettings {
@@ -283,12 +291,12 @@
     }
     assert!(
         rejections[1] > 0 && rejections[0] > rejections[1] * 3 / 2,
-        "{rejections:?}, weighted by their traffic"
+        "{rejections:?} rejected, relative to the traffic of each tenant"
     );
 }
 
-/// Found in virtual time, where replicas congest: a mixer relied on the last answers, some seconds old, while calls had been in
-/// flight for longer than those took, and went on as before.
+/// Guards against a failure seen in virtual time with congested replicas: a mixer relied on the last answers, which were some
+/// seconds old, and sent as much as before although calls had been in flight for longer than those answers had taken.
 #[test]
 fn the_age_of_a_call_in_flight_counts_as_latency() {
     let warm = || {
@@ -299,19 +307,19 @@
         driver
     };
     let mut driver = warm();
-    let under = sends(&driver.query(100, &[0], 3.0))[0].1;
+    let waiting_replica = sends(&driver.query(100, &[0], 3.0))[0].1;
     driver.pass(0.1);
-    let to_under = (101..140).filter(|id| {
+    let to_waiting_replica = (101..140).filter(|id| {
         let (part, replica) = sends(&driver.query(*id, &[0], 3.0))[0];
         driver.end(part, 0, replica, 0.05, OK);
-        replica == under
+        replica == waiting_replica
     });
     assert_eq!(
-        to_under.count(),
+        to_waiting_replica.count(),
         0,
-        "nothing more goes where a call has waited for twice as long as any took"
+        "no part is sent to a replica whose call has been in flight for twice as long as any answer took"
     );
-    // All replicas so: of what would hardly be answered in time, much is rejected before it is sent.
+    // Calls have been in flight for long at all replicas: many queries that would hardly be answered in time are rejected.
     let mut driver = warm();
     (100..110).for_each(|id| drop(driver.query(id, &[0], 3.0)));
     driver.pass(0.7);
@@ -321,7 +329,8 @@
     assert!(rejections > 20, "{rejections} of 100");
 }
 
-/// Where a replica answers one class twice a second, three answers take longer than a second: its price rises all the same.
+/// If a replica answers a class less than twice per second, the three answers of a reading take more than a second. The price
+/// rises all the same.
 #[test]
 fn a_price_interval_stays_open_for_rare_answers() {
     let mut driver = Driver::new(settings(class()), &[replica(1)]);
@@ -337,19 +346,23 @@
         .statistics
         .classes[0]
         .price;
-    assert!(price > 2.0, "{price} after 40 s of half a second's queue");
+    assert!(
+        price > 2.0,
+        "{price} after 40 s with a queueing delay of 0.5 s"
+    );
 }
 
-/// Found at Szeged at a quick pace: a price of 10 rejected every query of its class, two answers had come in its interval, so
-/// it stood for 5 s, ten latency objectives, while the replica answered other classes in a tenth of the objective.
+/// Guards against a failure seen at Szeged at a quick pace: a price of 10 rejected every query of its class. Two answers, too
+/// few for a reading, had arrived in the price interval, so the price did not change for 5 s, ten latency objectives,
+/// although the replica answered other classes within a tenth of the objective.
 #[test]
 fn a_price_with_too_few_answers_falls() {
-    let quick = ClassSettings {
+    let short_objective = ClassSettings {
         latency_objective_s: 0.4,
         deadline_s: 1.0,
         ..class()
     };
-    let mut driver = Driver::new(settings(quick), &[replica(1)]);
+    let mut driver = Driver::new(settings(short_objective), &[replica(1)]);
     (1..30).for_each(|id| drop(driver.round_trip(id, 0, 0.01)));
     let mut learned_state = driver.aggregator.learned_state();
     let now = driver.now;
@@ -357,12 +370,12 @@
     statistics.price = 10.0;
     statistics.interval_started_at = now;
     statistics.recent_delays.rotate_left(2);
-    let late = DelayReading {
+    let slow = DelayReading {
         at: now + 0.001,
         delay_s: 0.3,
     };
-    statistics.recent_delays[1] = late;
-    statistics.recent_delays[2] = late;
+    statistics.recent_delays[1] = slow;
+    statistics.recent_delays[2] = slow;
     driver.aggregator.inherit(learned_state, &[Some(0)], &[]);
     driver.pass(1.5);
     let mut rejections = 0;
@@ -373,10 +386,11 @@
     assert!(rejections < 150, "{rejections} of 200 in 3 s");
 }
 
-/// Found with six in ten servers replaced: each of 300 aggregators met a congested one too seldom to price it, and admitted
-/// a query in two; all were lost with the parts that were rejected, while their other parts kept the servers busy.
+/// Guards against a failure seen with six in ten leaf servers replaced: each of 300 aggregators sent to a congested server too
+/// seldom for the server's price to rise, and admitted one query in two. All of these queries failed with their rejected
+/// parts, while their other parts kept the servers busy.
 ///
-/// Among few aggregators each knows its servers, whose own prices suffice.
+/// Among few aggregators each gets enough answers from every server, so the prices of the servers suffice.
 #[rstest::rstest]
 #[case(Outcome::Error, 300, 0)]
 #[case(Outcome::Rejected, 300, 14)]
@@ -387,7 +401,7 @@
     #[case] min_rejections: usize,
 ) {
     let rejections = |driver: &mut Driver, ids: std::ops::Range<u32>| {
-        // Sent to a healthy server, and left open: only what was lost counts.
+        // The queries are sent to a healthy server and stay open, so only the failed query influences the price.
         ids.filter(|id| rejected(&driver.query(*id, &[2], 3.0)))
             .count()
     };
@@ -407,7 +421,7 @@
         };
         driver.end(part, 0, at, took_s, outcome);
     }
-    // Whatever retries there are end as the first one did, up to the end of the query's time.
+    // All retries end like the first attempt, until the query's deadline.
     for _ in 0..300 {
         for (part, at) in sends(&driver.pass(0.01)) {
             let sent = sends(&driver.actions);
@@ -430,6 +444,6 @@
     assert_eq!(
         rejections(&mut driver, 310..330),
         0,
-        "{outcome:?}: answers end it"
+        "{outcome:?}: answers do not lower the price"
     );
 }
--- a/tests/decisions/crash_detection.rs
+++ b/tests/decisions/crash_detection.rs
@@ -1,14 +1,14 @@
-//! Crash-inducing queries.
+//! Tests of the detection of crash-inducing queries.
 
 use crate::common::*;
 use wharfhub::decisions::api::*;
 
 const OK: Outcome = Outcome::Ok;
 
-/// Found on days with crash-inducing queries: a query whose parts take down each replica that begins one was carried on to
-/// the next holders, and its repeats did it again.
+/// Guards against a failure seen on days with crash-inducing queries: a query whose parts crash each replica that starts to
+/// execute one was sent to the next holders, and so were its repeats.
 #[test]
-fn a_query_that_takes_replicas_down_is_ended_and_its_repeat_rejected() {
+fn a_query_that_crashes_replicas_fails_and_its_repeat_is_rejected() {
     let mut driver = warm_fleet(settings(class()));
     let sent = sends(&driver.query(500, &[0, 1, 2], 3.0));
     let mut again = Vec::new();
@@ -25,27 +25,31 @@
     assert_eq!(
         again.len(),
         1,
-        "a suspected query goes on by one part at a time"
+        "after a reset one part of the query is sent first"
     );
     let out = driver.end(again[0].0, 1, again[0].1, 0.001, Outcome::Reset);
-    assert!(failed(&out), "known as crash-inducing: {out:?}");
+    assert!(
+        failed(&out),
+        "the second reset shows that the query is crash-inducing: {out:?}"
+    );
     assert!(sends(&driver.pass(1.0)).is_empty());
     assert!(
         rejected(&driver.query_of(0, 501, &[0, 1, 2], 2.9, true)),
-        "its repeat"
+        "the repeat of the crash-inducing query"
     );
     assert!(
         !rejected(&driver.query_of(0, 502, &[2, 3, 4], 2.9, true)),
-        "another one's repeat"
+        "the repeat of another query"
     );
     driver.pass(31.0);
     assert!(
         !rejected(&driver.query(503, &[0, 1, 2], 3.0)),
-        "it is not remembered for ever"
+        "the record of the query expires"
     );
 }
 
-/// A query of one part becomes known as crash-inducing: its connection is reset, and again where it is retried.
+/// Lets a query of one part become known as crash-inducing: the connection is reset under its first attempt and under its
+/// retry.
 fn record_crash_inducing_query(driver: &mut Driver) {
     let (part, at) = sends(&driver.query(500, &[0], 3.0))[0];
     let again = sends(&driver.end(part, 0, at, 0.001, Outcome::Reset));
@@ -58,10 +62,10 @@
     )));
 }
 
-/// Found at Szeged with capacity lost: for 30 s after replicas died every query waited for a first answer, half a median
-/// latency long, and its parts went out in two calls.
+/// Guards against a failure seen at Szeged while capacity was lost: for 30 s after replicas had crashed every query waited for
+/// its first answer, for up to half a median latency, and its parts were sent in two calls.
 #[test]
-fn replicas_that_crash_hold_no_other_query_back() {
+fn a_first_reset_under_one_query_does_not_delay_other_queries() {
     let mut driver = warm_fleet(settings(class()));
     let sent = sends(&driver.query(500, &[0, 1, 2], 3.0));
     driver.end(sent[0].0, 0, sent[0].1, 0.001, Outcome::Reset);
@@ -69,11 +73,12 @@
     assert_eq!(
         sends(&driver.query(502, &[0; 8], 3.0)).len(),
         8,
-        "nor is a wide one held back"
+        "a query of many parts is not delayed either"
     );
 }
 
-/// Once a crash-inducing query is known, one part of each query probes it: the next one takes down one replica, not three.
+/// Once a crash-inducing query is known, one part of each query is sent first as a probe, so that the next crash-inducing query
+/// of three parts crashes one replica at first and not three.
 #[test]
 fn after_a_crash_inducing_query_each_query_is_probed_by_one_part() {
     let mut driver = warm_fleet(settings(class()));
@@ -84,25 +89,25 @@
     assert_eq!(
         rest.len(),
         2,
-        "an answered part shows that its query is harmless"
+        "an answered part shows that the query is harmless"
     );
     let slow = sends(&driver.query(502, &[0, 1, 2], 3.0));
     assert_eq!(
         sends(&driver.pass(0.3)).len(),
         3 - slow.len(),
-        "a slow probe does not hold the others up"
+        "a slow probe does not hold back the other parts"
     );
     driver.pass(31.0);
     assert_eq!(
         sends(&driver.query(503, &[0, 1, 2], 3.0)).len(),
         3,
-        "the caution ends"
+        "queries are no longer probed"
     );
 }
 
-/// A mass crash resets the parts of harmless queries, which must go on.
+/// When many replicas crash at once, parts of harmless queries are reset too, and these queries must continue.
 #[test]
-fn a_mass_crash_makes_no_query_crash_inducing() {
+fn a_simultaneous_crash_of_replicas_marks_no_query_as_crash_inducing() {
     let mut driver = warm_fleet(settings(class()));
     let sent = sends(&driver.query(500, &[0, 1, 2, 3], 3.0));
     driver.pass(0.03);
@@ -110,7 +115,7 @@
     for (part, replica) in &sent {
         again.extend(sends(&driver.end(*part, 0, *replica, 0.03, Outcome::Reset)));
     }
-    assert_eq!(again.len(), 1, "one part goes ahead");
+    assert_eq!(again.len(), 1, "one part is sent first");
     driver.pass(0.01);
     for (part, replica) in sends(&driver.end(again[0].0, 1, again[0].1, 0.01, OK)) {
         driver.end(part, 1, replica, 0.05, OK);
@@ -128,7 +133,8 @@
     )));
 }
 
-/// Found at full size: a probed query of a hundred parts sent one of them each half a latency.
+/// Guards against a failure seen in a full-size deployment: a probed query of a hundred parts sent one part per half a median
+/// latency.
 #[test]
 fn a_slow_probe_releases_all_parts_at_once() {
     let mut driver = warm_fleet(settings(class()));
--- a/tests/decisions/hedging.rs
+++ b/tests/decisions/hedging.rs
@@ -1,4 +1,4 @@
-//! Hedged requests, and cancelling where there are none.
+//! Tests of hedged requests, and of cancelling late attempts where hedging is off.
 
 use crate::common::*;
 use wharfhub::decisions::api::*;
@@ -6,7 +6,7 @@
 const OK: Outcome = Outcome::Ok;
 
 #[test]
-fn an_overdue_part_gets_one_hedged_request_and_the_loser_is_cancelled() {
+fn an_overdue_part_gets_one_hedged_request_and_the_slower_attempt_is_cancelled() {
     let mut driver = Driver::new(settings(class()), &[replica(1), replica(2)]);
     for id in 1..100 {
         driver.round_trip(id, 0, 0.05);
@@ -26,10 +26,11 @@
     }));
 }
 
-/// Found on calm days of 300 mixers: in a burst each sent the hedged requests it had saved up, after 0.15 of 0.4 s, to the
-/// neighbours of a slow replica, a third of all that these got; so the congestion went round, and lasted for 7 s.
+/// Guards against a failure seen on calm days with 300 mixers: in a burst each mixer spent its saved hedging credit after 0.15 s
+/// of an objective of 0.4 s. The hedged requests went to the neighbours of a slow replica and were a third of all requests
+/// that these received, so the congestion spread and lasted for 7 s.
 #[test]
-fn in_a_fleet_a_hedged_request_waits_for_half_of_the_objective() {
+fn in_a_fleet_a_part_is_not_hedged_before_half_of_the_objective() {
     let hedged_after = |aggregators: u32| {
         let fleet = Settings {
             aggregators,
@@ -41,28 +42,33 @@
         }
         driver.query(500, &[0], 3.0);
         let steps = (1..100).find(|_| !sends(&driver.pass(0.01)).is_empty());
-        steps.expect("a hedged request is sent")
+        steps.expect("a hedged request is sent within the steps")
     };
-    let (few, fleet) = (hedged_after(3), hedged_after(300));
-    assert!(few < 40, "{few}");
+    let (with_3, with_300) = (hedged_after(3), hedged_after(300));
+    assert!(with_3 < 40, "{with_3} steps of 10 ms");
     assert!(
-        (48..60).contains(&fleet),
-        "{fleet}: late enough, and in time for the hedged request to be served"
+        (48..60).contains(&with_300),
+        "{with_300} steps of 10 ms: not before half of the objective, and early enough for the hedged request to be served"
     );
 }
 
 #[test]
-fn without_hedging_an_overdue_part_is_cancelled_first() {
-    let mut single = settings(class());
-    single.can_hedge = false;
-    let mut driver = Driver::new(single, &[replica(1), replica(2)]);
+fn without_hedging_an_overdue_part_is_cancelled_before_its_next_attempt() {
+    let mut settings_without_hedging = settings(class());
+    settings_without_hedging.can_hedge = false;
+    let mut driver = Driver::new(settings_without_hedging, &[replica(1), replica(2)]);
     for id in 1..100 {
         driver.round_trip(id, 0, 0.05);
     }
     let (part, first) = sends(&driver.query(500, &[0], 3.0))[0];
-    // Found at full size: a part at a congested replica was cancelled at half the overdue time, and its work done twice.
-    assert!(driver.pass(0.6).is_empty(), "not while it may only be late");
-    // Found at Szeged: it was left there for half as long again after its replica was ejected, and came late.
+    // Guards against a failure seen in a full-size deployment: a part at a congested replica was cancelled at half the overdue
+    // time, and its work was done twice.
+    assert!(
+        driver.pass(0.6).is_empty(),
+        "a part that may only be late is not cancelled"
+    );
+    // Guards against a failure seen at Szeged: the part stayed at its replica for half as long again after the replica's
+    // ejection, and was answered late.
     let out = driver.pass(0.2);
     assert!(sends(&out).is_empty());
     assert!(out.contains(&Action::Cancel {
@@ -74,7 +80,7 @@
     assert_ne!(again[0].1, first);
 }
 
-/// Without hedging one attempt of a part is in flight at a time: a cancelled one until its end is reported.
+/// Without hedging a part has at most one attempt in flight. A cancelled attempt is in flight until its end is reported.
 #[test]
 fn without_hedging_the_next_attempt_waits_for_the_end_of_the_cancelled_one() {
     let mut driver = Driver::new(
@@ -101,26 +107,26 @@
     );
 }
 
-/// Found in the emulator: a query of which every part was in flight was not checked again when the replica of one of them was
-/// ejected, and its hedged request left only when the part was overdue in full.
+/// Guards against a failure seen in the emulator: a query whose parts were all in flight was not checked again when the replica
+/// of one of them was ejected, and the hedged request was sent only after the full overdue time.
 #[test]
-fn a_part_at_a_replica_that_is_ejected_later_is_hedged_at_half_the_time() {
+fn a_part_at_a_replica_that_is_ejected_later_is_hedged_at_half_the_overdue_time() {
     let hedged_after = |is_ejected: bool| {
         let mut driver = Driver::new(settings(class()), &[replica(1), replica(2)]);
         for id in 1..40 {
             driver.round_trip(id, 0, 0.1);
         }
-        let under = sends(&driver.query(200, &[0], 3.0))[0].1;
+        let first_replica = sends(&driver.query(200, &[0], 3.0))[0].1;
         driver.pass(0.02);
-        let mut others = Vec::new(); // answered, so that the other replica is worth a hedged request
+        let mut others = Vec::new(); // answered, so that the other replica is fast enough for a hedged request
         for id in 201..210 {
             let (part, replica) = sends(&driver.query(id, &[0], 3.0))[0];
-            if is_ejected && replica == under {
+            if is_ejected && replica == first_replica {
                 let again = sends(&driver.end(part, 0, replica, 0.01, Outcome::Reset));
                 others.extend(again.into_iter().map(|(part, replica)| (part, 1, replica)));
                 break;
             }
-            others.extend((replica != under).then_some((part, 0, replica)));
+            others.extend((replica != first_replica).then_some((part, 0, replica)));
         }
         for (part, attempt, replica) in others {
             driver.end(part, attempt, replica, 0.02, OK);
@@ -130,8 +136,11 @@
                 .iter()
                 .any(|(part, _)| *part == 20000)
         });
-        steps.expect("a hedged request is sent")
+        steps.expect("a hedged request is sent within the steps")
     };
     let (ejected, healthy) = (hedged_after(true), hedged_after(false));
-    assert!(ejected * 4 < healthy * 3, "{ejected} steps and {healthy}");
+    assert!(
+        ejected * 4 < healthy * 3,
+        "{ejected} steps if ejected, {healthy} steps if healthy"
+    );
 }
--- a/tests/decisions/idle_loss.rs
+++ b/tests/decisions/idle_loss.rs
@@ -1,14 +1,15 @@
-//! Idle connections that were dropped.
+//! Tests of losses on idle connections that a network element has dropped.
 
 use crate::common::*;
 use wharfhub::decisions::api::*;
 
 const OK: Outcome = Outcome::Ok;
 
-/// Sends one query at a time with long pauses; parts to replicas of which `is_lost` says so are lost when they go out on a
-/// connection that was idle, or always. Returns how often idle connections were closed first.
+/// Sends one query at a time, so that each connection is unused for some seconds between two parts. `is_lost` decides from the
+/// number of the replica, and from whether the connection was idle, whether a part is lost. Returns the number of parts
+/// before which idle connections were closed.
 fn count_closed_idle(is_lost: impl Fn(u32, bool) -> bool) -> usize {
-    let rows = Settings {
+    let settings = Settings {
         cells: 10,
         ..settings(class())
     };
@@ -18,34 +19,35 @@
             ..replica(id)
         })
         .collect();
-    let mut driver = Driver::new(rows, &entries);
+    let mut driver = Driver::new(settings, &entries);
     (0..20).for_each(|id| drop(driver.round_trip(id + 1, id % 10, 0.05)));
-    let (mut used, mut closed, mut silent) = (std::collections::BTreeMap::new(), 0, None);
+    let (mut last_used_at, mut closed, mut lost_part) =
+        (std::collections::BTreeMap::new(), 0, None);
     for id in 200..320 {
-        let mut work = driver.query(id, &[id % 10], 3.0);
-        while let Some(index) = work
+        let mut actions = driver.query(id, &[id % 10], 3.0);
+        while let Some(index) = actions
             .iter()
             .position(|action| matches!(action, Action::Send { .. }))
         {
-            let Action::Send { part, replica, .. } = work.remove(index) else {
+            let Action::Send { part, replica, .. } = actions.remove(index) else {
                 unreachable!()
             };
-            let fresh = work.contains(&Action::CloseIdle { replica });
-            closed += usize::from(fresh);
-            let idle = !fresh
-                && used
+            let has_closed_idle = actions.contains(&Action::CloseIdle { replica });
+            closed += usize::from(has_closed_idle);
+            let is_idle = !has_closed_idle
+                && last_used_at
                     .insert(replica, driver.now)
                     .is_some_and(|at| driver.now - at > 1.5);
-            if is_lost(replica.0, idle) {
-                silent = Some((part.0, replica));
-                work = driver.pass(0.9);
+            if is_lost(replica.0, is_idle) {
+                lost_part = Some((part.0, replica));
+                actions = driver.pass(0.9);
             } else {
                 driver.pass(0.05);
-                let attempt = u8::from(silent.is_some_and(|(lost, _)| lost == part.0));
-                work = driver.end(part.0, attempt, replica, 0.05, OK);
+                let attempt = u8::from(lost_part.is_some_and(|(lost, _)| lost == part.0));
+                actions = driver.end(part.0, attempt, replica, 0.05, OK);
             }
         }
-        if let Some((part, replica)) = silent.take() {
+        if let Some((part, replica)) = lost_part.take() {
             driver.end(part, 0, replica, 0.95, Outcome::Cancelled);
         }
         driver.pass(0.3);
@@ -53,45 +55,49 @@
     closed
 }
 
-/// Found on days when idle connections are dropped without notice: what was sent on one got no answer.
+/// Guards against a failure seen on days when idle connections are dropped without notice: a part that was sent on such a
+/// connection got no answer.
 #[test]
-fn idle_connections_that_lose_parts_are_closed_first() {
-    let closed = count_closed_idle(|_, idle| idle);
-    assert!(closed > 70, "{closed} of some 120 sends");
+fn idle_connections_on_which_parts_are_lost_are_closed_first() {
+    let closed = count_closed_idle(|_, is_idle| is_idle);
+    assert!(closed > 70, "{closed} of about 120 parts");
 }
 
-/// Replicas that answer nothing at all must not cost new connections everywhere.
+/// Replicas that answer nothing at all must not cause the connections to all replicas to be replaced.
 #[test]
-fn silent_replicas_do_not_make_connections_churn() {
+fn silent_replicas_do_not_cause_connections_to_be_replaced_everywhere() {
     let closed = count_closed_idle(|replica, _| replica < 3);
-    assert!(closed < 40, "{closed} of some 120 sends");
+    assert!(closed < 40, "{closed} of about 120 parts");
 }
 
-/// Found in a large fleet with replicas that fail fast: each probe request closed a working connection first, and the replicas
-/// spent on handshakes, from all mixers, what they could have served.
+/// Guards against a failure seen in a large fleet with replicas that fail fast: each probe request closed a working connection
+/// first, and the replicas spent capacity on handshakes from all mixers instead of on parts.
 #[test]
 fn a_probe_request_after_a_fast_failure_keeps_its_connection() {
     let mut driver = Driver::new(settings(class()), &[replica(1), replica(2)]);
     (1..40).for_each(|id| drop(driver.round_trip(id, 0, 0.05)));
-    let (mut tried, mut closed) = (0, 0);
+    let (mut to_failing, mut closed) = (0, 0);
     for id in 100..200 {
         let out = driver.query(id, &[0], 3.0);
         let (part, at) = sends(&out)[0];
         closed += usize::from(out.contains(&Action::CloseIdle {
             replica: ReplicaId(1),
         }));
-        tried += usize::from(at == ReplicaId(1));
-        let (took, ends) = if at == ReplicaId(1) {
+        to_failing += usize::from(at == ReplicaId(1));
+        let (took_s, outcome) = if at == ReplicaId(1) {
             (0.01, Outcome::Error)
         } else {
             (0.2, OK)
         };
-        driver.pass(took);
-        for (part, other) in sends(&driver.end(part, 0, at, took, ends)) {
+        driver.pass(took_s);
+        for (part, other) in sends(&driver.end(part, 0, at, took_s, outcome)) {
             driver.end(part, 1, other, 0.2, OK);
         }
         driver.pass(0.1);
     }
-    assert!(tried > 4, "more often than it takes to be ejected: {tried}");
+    assert!(
+        to_failing > 4,
+        "{to_failing} parts, not more than the ejection takes"
+    );
     assert_eq!(closed, 0);
 }
--- a/tests/decisions/lifecycle.rs
+++ b/tests/decisions/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists, settings, and queries that end oddly.
+//! Tests of endpoint lists, changes of settings, invalid input and queries with missing parts.
 
 use crate::common::*;
 use wharfhub::decisions::api::*;
@@ -7,33 +7,36 @@
 
 #[test]
 fn endpoint_lists_are_polled_and_polled_again_after_failures() {
-    let mut polling = settings(class());
-    polling.must_poll = true;
-    let mut driver = Driver::new(polling, &[replica(1)]);
+    let mut settings = settings(class());
+    settings.must_poll = true;
+    let mut driver = Driver::new(settings, &[replica(1)]);
     assert!(driver.pass(0.1).contains(&Action::Watch));
     driver.actions.clear();
     for _ in 0..6 {
         assert!(
             !driver.event(Event::ListFailed).contains(&Action::Watch),
-            "not without a wait"
+            "the list is not polled again at once"
         );
         assert_eq!(driver.pass(6.1), [Action::Watch]);
     }
 }
 
 #[test]
-fn odd_input_ends_in_one_final_answer_or_is_ignored() {
+fn invalid_input_gets_one_final_answer_or_is_ignored() {
     let mut driver = Driver::new(settings(class()), &[]);
-    assert!(rejected(&driver.query(1, &[0], 3.0)), "no replica at all");
-    assert!(rejected(&driver.query(2, &[], 3.0)), "no parts");
-    assert!(rejected(&driver.query(3, &[0], 0.0)), "no time");
+    assert!(rejected(&driver.query(1, &[0], 3.0)), "there is no replica");
+    assert!(
+        rejected(&driver.query(2, &[], 3.0)),
+        "the query has no parts"
+    );
+    assert!(rejected(&driver.query(3, &[0], 0.0)), "the deadline is now");
     assert!(
         rejected(&driver.query_of(9, 4, &[0], 3.0, false)),
-        "no such class"
+        "the class does not exist"
     );
     assert!(
         rejected(&driver.query(5, &[0], f64::NAN)),
-        "no plausible deadline"
+        "the deadline is not a number"
     );
     driver.list(true, &[replica(1)]);
     assert!(driver
@@ -44,7 +47,7 @@
     let (part, at) = sends(&driver.query(6, &[0], 3.0))[0];
     assert!(
         driver.end(part, 9, at, 0.1, OK).is_empty(),
-        "no such attempt"
+        "the attempt does not exist"
     );
     assert_eq!(driver.end(part, 0, at, -1.0, OK).len(), 1);
     assert!(
@@ -53,9 +56,9 @@
     );
 }
 
-/// A query of more parts than arrive still ends before its client's time.
+/// A query of which not all parts arrive still ends by its deadline.
 #[test]
-fn a_query_whose_parts_never_come_is_rejected_in_time() {
+fn a_query_whose_parts_never_arrive_is_rejected_in_time() {
     let mut driver = Driver::new(settings(class()), &[replica(1)]);
     let query = NewQuery {
         id: QueryId(1),
@@ -68,9 +71,10 @@
     assert!(rejected(&driver.pass(0.5)));
 }
 
-/// Other settings may have more cells: which replicas hold a shard changes at once, and not with the next endpoint list only.
+/// New settings may have another number of cells. The holders of each shard then change at once, and not only with the next
+/// endpoint list.
 #[test]
-fn other_settings_move_replicas_to_their_cells_at_once() {
+fn new_settings_change_the_holders_of_shards_at_once() {
     let mut driver = Driver::new(
         settings(class()),
         &[
@@ -94,17 +98,17 @@
     assert_eq!(sends(&driver.query(2, &[1], 3.0)), [(200, ReplicaId(1))]);
 }
 
-/// A driver of two classes, the second not idempotent, of which one replica was ejected for a reset connection.
+/// Returns a driver with two classes, the second not idempotent, and with one replica ejected for a reset connection.
 fn driver_with_ejected_replica() -> Driver {
     let non_idempotent = ClassSettings {
         effect: Effect::NonIdempotent,
         ..class()
     };
-    let two = Settings {
+    let settings = Settings {
         classes: vec![class(), non_idempotent],
         ..settings(class())
     };
-    let mut driver = Driver::new(two, &[replica(1), replica(2)]);
+    let mut driver = Driver::new(settings, &[replica(1), replica(2)]);
     for (id, index) in [(1, 0), (2, 0), (3, 0), (4, 1), (5, 1), (6, 1)] {
         for (part, to) in sends(&driver.query_of(index, id, &[0], 3.0, false)) {
             let is_reset = to == ReplicaId(1);
@@ -120,14 +124,14 @@
     driver
 }
 
-/// After other settings a class is known by its former place, open queries keep their class and their limit on attempts, and
-/// a replica that was avoided still is.
+/// New settings give the former index of each class. Open queries keep the settings of their class, and an ejected replica
+/// stays ejected.
 #[test]
-fn other_settings_keep_statistics_and_open_queries() {
+fn new_settings_keep_statistics_and_open_queries() {
     let mut driver = driver_with_ejected_replica();
     let open = sends(&driver.query_of(1, 7, &[0], 3.0, false));
     assert_eq!(open.len(), 1);
-    // The classes change places, and the one that was not idempotent is so from now on.
+    // The classes exchange their indices, and the one that was not idempotent is idempotent from now on.
     let settings = Settings {
         classes: vec![class(), class()],
         max_attempts: 2,
@@ -141,12 +145,12 @@
     assert_eq!(
         driver.aggregator.unavailable_replicas(),
         1,
-        "the ejection is forgotten"
+        "the ejection is lost"
     );
     let out = driver.end(open[0].0, 0, open[0].1, 0.05, Outcome::Error);
     assert!(
         failed(&out) && sends(&out).is_empty(),
-        "an open query lost its class: {out:?}"
+        "an open query no longer has its class: {out:?}"
     );
     let new = sends(&driver.query_of(0, 8, &[0], 3.0, false));
     let again = driver.end(new[0].0, 0, new[0].1, 0.05, Outcome::Error);
@@ -155,9 +159,9 @@
         1,
         "a new query does not have the new class: {again:?}"
     );
-    let over = driver.end(new[0].0, 1, sends(&again)[0].1, 0.05, Outcome::Error);
+    let last = driver.end(new[0].0, 1, sends(&again)[0].1, 0.05, Outcome::Error);
     assert!(
-        rejected(&over) && sends(&over).is_empty(),
-        "two attempts are allowed: {over:?}"
+        rejected(&last) && sends(&last).is_empty(),
+        "two attempts are allowed: {last:?}"
     );
 }
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! A small test for each decision and each fault found, through the interface of the decision module.
+//! Tests of the decision module through its public interface, with one test for each decision and each fault that was found.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/decisions/outliers.rs
+++ b/tests/decisions/outliers.rs
@@ -1,4 +1,4 @@
-//! Ejection of replicas, and what is no fault of theirs.
+//! Tests of outlier detection: the failures for which replicas are ejected, and the delays that are not attributed to them.
 
 use crate::common::*;
 use wharfhub::decisions::api::*;
@@ -35,13 +35,13 @@
     assert_ne!(
         first,
         sends(&driver.query(701, &[0], 3.0))[0].1,
-        "both serve again"
+        "both replicas are used again"
     );
 }
 
-/// Found in an incident: a stall of this process raises every latency at once.
+/// Guards against a failure seen in an incident: a pause of this process raises every latency at once.
 #[test]
-fn an_own_stall_is_no_delay_of_the_replicas() {
+fn a_process_pause_is_not_attributed_to_the_replicas() {
     let mut driver = Driver::new(settings(class()), &[replica(1), replica(2)]);
     for id in 1..60 {
         driver.round_trip(id, 0, 0.05);
@@ -59,18 +59,19 @@
     }
 }
 
-/// Found on days when replicas leave one class unanswered: the other class's answers counted for them.
+/// Guards against a failure seen on days when replicas leave one class unanswered: their answers in the other class prevented
+/// the ejection.
 #[test]
 fn a_replica_that_leaves_one_class_unanswered_is_ejected_for_that_class_only() {
-    // Shard 0 is held by both; shard 2, which class 0 asks, by the bad one alone.
-    let two = Settings {
+    // Both replicas hold shard 0, which class 1 reads; only the faulty one holds shard 2, which class 0 reads.
+    let settings = Settings {
         classes: vec![class(), class()],
         cells: 3,
         replication_factor: 2,
         ..settings(class())
     };
     let mut driver = Driver::new(
-        two,
+        settings,
         &[
             replica(1),
             ReplicaEntry {
@@ -79,10 +80,11 @@
             },
         ],
     );
-    let bad = ReplicaId(1);
-    let (mut to_bad, mut out, mut tries) =
+    let faulty = ReplicaId(1);
+    let (mut to_faulty, mut out, mut attempts) =
         ([[0; 2]; 2], Vec::new(), std::collections::BTreeMap::new());
-    let mut new = Vec::new(); // what a query's end sends leaves with the next one: every attempt ends
+    // Attempts to start. Those sent when another attempt ends are started after the next query, so that every attempt ends.
+    let mut new = Vec::new();
     for id in 1..400 {
         let shard = if id % 2 == 1 { 0 } else { 2 };
         new.extend(sends(&driver.query_of(
@@ -94,9 +96,13 @@
         )));
         for _ in 0..2 {
             for (part, at) in new.drain(..) {
-                let (class, attempt) = (part / 100 % 2, tries.entry(part).or_insert(0u8));
-                to_bad[usize::from(id > 200)][class as usize] += usize::from(at == bad);
-                let took = if at == bad && class == 1 { 1.0 } else { 0.05 };
+                let (class, attempt) = (part / 100 % 2, attempts.entry(part).or_insert(0u8));
+                to_faulty[usize::from(id > 200)][class as usize] += usize::from(at == faulty);
+                let took = if at == faulty && class == 1 {
+                    1.0
+                } else {
+                    0.05
+                };
                 out.push((driver.now + took, part, *attempt, at, took));
                 *attempt += 1;
             }
@@ -111,20 +117,23 @@
             }
         }
     }
-    assert!(to_bad[1][1] < 12, "class 1 still goes there: {to_bad:?}");
     assert!(
-        to_bad[1][0] > 20,
-        "class 0 no longer goes there: {to_bad:?}"
+        to_faulty[1][1] < 12,
+        "parts of class 1 are still sent to the faulty replica: {to_faulty:?}"
+    );
+    assert!(
+        to_faulty[1][0] > 20,
+        "parts of class 0 are no longer sent to the faulty replica: {to_faulty:?}"
     );
 }
 
-/// Found with fast errors: failures that alternate with answers never reached the count that ejects, and a non-idempotent
-/// part has only its first choice.
+/// Guards against a failure seen with fast errors: failures that alternate with answers never reached the number that ejects a
+/// replica, and a non-idempotent part is not retried at another one.
 #[test]
 fn a_replica_that_fails_every_other_part_is_avoided() {
     for effect in [Effect::Idempotent, Effect::NonIdempotent] {
         let mut driver = Driver::new(settings(ClassSettings { effect, ..class() }), &fleet(3));
-        let (mut to_bad, mut count) = (0, 0);
+        let (mut to_faulty, mut count) = (0, 0);
         for id in 1..100 {
             for (part, at) in sends(&driver.query(id, &[0], 3.0)) {
                 driver.pass(0.05);
@@ -134,41 +143,42 @@
                 sends(&again)
                     .iter()
                     .for_each(|(part, at)| drop(driver.end(*part, 1, *at, 0.05, OK)));
-                to_bad += usize::from(at == ReplicaId(1));
+                to_faulty += usize::from(at == ReplicaId(1));
             }
             driver.pass(0.05);
         }
         assert!(
-            (1..25).contains(&to_bad),
-            "{to_bad} of 99 parts, {effect:?}"
+            (1..25).contains(&to_faulty),
+            "{to_faulty} parts of 99 queries, {effect:?}"
         );
     }
 }
 
-/// Found at full size: a probe request that went first cost each of many aggregators a part at every silent replica.
+/// Guards against a failure seen in a full-size deployment: probe requests that were preferred to other replicas cost each of
+/// many aggregators a part at every silent replica.
 #[test]
-fn a_probe_request_waits_until_the_replica_is_the_best_choice() {
+fn a_probe_request_is_sent_only_if_the_replica_is_the_best_choice() {
     let far = ReplicaEntry {
         zone: 1,
         ..replica(1)
     };
     let mut driver = Driver::new(settings(class()), &[far]);
-    let (part, dead) = sends(&driver.query(500, &[0], 3.0))[0];
-    driver.end(part, 0, dead, 0.001, Outcome::ConnectFailed);
+    let (part, ejected) = sends(&driver.query(500, &[0], 3.0))[0];
+    driver.end(part, 0, ejected, 0.001, Outcome::ConnectFailed);
     driver.list(false, &[replica(2), replica(3)]);
     driver.pass(0.6);
-    let next: Vec<_> = (510..540)
+    let used: Vec<_> = (510..540)
         .map(|id| sends(&driver.round_trip(id, 0, 0.02))[0].1)
         .collect();
     assert!(
-        !next.contains(&dead),
-        "healthy ones of the own zone are idle: {next:?}"
+        !used.contains(&ejected),
+        "healthy replicas of the own zone are idle: {used:?}"
     );
 }
 
-/// A stall of this process makes no call look old.
+/// The time of a process pause does not count towards the age of the calls in flight, which would cause rejections.
 #[test]
-fn an_own_stall_makes_no_call_look_old() {
+fn a_process_pause_does_not_add_to_the_age_of_calls() {
     let mut driver = Driver::new(settings(class()), &[replica(1), replica(2)]);
     for id in 1..40 {
         driver.round_trip(id, 0, 0.05);
--- a/tests/decisions/partial_answers.rs
+++ b/tests/decisions/partial_answers.rs
@@ -1,4 +1,4 @@
-//! Partial answers, spares and second steps.
+//! Tests of partial answers, spares and second steps.
 
 use crate::common::*;
 use wharfhub::decisions::api::*;
@@ -7,12 +7,12 @@
 
 #[test]
 fn parts_that_a_complete_answer_does_not_need_are_spares() {
-    let sample = ClassSettings {
+    let class_with_spares = ClassSettings {
         complete_share: 0.67,
         min_partial_share: 0.67,
         ..class()
     };
-    let mut driver = Driver::new(settings(sample), &fleet(20));
+    let mut driver = Driver::new(settings(class_with_spares), &fleet(20));
     let sent = sends(&driver.query(1, &[0; 9], 3.0));
     assert_eq!(sent.len(), 7);
     for (part, replica) in &sent[..6] {
@@ -21,7 +21,7 @@
     let spare = sends(&driver.pass(0.5));
     assert!(
         !sent.iter().any(|(part, _)| *part == spare[0].0),
-        "a spare, not a hedged request"
+        "a spare is sent, not a hedged request"
     );
     let out = driver.end(spare[0].0, 0, spare[0].1, 0.05, OK);
     assert!(out.contains(&Action::Answer {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_partial_answer_comes_just_before_the_objective_and_is_not_complete() {
+fn a_partial_answer_is_given_just_before_the_objective_and_is_not_complete() {
     let partial = ClassSettings {
         min_partial_share: 0.5,
         ..class()
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_second_step_is_fetched_and_answered() {
+fn a_second_step_is_sent_and_answered() {
     let steps = ClassSettings {
         second_step_parts: 2,
         min_partial_share: 0.4,
@@ -57,7 +57,7 @@
     for (part, replica) in sends(&driver.query(1, &[0, 1, 2], 3.0)) {
         driver.end(part, 0, replica, 0.05, OK);
     }
-    let first = Action::Answer {
+    let answer = Action::Answer {
         query: QueryId(1),
         is_complete: true,
     };
@@ -65,7 +65,7 @@
         driver
             .actions
             .iter()
-            .filter(|action| **action == first)
+            .filter(|action| **action == answer)
             .count(),
         1
     );
@@ -79,16 +79,16 @@
         driver
             .actions
             .iter()
-            .filter(|action| **action == first)
+            .filter(|action| **action == answer)
             .count(),
         2
     );
 }
 
-/// Found at full size: one congested set, of which each aggregator gets an answer once in seconds, rejected wide queries
-/// whole though these may be answered in part.
+/// Guards against a failure seen in a full-size deployment: one congested set of replicas, from which each aggregator got an
+/// answer only every few seconds, caused the rejection of queries with many parts although these may be answered in part.
 #[test]
-fn a_query_with_partial_answers_goes_without_the_parts_it_cannot_pay() {
+fn a_query_that_may_be_answered_in_part_is_sent_without_the_parts_that_it_cannot_afford() {
     let partial = ClassSettings {
         min_partial_share: 0.8,
         ..class()
@@ -103,7 +103,7 @@
         driver.round_trip(id, id % 10, 0.05);
     }
     (60..70).for_each(|id| drop(driver.round_trip(id, 3, 0.95)));
-    let (mut in_part, mut whole_rejections) = (0, 0);
+    let (mut partial_answers, mut whole_rejections) = (0, 0);
     for id in 100..120 {
         let sent = sends(&driver.query(id, &[0, 1, 2, 3, 4], 3.0));
         let took = |at: &ReplicaId| if at.0 == 4 { 0.95 } else { 0.01 };
@@ -115,20 +115,21 @@
             query: QueryId(id),
             is_complete: false,
         }];
-        in_part += usize::from(sent.len() == 4 && last.is_some_and(|last| last == answer));
+        partial_answers += usize::from(sent.len() == 4 && last.is_some_and(|last| last == answer));
         whole_rejections += usize::from(rejected(&driver.query(200 + id, &[2, 3], 3.0)));
     }
     assert!(
-        in_part > 12,
-        "{in_part} of 20 without the congested part, answered as soon as the rest is in"
+        partial_answers > 12,
+        "{partial_answers} of 20 sent without the congested part and answered as soon as the other parts were"
     );
     assert!(
         whole_rejections > 12,
-        "{whole_rejections} of 20 where that is under the floor"
+        "{whole_rejections} of 20 rejected where the affordable parts are less than the least partial share"
     );
 }
 
-/// Found in a trace: one part that could no longer come made a query answer at its floor, giving up parts in flight.
+/// Guards against a failure seen in a trace: once one part could no longer be answered, the query was answered at the least
+/// partial share, and its parts in flight were abandoned.
 #[test]
 fn a_partial_answer_waits_for_parts_in_flight() {
     let partial = ClassSettings {
@@ -147,7 +148,7 @@
     driver.end(sent[1].0, 0, sent[1].1, 0.05, OK);
     assert!(
         driver.end(sent[2].0, 0, sent[2].1, 0.05, OK).is_empty(),
-        "one is still in flight"
+        "one part is still in flight"
     );
     let out = driver.end(sent[3].0, 0, sent[3].1, 0.05, OK);
     assert_eq!(
--- a/tests/decisions/retry.rs
+++ b/tests/decisions/retry.rs
@@ -1,11 +1,12 @@
-//! Retries: the effect rule, the limits and the budget.
+//! Tests of retries: the effect of a repeat, the limits on attempts and the retry budget.
 
 use crate::common::*;
 use wharfhub::decisions::api::*;
 
-/// Found at a congested shard: retries after a full queue and hedged requests made the congestion.
+/// Guards against a failure seen at a congested shard: retries after rejections by full queues, and hedged requests, caused the
+/// congestion.
 #[test]
-fn nothing_is_retried_where_all_holders_are_congested() {
+fn no_part_is_retried_while_all_its_holders_are_congested() {
     let mut driver = Driver::new(settings(class()), &[replica(1), replica(2)]);
     for id in 1..60 {
         driver.round_trip(id, 0, 0.05);
@@ -36,8 +37,9 @@
     }
 }
 
-/// Found on a release in a fleet of 300: parts rejected by a hung replica were held to the end, and their queries with them,
-/// since the other holder was known as 2.6 times as slow as usual, with nine tenths of the time left.
+/// Guards against a failure seen during a release in a fleet of 300: parts that a hung replica had rejected, and their queries,
+/// waited until the deadline, because the known latency of the other holder was 2.6 times the usual one, although nine
+/// tenths of the time were left.
 #[test]
 fn a_rejected_part_is_retried_at_an_untried_holder_that_may_answer_in_time() {
     let mut driver = Driver::new(settings(class()), &[replica(1), replica(2)]);
@@ -52,35 +54,35 @@
     assert!(next.len() == 1 && next[0].1 != first, "{next:?}");
 }
 
-/// A query given up is rejected, with a Retry-After, where asking again does no harm; else it fails.
+/// A query that can't be answered is rejected if a retry by the client is safe, and fails otherwise.
 #[test]
-fn a_query_given_up_is_rejected_where_that_is_harmless() {
-    for (effect, outcome, harmless) in [
+fn an_unanswered_query_is_rejected_only_if_a_retry_is_safe() {
+    for (effect, outcome, is_retry_safe) in [
         (Effect::Idempotent, Outcome::Error, true),
         (Effect::NonIdempotent, Outcome::ConnectFailed, true),
         (Effect::NonIdempotent, Outcome::Error, false),
         (Effect::IdempotentWithKey, Outcome::Reset, false),
     ] {
-        let one = Settings {
+        let settings = Settings {
             max_attempts: 1,
             max_retry_after_s: 1.0,
             ..settings(ClassSettings { effect, ..class() })
         };
-        let mut driver = Driver::new(one, &fleet(3));
+        let mut driver = Driver::new(settings, &fleet(3));
         let (part, at) = sends(&driver.query(1, &[0], 3.0))[0];
         let out = driver.end(part, 0, at, 0.05, outcome);
         assert_eq!(
             (rejected(&out), failed(&out)),
-            (harmless, !harmless),
+            (is_retry_safe, !is_retry_safe),
             "{effect:?} {outcome:?}"
         );
     }
 }
 
-/// A non-idempotent part goes elsewhere only on proof that it never ran.
+/// A non-idempotent part is sent to another replica only if the outcome shows that the first attempt was not executed.
 #[test]
-fn a_non_idempotent_part_is_retried_only_if_it_never_ran() {
-    for (outcome, again) in [
+fn a_non_idempotent_part_is_retried_only_if_it_was_not_executed() {
+    for (outcome, retries) in [
         (Outcome::ConnectFailed, 1),
         (Outcome::Rejected, 1),
         (Outcome::Superseded, 1),
@@ -99,14 +101,14 @@
         let out = driver.end(part, 0, at, 0.9, outcome);
         assert_eq!(
             (sends(&out).len(), failed(&out)),
-            (again, again == 0),
+            (retries, retries == 0),
             "{outcome:?}"
         );
     }
 }
 
-/// The window of a part with an idempotency key counts from the first attempt that may have run; attempts that never ran do
-/// not count.
+/// The window of a part with an idempotency key starts with the first attempt that may have been executed. Attempts that were
+/// not executed do not start the window.
 #[test]
 fn a_part_with_an_idempotency_key_is_retried_only_within_its_window() {
     let keyed = ClassSettings {
@@ -114,7 +116,7 @@
         idempotency_window_s: 0.5,
         ..class()
     };
-    for (first, wait, again) in [
+    for (first, wait_s, retries) in [
         (Outcome::Error, 0.2, 1),
         (Outcome::Error, 0.3, 0),
         (Outcome::ConnectFailed, 0.3, 1),
@@ -123,13 +125,13 @@
         let (part, at) = sends(&driver.query(1, &[0], 3.0))[0];
         driver.now += 0.2;
         let second = sends(&driver.end(part, 0, at, 0.2, first))[0];
-        driver.now += wait;
-        let third = driver.end(part, 1, second.1, wait, Outcome::Error);
-        assert_eq!(sends(&third).len(), again, "{first:?}, then {wait} s");
+        driver.now += wait_s;
+        let third = driver.end(part, 1, second.1, wait_s, Outcome::Error);
+        assert_eq!(sends(&third).len(), retries, "{first:?}, then {wait_s} s");
     }
 }
 
-/// At a query a second and just after a start, retries stay within the budget in every window.
+/// At about one query per second, and directly after the start, retries stay within the budget in every window.
 #[test]
 fn the_retry_budget_holds_at_low_rates() {
     let retry_budget = RetryBudget {
@@ -148,9 +150,9 @@
     for id in 1..60 {
         accepted.extend([driver.now; 3]);
         let mut work = sends(&driver.query(id, &[0, 0], 3.0));
-        let mut tries = std::collections::BTreeMap::new();
+        let mut attempts = std::collections::BTreeMap::new();
         while let Some((part, at)) = work.pop() {
-            let attempt = tries
+            let attempt = attempts
                 .entry(part)
                 .and_modify(|attempt| *attempt += 1)
                 .or_insert(0u8);
--- a/tests/decisions/selection.rs
+++ b/tests/decisions/selection.rs
@@ -1,4 +1,4 @@
-//! Which replica gets a part.
+//! Tests of the selection of a replica for a part.
 
 use crate::common::*;
 use wharfhub::decisions::api::*;
@@ -6,22 +6,22 @@
 const OK: Outcome = Outcome::Ok;
 
 #[test]
-fn parts_go_to_the_least_latency_times_load() {
+fn a_part_is_sent_to_the_replica_with_the_least_latency_times_load() {
     let mut driver = Driver::new(settings(class()), &[replica(1), replica(2)]);
     let first = sends(&driver.query(1, &[0], 3.0))[0].1;
     let second = sends(&driver.query(2, &[0], 3.0))[0].1;
-    assert_ne!(first, second, "the idle one is taken");
+    assert_ne!(first, second, "the idle replica is selected");
 }
 
 #[test]
-fn the_own_zone_breaks_ties() {
-    let mut here = settings(class());
-    here.zone = 2;
+fn ties_are_broken_in_favour_of_the_own_zone() {
+    let mut settings = settings(class());
+    settings.zone = 2;
     let near = ReplicaEntry {
         zone: 2,
         ..replica(9)
     };
-    let mut driver = Driver::new(here, &[replica(1), replica(2), near]);
+    let mut driver = Driver::new(settings, &[replica(1), replica(2), near]);
     assert_eq!(sends(&driver.query(1, &[0], 3.0))[0].1, ReplicaId(9));
 }
 
@@ -34,10 +34,11 @@
     assert_eq!(sends(&driver.query(2, &[0], 3.0)).len(), 1);
 }
 
-/// Among many aggregators the own zone is preferred less: our parts in flight show little of the load on its replicas.
+/// Among many aggregators the own zone is preferred less, because an aggregator's own parts in flight show little of the load
+/// on the replicas of the zone.
 #[test]
 fn among_many_aggregators_a_slow_own_zone_loses_its_preference() {
-    let to = |aggregators: u32| {
+    let sent_to_far = |aggregators: u32| {
         let many = Settings {
             aggregators,
             ..settings(class())
@@ -49,21 +50,21 @@
         let mut driver = Driver::new(many, &[far]);
         (100..110).for_each(|id| drop(driver.round_trip(id, 0, 0.1)));
         driver.list(false, &[replica(2)]);
-        let mut far = 0;
+        let mut to_far = 0;
         for id in 1..40 {
             for (part, at) in sends(&driver.query(id, &[0], 3.0)) {
                 driver.pass(0.1);
                 driver.end(part, 0, at, if at == ReplicaId(2) { 0.15 } else { 0.1 }, OK);
-                far += usize::from(at == ReplicaId(1));
+                to_far += usize::from(at == ReplicaId(1));
             }
         }
-        far
+        to_far
     };
-    let (of_two, of_forty) = (to(2), to(40));
-    assert!(of_two == 0 && of_forty > 10, "{of_two}, {of_forty}");
+    let (with_2, with_40) = (sent_to_far(2), sent_to_far(40));
+    assert!(with_2 == 0 && with_40 > 10, "{with_2}, {with_40}");
 }
 
-/// Parts of one query that a replica can hold together share a call, whose own work is then paid once.
+/// Parts of a query share a call if one replica holds all their shards, so the call's own work is needed only once.
 #[test]
 fn neighbouring_parts_share_calls_where_calls_cost_work() {
     let calls = Settings {
@@ -81,11 +82,11 @@
     assert_eq!(
         used.len(),
         2,
-        "three shards in a row have one holder in common: {sent:?}"
+        "three consecutive shards have a holder in common: {sent:?}"
     );
 }
 
-/// Load is counted by call: a replica with one call of two parts in flight is no busier than one with one part.
+/// A call takes at most `max_call_parts` parts, here two of four. The load of a replica is counted in calls and not in parts.
 #[test]
 fn a_call_has_a_limited_number_of_parts() {
     let calls = Settings {
@@ -105,9 +106,10 @@
     assert_eq!(first, 2, "{sent:?}");
 }
 
-/// Found at full size: with a part to a replica every few seconds, a slow one was forgotten before the next.
+/// Guards against a failure seen in a full-size deployment: with only one part per replica every few seconds, the latency of a
+/// slow replica was no longer considered when the next part was sent.
 #[test]
-fn a_slow_replica_is_remembered_for_some_sends() {
+fn a_slow_replica_is_avoided_for_several_parts() {
     let mut driver = warm_fleet(settings(class()));
     driver.pass(20.0);
     let (part, slow) = sends(&driver.query(500, &[0], 3.0))[0];
@@ -118,11 +120,14 @@
         driver.pass(3.0);
         again += usize::from(sends(&driver.round_trip(id, 0, 0.05))[0].1 == slow);
     }
-    assert_eq!(again, 0, "one of ten replicas, a send every 3 s");
+    assert_eq!(
+        again, 0,
+        "parts sent to the slow one of ten replicas, at one part every 3 s"
+    );
 }
 
-/// Found at full size: with a query every two seconds nearly all holders are idle, and every aggregator sent to
-/// the lowest id.
+/// Guards against a failure seen in a full-size deployment: with one query every two seconds nearly all holders are idle, and
+/// every aggregator sent to the holder with the lowest id.
 #[test]
 fn equal_holders_in_the_own_zone_are_chosen_at_random() {
     let far = ReplicaEntry {
@@ -133,21 +138,21 @@
         settings(class()),
         &[far, replica(2), replica(3), replica(4)],
     );
-    let mut taken = std::collections::BTreeMap::new();
+    let mut sent_to = std::collections::BTreeMap::new();
     for id in 1..100 {
         driver.pass(1.0);
-        *taken
+        *sent_to
             .entry(sends(&driver.round_trip(id, 0, 0.05))[0].1 .0)
             .or_insert(0) += 1;
     }
     assert!(
-        !taken.contains_key(&1) && (2..5).all(|id| taken[&id] > 15),
-        "{taken:?}"
+        !sent_to.contains_key(&1) && (2..5).all(|id| sent_to[&id] > 15),
+        "{sent_to:?}"
     );
 }
 
-/// A shard whose holders are all draining is served by them during the grace after the notification, and no longer: the next
-/// endpoint list may have a holder already. Where one is ready, that one is used.
+/// If all holders of a shard are draining, they still receive its parts for a limited time within the drain grace, since the next
+/// endpoint list may contain a new holder. As soon as a holder is ready, only that one is used.
 #[test]
 fn draining_last_holders_are_used_within_the_grace() {
     let in_state = |lifecycle| ReplicaEntry {
@@ -170,16 +175,17 @@
     );
     assert!(
         rejected(&driver.query(4, &[0], 3.0)),
-        "nothing new to a replica that is gone"
+        "a removed replica receives no new parts"
     );
 }
 
-/// The drain grace of the common settings (seconds).
+/// Returns the drain grace of the common settings (seconds).
 fn drain_grace_s() -> f64 {
     settings(class()).drain_grace_s
 }
 
-/// Crossing zones has its price: of two equal replicas the one in the own zone gets the part, even with one in flight there.
+/// A replica in another zone counts as more expensive: of two equal replicas the one in the own zone is selected, even with one
+/// part in flight there.
 #[test]
 fn the_own_zone_is_preferred_while_it_is_not_much_busier() {
     let far = ReplicaEntry {
@@ -187,24 +193,27 @@
         ..replica(1)
     };
     let mut driver = Driver::new(settings(class()), &[far, replica(2)]);
-    let to: Vec<u32> = (1..=3)
+    let sent_to: Vec<u32> = (1..=3)
         .map(|id| sends(&driver.query(id, &[0], 3.0))[0].1 .0)
         .collect();
-    assert_eq!(to, [2, 2, 1]);
+    assert_eq!(sent_to, [2, 2, 1]);
 }
 
-/// Machines are replaced without end, each by one with a new id: what is gone is forgotten.
+/// Each replaced machine gets a new id, so state that is kept for removed replicas would grow without bound.
 #[test]
-fn gone_replicas_are_forgotten() {
+fn the_state_of_removed_replicas_is_discarded() {
     let mut driver = Driver::new(settings(class()), &[replica(1)]);
     for id in 2..500 {
-        let gone = ReplicaEntry {
+        let removed = ReplicaEntry {
             lifecycle: Lifecycle::Removed,
             ..replica(id - 1)
         };
-        driver.list(false, &[replica(id), gone]);
+        driver.list(false, &[replica(id), removed]);
         driver.pass(5.0);
     }
-    let remembered = driver.aggregator.learned_state().replicas.len();
-    assert!(remembered < 10, "{remembered} remembered");
+    let replicas_with_state = driver.aggregator.learned_state().replicas.len();
+    assert!(
+        replicas_with_state < 10,
+        "state of {replicas_with_state} replicas"
+    );
 }
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -1,13 +1,14 @@
-//! Replicas in slow start.
+//! Tests of the limit on parts sent to replicas in slow start.
 
 use crate::common::*;
 use wharfhub::decisions::api::*;
 
 const OK: Outcome = Outcome::Ok;
 
-/// Found on a release under load: retries after a full queue inflated the load that replicas in slow start are limited by.
+/// Guards against a failure seen during a release under load: retries after rejections by full queues raised the measured load
+/// from which the limit of replicas in slow start is derived.
 #[test]
-fn slow_start_is_measured_by_first_attempts_only() {
+fn the_slow_start_limit_is_derived_from_first_attempts_only() {
     let mut driver = Driver::new(settings(class()), &[replica(1)]);
     for id in 1..200 {
         driver.round_trip(id, 0, 0.05);
@@ -31,7 +32,7 @@
         .iter()
         .filter(|(_, replica)| *replica == ReplicaId(2))
         .count();
-    // 20 queries a second over two replicas, a fifth of the capacity, multiple 2, window 2 s.
+    // About 20 queries per second over two replicas, one fifth of the capacity, overload multiple 2, window 2 s.
     let seconds = driver.now - start;
     assert!(seconds < 2.0);
     assert!(
@@ -40,18 +41,18 @@
     );
 }
 
-/// Many aggregators that know of the same replicas, one in each of 20 cells.
+/// Aggregators that send to the same replicas, of which each of 20 cells has one.
 struct Aggregators {
     drivers: Vec<Driver>,
-    /// Attempts in the first ten seconds, before the slow start.
+    /// Number of attempts in the first ten seconds, before replicas start.
     sent_before: usize,
-    /// Rounds in which an attempt was sent to the first replica after its start.
+    /// Rounds of the attempts that were sent to the first replica after its start.
     rounds_to_warming: Vec<u32>,
     rejections: usize,
 }
 
 const CELLS: u32 = 20;
-/// The round in which replicas start; one lasts a tenth of a second.
+/// Round in which replicas start; a round lasts 0.1 s.
 const START_ROUND: u32 = 100;
 
 fn replicas_started_at(started_at: f64, count: u32) -> Vec<ReplicaEntry> {
@@ -87,7 +88,7 @@
         }
     }
 
-    /// The first `count` replicas start now.
+    /// Reports to all aggregators that the first `count` replicas have started now.
     fn start_replicas(&mut self, count: u32) {
         let entries = replicas_started_at(self.drivers[0].now, count);
         for driver in &mut self.drivers {
@@ -95,9 +96,9 @@
         }
     }
 
-    fn play_round(&mut self, round: u32) {
+    fn run_round(&mut self, round: u32) {
         for (number, driver) in self.drivers.iter_mut().enumerate() {
-            // From one query in 2 s to one in 0.2 s.
+            // The rates range from one query in 2 s to one in 0.2 s.
             if round as usize % (2 + number % 19) == 0 {
                 let shard = (round * 7 + number as u32) % CELLS;
                 let out = driver.query(round + 1, &[shard], 3.0);
@@ -116,54 +117,58 @@
     }
 }
 
-/// Many aggregators at unequal, low rates: together they keep a replica in slow start under its limit without talking, and
-/// still warm it up, also where all holders are in slow start.
+/// Many aggregators with different, low rates together keep a replica in slow start below its limit without communicating with
+/// each other, and still send the replica enough parts to warm up. This holds even if all holders are in slow start.
 #[rstest::rstest]
 #[case::one_in_slow_start(1, 200)]
 #[case::all_in_slow_start(CELLS, 1200)]
-fn aggregators_with_little_traffic_share_a_replica_in_slow_start_by_random_draws(
+fn aggregators_with_little_traffic_share_the_limit_of_a_replica_in_slow_start_by_random_draws(
     #[case] started: u32,
     #[case] max_rejections: usize,
 ) {
-    let mut many = Aggregators::new();
+    let mut aggregators = Aggregators::new();
     for round in 0..300 {
         if round == START_ROUND {
-            many.start_replicas(started);
+            aggregators.start_replicas(started);
         }
-        many.play_round(round);
+        aggregators.run_round(round);
     }
-    let even_in_window = many.sent_before as f64 / 10.0 / f64::from(CELLS) * 3.0;
-    let rounds = &many.rounds_to_warming;
+    let even_load_per_window = aggregators.sent_before as f64 / 10.0 / f64::from(CELLS) * 3.0;
+    let rounds = &aggregators.rounds_to_warming;
     for start in (START_ROUND..250).step_by(10) {
         let window = start..start + 30;
         let sent = rounds.iter().filter(|round| window.contains(round)).count() as f64;
         let capacity = 0.2 + 0.8 * f64::from(start - START_ROUND) / 200.0;
         assert!(
-            sent <= 2.0 * capacity * even_in_window,
-            "{sent} at {start}, {started} in slow start"
+            sent <= 2.0 * capacity * even_load_per_window,
+            "{sent} parts in 3 s from round {start}, with {started} replicas in slow start"
         );
     }
-    assert!(rounds.len() >= 5, "it is warmed up: {rounds:?}");
-    let rejections = many.rejections;
+    assert!(
+        rounds.len() >= 5,
+        "too few parts to warm up the replica: {rounds:?}"
+    );
+    let rejections = aggregators.rejections;
     assert!(
         rejections < max_rejections,
-        "{rejections} rejected of some 1200"
+        "{rejections} of about 1200 queries rejected"
     );
 }
 
-/// The slow start limit holds for draining replicas too: a last holder that has just started is not overloaded on its way out.
+/// The slow start limit applies to draining replicas too, so that a last holder that has just started is not overloaded while
+/// it drains.
 #[test]
 fn a_draining_last_holder_keeps_its_slow_start_limit() {
-    let fresh = ReplicaEntry {
+    let just_started = ReplicaEntry {
         started_at: 100.0,
         ..replica(1)
     };
-    let mut driver = Driver::new(settings(class()), &[fresh]);
+    let mut driver = Driver::new(settings(class()), &[just_started]);
     driver.list(
         false,
         &[ReplicaEntry {
             lifecycle: Lifecycle::Draining,
-            ..fresh
+            ..just_started
         }],
     );
     let sent: usize = (1..60)
--- a/tests/decisions/two_phase.rs
+++ b/tests/decisions/two_phase.rs
@@ -1,11 +1,11 @@
-//! Queries in two phases.
+//! Tests of queries in two phases.
 
 use crate::common::*;
 use wharfhub::decisions::api::*;
 
 const OK: Outcome = Outcome::Ok;
 
-/// A replica that answers pre-checks.
+/// Returns a replica that answers pre-checks.
 fn pre_checking(id: u32) -> ReplicaEntry {
     ReplicaEntry {
         supports_pre_check: true,
@@ -13,7 +13,7 @@
     }
 }
 
-/// Two classes, the second of which is that of pre-checks, with the latencies known.
+/// Returns a driver with two classes, of which the second counts the pre-checks, and with known latencies.
 fn two_phase_driver(effect: Effect, replicas: &[ReplicaEntry]) -> Driver {
     let mut settings = settings(ClassSettings {
         effect,
@@ -28,7 +28,7 @@
     driver
 }
 
-/// A query with a first phase of that length. Returns the parts sent.
+/// Starts a query whose first phase lasts `length_s`, and returns the parts that were sent.
 fn query_with_pre_check(
     driver: &mut Driver,
     id: u32,
@@ -55,7 +55,7 @@
     sent_parts(&out)
 }
 
-/// A part that was sent.
+/// An attempt of a part.
 #[derive(Clone, Copy, Debug)]
 struct SentPart {
     part: u32,
@@ -63,7 +63,7 @@
     is_pre_check: bool,
 }
 
-/// The parts that were sent.
+/// Returns the parts that these actions send.
 fn sent_parts(actions: &[Action]) -> Vec<SentPart> {
     let sent = actions.iter().filter_map(|action| match action {
         Action::Send {
@@ -81,9 +81,9 @@
     sent.collect()
 }
 
-/// A pre-check answer that something may match is no answer to the part: it is sent in full at once, and that is no retry.
+/// The answer that something may match does not answer the part: the part is sent in full at once, which is not a retry.
 #[test]
-fn a_part_that_may_match_is_sent_in_full_and_another_is_pruned() {
+fn a_part_that_may_match_is_sent_in_full_and_any_other_is_pruned() {
     let mut driver = two_phase_driver(Effect::Idempotent, &[pre_checking(1), pre_checking(2)]);
     let first = query_with_pre_check(&mut driver, 100, &[0], 0.3);
     assert!(first.len() == 1 && first[0].is_pre_check, "{first:?}");
@@ -106,12 +106,12 @@
             query: QueryId(101),
             is_complete: true
         }],
-        "pruned by its replica's pre-check answer"
+        "the pre-check answer prunes the part"
     );
 }
 
 #[test]
-fn an_empty_retry_budget_leaves_the_second_phase_alone() {
+fn the_second_phase_needs_no_retry_budget() {
     let mut settings = settings(class());
     settings.classes.push(settings.classes[0].clone());
     settings.retry_budget = Some(RetryBudget {
@@ -129,21 +129,21 @@
     let out = driver.end(10100, 0, first[0].replica, 0.01, Outcome::Error);
     assert!(
         sent_parts(&out).is_empty(),
-        "what comes after a failure is a retry: {out:?}"
+        "an attempt after a failure is a retry: {out:?}"
     );
 }
 
-/// Parts that must not be repeated, and replicas that don't announce it, never get pre-checks.
+/// Pre-checks are sent only for idempotent classes, and only to replicas that announce support for them.
 #[rstest::rstest]
 #[case(Effect::IdempotentWithKey, true)]
 #[case(Effect::NonIdempotent, true)]
 #[case(Effect::Idempotent, false)]
 fn only_idempotent_classes_and_capable_replicas_get_pre_checks(
     #[case] effect: Effect,
-    #[case] pre_check: bool,
+    #[case] supports_pre_check: bool,
 ) {
     let replicas = [1, 2].map(|id| ReplicaEntry {
-        supports_pre_check: pre_check,
+        supports_pre_check,
         ..replica(id)
     });
     let mut driver = two_phase_driver(effect, &replicas);
@@ -151,13 +151,14 @@
     assert!(sent.len() == 1 && !sent[0].is_pre_check, "{sent:?}");
 }
 
-/// Without a pre-check answer in time, by a failure or a reset, a part is taken to match; the limit on attempts counts both phases.
+/// A part whose pre-check fails or gets no answer in time is treated as matching and sent in full. The limit on attempts counts
+/// the attempts of both phases.
 #[rstest::rstest]
 #[case(Outcome::TimedOut)]
 #[case(Outcome::Error)]
 #[case(Outcome::Reset)]
 #[case(Outcome::ConnectFailed)]
-fn without_a_pre_check_answer_a_part_is_sent_in_full(#[case] outcome: Outcome) {
+fn a_part_without_a_pre_check_answer_is_sent_in_full(#[case] outcome: Outcome) {
     let mut driver = two_phase_driver(Effect::Idempotent, &[pre_checking(1), pre_checking(2)]);
     let mut sent = query_with_pre_check(&mut driver, 100, &[0], 0.3);
     let mut attempts = 0;
@@ -178,9 +179,10 @@
     assert!((2..=4).contains(&attempts), "{attempts}");
 }
 
-/// The replica that answered the pre-check drains between the phases: after the grace nothing goes there.
+/// The replica that answered the pre-check drains between the phases: the part is sent in full to another holder, and nothing
+/// is sent to the draining replica after the grace.
 #[test]
-fn draining_holds_between_the_phases() {
+fn a_replica_that_drains_between_the_phases_is_not_used() {
     let mut driver = two_phase_driver(Effect::Idempotent, &[pre_checking(1), pre_checking(2)]);
     let first = query_with_pre_check(&mut driver, 100, &[0], 2.0);
     let draining = ReplicaEntry {
@@ -194,7 +196,7 @@
         full.len() == 1 && full[0].replica != first[0].replica,
         "{out:?}"
     );
-    // Where no other holds it, it is rejected rather than sent once the grace is over.
+    // Without another holder the part is not sent once the grace is over.
     let mut driver = two_phase_driver(Effect::Idempotent, &[pre_checking(1)]);
     let first = query_with_pre_check(&mut driver, 100, &[0], 2.0);
     driver.list(
@@ -209,14 +211,14 @@
     assert!(sent_parts(&out).is_empty(), "{out:?}");
 }
 
-/// An overdue first attempt gets one hedged request, in full. The late pre-check answer counts all the same: it prunes the
-/// part, or it changes nothing, but it never makes a third attempt.
+/// An overdue pre-check gets one hedged request, which is sent in full. The late answer to the pre-check still counts: it
+/// prunes the part or changes nothing, and never causes a third attempt.
 #[rstest::rstest]
 #[case(OK, true)]
 #[case(Outcome::Matches, false)]
-fn a_late_pre_check_answer_ends_the_hedged_request_or_changes_nothing(
+fn a_late_pre_check_answer_prunes_the_part_or_changes_nothing(
     #[case] answer: Outcome,
-    #[case] ends: bool,
+    #[case] is_pruned: bool,
 ) {
     let mut driver = two_phase_driver(Effect::Idempotent, &[pre_checking(1), pre_checking(2)]);
     for id in 100..140 {
@@ -237,18 +239,18 @@
             query: QueryId(200),
             is_complete: true
         }),
-        ends
+        is_pruned
     );
     assert_eq!(
         out.contains(&Action::Cancel {
             part: PartId(20000),
             attempt: 1
         }),
-        ends
+        is_pruned
     );
 }
 
-/// Rejected by every replica in the first phase: what follows is decided as always, and ends in time.
+/// A query whose pre-checks are rejected by every replica keeps the usual limit on attempts, and ends exactly once.
 #[test]
 fn a_query_rejected_everywhere_in_the_first_phase_ends_once() {
     let mut driver = two_phase_driver(Effect::Idempotent, &[pre_checking(1), pre_checking(2)]);
@@ -271,7 +273,7 @@
         next.extend(sent_parts(&driver.pass(0.01)));
         sent = next;
     }
-    let finals = |action: &&Action| {
+    let is_final_answer = |action: &&Action| {
         matches!(
             action,
             Action::Reject {
@@ -282,13 +284,13 @@
             }
         )
     };
-    assert_eq!(driver.actions.iter().filter(finals).count(), 1);
+    assert_eq!(driver.actions.iter().filter(is_final_answer).count(), 1);
     assert!(attempts.values().all(|count| *count <= 4), "{attempts:?}");
 }
 
-/// Pre-checks count for a replica in slow start like anything else, and raise no other replica's measure.
+/// Pre-checks count towards the limit of a replica in slow start, and do not raise the load from which the limit is derived.
 #[test]
-fn pre_checks_count_for_slow_start() {
+fn pre_checks_count_towards_the_slow_start_limit() {
     let mut driver = two_phase_driver(Effect::Idempotent, &[pre_checking(1)]);
     let warming = ReplicaEntry {
         started_at: driver.now,
@@ -303,16 +305,16 @@
         }
         driver.pass(0.005);
     }
-    // About ten queries a second in full over two replicas, a fifth of the capacity, multiple 2, window 2 s.
+    // About ten full queries per second over two replicas, one fifth of the capacity, overload multiple 2, window 2 s.
     assert!(
         to_warming <= 6,
         "{to_warming} sent to a replica in slow start"
     );
 }
 
-/// Settings that move classes leave a query between its phases as it began.
+/// New settings with other classes do not change a query that is between its phases.
 #[test]
-fn other_settings_leave_open_phases_alone() {
+fn new_settings_do_not_change_a_query_between_its_phases() {
     let mut driver = two_phase_driver(Effect::Idempotent, &[pre_checking(1), pre_checking(2)]);
     let first = query_with_pre_check(&mut driver, 100, &[0], 0.3);
     let settings = Box::new(settings(ClassSettings {
