--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,5 @@
-//! The binary on frames: settings, list banks, crash and restart, and bad input.
+//! Tests of the adapter binary through its frames: settings, numbered endpoint lists, crash and restart of
+//! instances, and invalid input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -13,7 +14,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // The adapter may stop reading at a fault; that is no error of the test.
+    // The write fails if the adapter stops reading at invalid input, which some tests expect.
     let _ = child.stdin.take().unwrap().write_all(input);
     child.wait_with_output().unwrap()
 }
@@ -36,8 +37,8 @@
     out
 }
 
-fn catalog(bank: u8, replica: u32) -> Vec<u8> {
-    let mut out = vec![11, bank];
+fn catalog(list_number: u8, replica: u32) -> Vec<u8> {
+    let mut out = vec![11, list_number];
     out.extend(1u32.to_le_bytes());
     out.extend(replica.to_le_bytes());
     out.extend([0, 0, 0, 0, 1]);
@@ -46,16 +47,16 @@
     out
 }
 
-fn endpoints(instance: u32, how: u8, bank: u8) -> Vec<u8> {
+fn endpoints(instance: u32, kind: u8, list_number: u8) -> Vec<u8> {
     let mut out = vec![2];
     out.extend(instance.to_le_bytes());
-    out.push(how);
+    out.push(kind);
     out.extend(1u64.to_le_bytes());
-    out.push(bank);
+    out.push(list_number);
     out
 }
 
-fn ingress(instance: u32, id: u32, shard: f32, amount: f32) -> Vec<u8> {
+fn ingress(instance: u32, id: u32, shard: f32, weight: f32) -> Vec<u8> {
     let mut out = vec![3];
     out.extend(instance.to_le_bytes());
     out.extend(id.to_le_bytes());
@@ -66,7 +67,7 @@
     out.extend(0f64.to_le_bytes());
     out.extend(9f32.to_le_bytes());
     out.extend(shard.to_le_bytes());
-    out.extend(amount.to_le_bytes());
+    out.extend(weight.to_le_bytes());
     out.extend([0; 2]);
     out
 }
@@ -77,16 +78,16 @@
     out
 }
 
-/// Replicas of the ATTEMPT records of a reply made of TIMER and ATTEMPT records.
+/// Returns the instance and the replica of each ATTEMPT record in replies that consist of TIMER and ATTEMPT records.
 fn attempts(mut reply: &[u8]) -> Vec<(u32, u32)> {
-    let word = |at: &[u8]| u32::from_le_bytes(at[..4].try_into().unwrap());
+    let u32_at = |bytes: &[u8]| u32::from_le_bytes(bytes[..4].try_into().unwrap());
     let mut out = Vec::new();
     while !reply.is_empty() {
-        let length = word(reply) as usize;
+        let length = u32_at(reply) as usize;
         let mut records = &reply[4..length];
         while !records.is_empty() {
             match records[0] {
-                1 => out.push((word(&records[1..]), word(&records[9..]))),
+                1 => out.push((u32_at(&records[1..]), u32_at(&records[9..]))),
                 5 => {}
                 other => panic!("unexpected action {other}"),
             }
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn banks_are_reused_in_a_batch_and_instances_start_again_in_it() {
+fn a_batch_may_redefine_lists_and_restart_instances() {
     let settings = SETTINGS.as_bytes();
     let records = [
         init(1, settings),
@@ -127,11 +128,11 @@
 }
 
 #[test]
-fn a_clean_end_is_a_success_and_bad_input_one_plain_line() {
+fn the_end_of_input_is_a_success_and_invalid_input_prints_one_line() {
     assert!(run(&[]).status.success());
-    let with = |bytes: &[u8]| frame(1.0, &[bytes.to_vec()]);
-    let mut endless = frame(1.0, &[]);
-    endless[4..8].copy_from_slice(&u32::MAX.to_le_bytes());
+    let frame_with_record = |bytes: &[u8]| frame(1.0, &[bytes.to_vec()]);
+    let mut too_many_records = frame(1.0, &[]);
+    too_many_records[4..8].copy_from_slice(&u32::MAX.to_le_bytes());
     let mut huge = vec![11, 0];
     huge.extend(u32::MAX.to_le_bytes());
     let cases: [(Vec<u8>, &str); 12] = [
@@ -142,13 +143,16 @@
             "input ended inside a frame",
         ),
         (3u32.to_le_bytes().to_vec(), "shorter than its header"),
-        (with(&[77, 0, 0, 0, 0]), "unknown event code 77"),
-        (with(&[7, 1, 0, 0, 0, 1]), "DEADLINE_HIT"),
-        (endless, "record 0 (code)"),
-        (with(&huge), "CATALOG"),
-        (with(&endpoints(1, 4, 3)), "is not defined"),
-        (with(&init(1, b"\xff\xfe")), "UTF-8"),
-        (with(&init(1, b"{}")), "categories"),
+        (
+            frame_with_record(&[77, 0, 0, 0, 0]),
+            "unknown event code 77",
+        ),
+        (frame_with_record(&[7, 1, 0, 0, 0, 1]), "DEADLINE_HIT"),
+        (too_many_records, "record 0 (code)"),
+        (frame_with_record(&huge), "CATALOG"),
+        (frame_with_record(&endpoints(1, 4, 3)), "is not defined"),
+        (frame_with_record(&init(1, b"\xff\xfe")), "UTF-8"),
+        (frame_with_record(&init(1, b"{}")), "categories"),
         ([frame(1.0, &[]), frame(f64::NAN, &[])].concat(), "clock"),
     ];
     for (input, expected) in cases {
@@ -160,9 +164,9 @@
             "{expected}: {text}"
         );
     }
-    let mut long = frame(1.0, &[vec![7; 13]]);
-    long[4..8].copy_from_slice(&0u32.to_le_bytes());
-    assert!(String::from_utf8(run(&long).stderr)
+    let mut unread_bytes = frame(1.0, &[vec![7; 13]]);
+    unread_bytes[4..8].copy_from_slice(&0u32.to_le_bytes());
+    assert!(String::from_utf8(run(&unread_bytes).stderr)
         .unwrap()
         .contains("13 bytes left"));
 }
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -1,4 +1,5 @@
-//! A connection to a leaf server by itself: what is sent on it, and when it counts as suspect or silent.
+//! Tests of a connection to a leaf server and of the coordinator's calls: which calls are sent, and when a connection counts as
+//! suspect or silent.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
@@ -11,19 +12,21 @@
 
 const MAX_SILENCE_S: f64 = 0.1;
 
-/// A connection that is up.
-fn connection() -> (TcpListener, ReplicaConnection) {
-    let (listener, mut leaf) = establishing();
-    leaf.mark_connected(0.0);
-    (listener, leaf)
+/// Returns an established connection and the listener of its peer.
+fn established_connection() -> (TcpListener, ReplicaConnection) {
+    let (listener, mut connection) = pending_connection();
+    connection.mark_connected(0.0);
+    (listener, connection)
 }
 
-/// A connection that has not come up.
-fn establishing() -> (TcpListener, ReplicaConnection) {
-    let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a port");
-    let address: SocketAddr = listener.local_addr().expect("an address");
-    let stream = TcpStream::connect(address).expect("a connection");
-    stream.set_nonblocking(true).expect("a socket");
+/// Returns a connection that is not yet marked as established, and the listener of its peer.
+fn pending_connection() -> (TcpListener, ReplicaConnection) {
+    let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a local port is free");
+    let address: SocketAddr = listener.local_addr().expect("the listener has an address");
+    let stream = TcpStream::connect(address).expect("the listener accepts connections");
+    stream
+        .set_nonblocking(true)
+        .expect("the socket can be made non-blocking");
     let stream = mio::net::TcpStream::from_std(stream);
     let setup = ReplicaConnectionSetup {
         replica: ReplicaId(1),
@@ -35,8 +38,8 @@
     (listener, ReplicaConnection::new(stream, setup, 0.0))
 }
 
-/// A part of shard 3 that leaves in a call.
-fn call_part(attempt: AttemptKey, id: &str, text: &str, send_by: f64) -> CallPart {
+/// Returns a part of shard 3 for a call.
+fn call_part(attempt: AttemptKey, id: &str, payload: &str, send_by: f64) -> CallPart {
     let parts = vec![PartRequest {
         shard: 3,
         weight: 1.0,
@@ -44,7 +47,7 @@
     }];
     let query_request = Rc::new(QueryRequest {
         id: id.into(),
-        payload: text.into(),
+        payload: payload.into(),
         parts,
         ..QueryRequest::default()
     });
@@ -59,100 +62,116 @@
     }
 }
 
-/// All bytes that were received on a connection until its end.
+/// Accepts one connection and returns all bytes that are received on it until its end.
 fn received(listener: &TcpListener) -> Vec<u8> {
-    let (mut peer, mut bytes) = (listener.accept().expect("a connection").0, Vec::new());
-    std::io::Read::read_to_end(&mut peer, &mut bytes).expect("all of it");
+    let (mut peer, mut bytes) = (
+        listener.accept().expect("the peer has connected").0,
+        Vec::new(),
+    );
+    std::io::Read::read_to_end(&mut peer, &mut bytes)
+        .expect("the connection can be read to its end");
     bytes
 }
 
-/// Sends a call of one part at that time.
+/// Sends a call of one part at `now`, and returns its attempt.
 fn send_part(
-    leaf: &mut ReplicaConnection,
+    connection: &mut ReplicaConnection,
     keys: &mut slotmap::SlotMap<AttemptKey, ()>,
     now: f64,
 ) -> AttemptKey {
     let attempt = keys.insert(());
-    leaf.queue_call(
+    connection.queue_call(
         &[call_part(attempt, &format!("q{now}"), "t", f64::INFINITY)],
         now,
     );
-    leaf.flush(|_| Some(0.0), &mut Vec::new())
-        .expect("room in the socket");
+    connection
+        .flush(|_| Some(0.0), &mut Vec::new())
+        .expect("the socket accepts the bytes");
     attempt
 }
 
-/// Beyond the window the leaf server no longer recognizes a retry: one that has waited for its connection for too long must
-/// not be sent.
+/// After the idempotency window a leaf server no longer recognizes a retry, so a retry that has waited too long for its
+/// connection must not be sent.
 #[test]
 fn a_retry_that_waits_for_its_connection_is_not_sent_after_its_window() {
-    let (listener, mut leaf) = establishing();
+    let (listener, mut connection) = pending_connection();
     let mut keys = slotmap::SlotMap::with_key();
-    let mut call = |leaf: &mut ReplicaConnection, id: &str, send_by: f64| {
+    let mut call = |connection: &mut ReplicaConnection, id: &str, send_by: f64| {
         let attempt = keys.insert(());
-        leaf.queue_call(&[call_part(attempt, id, "t", send_by)], 1.0);
+        connection.queue_call(&[call_part(attempt, id, "t", send_by)], 1.0);
         attempt
     };
-    let (late, sound) = (call(&mut leaf, "late", 1.1), call(&mut leaf, "sound", 1.3));
-    assert!(leaf.withdraw_late(1.1).is_empty(), "it may still leave");
-    assert_eq!(leaf.withdraw_late(1.2), [late]);
-    leaf.mark_connected(1.2);
-    leaf.flush(|_| Some(0.0), &mut Vec::new())
-        .expect("room in the socket");
-    assert!(leaf.withdraw_late(9.0).is_empty(), "what has left has left");
-    assert!(!leaf.is_unused() && !leaf.cancel(sound, 1.25, MAX_SILENCE_S));
-    drop(leaf);
+    let (late, timely) = (
+        call(&mut connection, "late", 1.1),
+        call(&mut connection, "timely", 1.3),
+    );
+    assert!(
+        connection.withdraw_late(1.1).is_empty(),
+        "both calls may still be sent"
+    );
+    assert_eq!(connection.withdraw_late(1.2), [late]);
+    connection.mark_connected(1.2);
+    connection
+        .flush(|_| Some(0.0), &mut Vec::new())
+        .expect("the socket accepts the bytes");
+    assert!(
+        connection.withdraw_late(9.0).is_empty(),
+        "calls that were sent can't be withdrawn"
+    );
+    assert!(!connection.is_unused() && !connection.cancel(timely, 1.25, MAX_SILENCE_S));
+    drop(connection);
     let bytes = received(&listener);
     let text = String::from_utf8_lossy(&bytes);
     assert!(
-        text.contains("sound.3") && !text.contains("late.3"),
+        text.contains("timely.3") && !text.contains("late.3"),
         "{text}"
     );
 }
 
-/// Cancelled parts are not answered. If the silence after them counted, each hedged request would cost a leaf server a
+/// Cancelled parts are not answered. If the silence after a cancellation counted, each hedged request would cost a leaf server a
 /// handshake.
 #[test]
 fn a_connection_is_not_suspect_for_cancelled_parts() {
-    let (_listener, mut leaf) = connection();
+    let (_listener, mut connection) = established_connection();
     let mut keys = slotmap::SlotMap::with_key();
-    let attempt = send_part(&mut leaf, &mut keys, 1.0);
-    assert!(!leaf.cancel(attempt, 1.05, MAX_SILENCE_S));
+    let attempt = send_part(&mut connection, &mut keys, 1.0);
+    assert!(!connection.cancel(attempt, 1.05, MAX_SILENCE_S));
     assert!(
-        !leaf.is_suspect(5.0, MAX_SILENCE_S),
-        "it was silent for less than the limit"
+        !connection.is_suspect(5.0, MAX_SILENCE_S),
+        "the connection was silent for less than the limit"
     );
-    let attempt = send_part(&mut leaf, &mut keys, 6.0);
+    let attempt = send_part(&mut connection, &mut keys, 6.0);
     assert!(
-        leaf.is_suspect(6.2, MAX_SILENCE_S),
+        connection.is_suspect(6.2, MAX_SILENCE_S),
         "a part is in flight again"
     );
-    assert!(!leaf.cancel(attempt, 6.2, MAX_SILENCE_S));
+    assert!(!connection.cancel(attempt, 6.2, MAX_SILENCE_S));
     assert!(
-        leaf.is_suspect(9.0, MAX_SILENCE_S),
-        "it was silent for too long before, and stays suspect"
+        connection.is_suspect(9.0, MAX_SILENCE_S),
+        "the connection was silent for longer than the limit before, and stays suspect"
     );
 }
 
 #[test]
 fn a_connection_with_another_part_in_flight_stays_suspect() {
-    let (_listener, mut leaf) = connection();
+    let (_listener, mut connection) = established_connection();
     let mut keys = slotmap::SlotMap::with_key();
     let (first, _second) = (
-        send_part(&mut leaf, &mut keys, 1.0),
-        send_part(&mut leaf, &mut keys, 1.01),
+        send_part(&mut connection, &mut keys, 1.0),
+        send_part(&mut connection, &mut keys, 1.01),
     );
-    assert!(!leaf.cancel(first, 1.05, MAX_SILENCE_S));
-    assert!(leaf.is_suspect(1.2, MAX_SILENCE_S));
+    assert!(!connection.cancel(first, 1.05, MAX_SILENCE_S));
+    assert!(connection.is_suspect(1.2, MAX_SILENCE_S));
 }
 
-/// The window counts from the first attempt that may have run; one that is known not to have run does not begin it.
+/// The window of the class starts with the first attempt that may have been executed, and not with an attempt that was certainly
+/// not executed.
 #[test]
-fn a_retry_has_to_be_sent_within_the_window_of_its_class() {
+fn a_retry_must_be_sent_within_the_window_of_its_class() {
     let settings =
         br#"{"categories":[{"name":"hold","aimS":1,"giveUpS":5,"effect":"dedup","windowS":2.5}],
         "permissions":{"sendCap":4},"familyInfo":{"cells":1,"slabs":1}}"#;
-    let deployment = Rc::new(wharfhub::config::decode(settings).expect("settings"));
+    let deployment = Rc::new(wharfhub::config::decode(settings).expect("the settings are valid"));
     let (mut coordinator, mut out) = (Coordinator::new(deployment, 7, 100.0), Vec::new());
     let entry = |id| ReplicaEntry {
         id: ReplicaId(id),
@@ -186,42 +205,42 @@
             .drain(..)
             .filter_map(|command| call(&command))
             .next_back()
-            .expect("it is tried again");
+            .expect("an attempt is started");
         send_by.push(by);
         coordinator.attempt_ended(now + 0.1, attempt, outcome, None, &mut out);
     }
     assert_eq!(
         send_by[..2],
         [f64::INFINITY; 2],
-        "what never ran begins no window"
+        "an attempt that was not executed does not start the window"
     );
     assert!((send_by[2] - 102.6).abs() < 1e-6, "{send_by:?}");
 }
 
-/// Where no hedged requests may be sent, parts on a silent connection would otherwise wait for most of the latency objective
-/// though their leaf server answers on another connection.
+/// Without this check, parts on a silent connection would wait for most of the latency objective where no hedged requests may be
+/// sent, although their leaf server answers on another connection.
 #[test]
-fn a_connection_is_silent_once_another_one_answers_what_was_sent_later() {
-    let (_listener, mut leaf) = connection();
+fn a_connection_is_silent_once_another_connection_answers_a_later_call() {
+    let (_listener, mut connection) = established_connection();
     let mut keys = slotmap::SlotMap::with_key();
-    send_part(&mut leaf, &mut keys, 1.0);
+    send_part(&mut connection, &mut keys, 1.0);
     assert!(
-        !leaf.is_silent_while_another_answers(1.05, MAX_SILENCE_S, 1.04),
-        "it has not been silent for long"
+        !connection.is_silent_while_another_answers(1.05, MAX_SILENCE_S, 1.04),
+        "the connection was silent for less than the limit"
     );
     assert!(
-        !leaf.is_silent_while_another_answers(1.2, MAX_SILENCE_S, 0.9),
-        "what was sent earlier may well be answered earlier"
+        !connection.is_silent_while_another_answers(1.2, MAX_SILENCE_S, 0.9),
+        "the answer to an earlier call may well arrive earlier"
     );
-    assert!(leaf.is_silent_while_another_answers(1.15, MAX_SILENCE_S, 1.12));
+    assert!(connection.is_silent_while_another_answers(1.15, MAX_SILENCE_S, 1.12));
 }
 
-/// A call of three parts waits for its connection, and the client of two of them disconnects: only the third is sent. Where
-/// the client of all disconnects, nothing is.
+/// A call of three parts waits for its connection. If two of the parts are cancelled because their client disconnects, only the
+/// third part is sent; if all parts are cancelled, nothing is sent.
 #[test]
 fn cancelled_parts_are_removed_from_a_call_that_is_not_sent_yet() {
-    for (gone, left) in [(vec![0, 2], vec!["q1.3"]), (vec![0, 1, 2], vec![])] {
-        let (listener, mut leaf) = establishing();
+    for (cancelled, remaining) in [(vec![0, 2], vec!["q1.3"]), (vec![0, 1, 2], vec![])] {
+        let (listener, mut connection) = pending_connection();
         let mut keys: slotmap::SlotMap<AttemptKey, ()> = slotmap::SlotMap::with_key();
         let attempts: Vec<AttemptKey> = (0..3).map(|_| keys.insert(())).collect();
         let part = |number: usize| {
@@ -233,49 +252,51 @@
                 f64::INFINITY,
             )
         };
-        leaf.queue_call(&[part(0), part(1), part(2)], 1.0);
-        // One is cancelled, the others are only withdrawn, as for leaf servers that take no cancellations.
-        for number in gone {
-            let is_cancelled = number == 0 && !leaf.cancel(attempts[0], 1.0, MAX_SILENCE_S);
-            assert!(is_cancelled || leaf.withdraw_unsent(attempts[number]));
+        connection.queue_call(&[part(0), part(1), part(2)], 1.0);
+        // The first part is cancelled; the others are only withdrawn, as for leaf servers that support no cancellation.
+        for number in cancelled {
+            let is_cancelled = number == 0 && !connection.cancel(attempts[0], 1.0, MAX_SILENCE_S);
+            assert!(is_cancelled || connection.withdraw_unsent(attempts[number]));
         }
-        leaf.mark_connected(1.0);
-        leaf.flush(|_| Some(0.0), &mut Vec::new())
-            .expect("room in the socket");
-        let again = leaf.withdraw_unsent(attempts[1]);
-        assert!(!again, "what has left has left");
-        drop(leaf);
+        connection.mark_connected(1.0);
+        connection
+            .flush(|_| Some(0.0), &mut Vec::new())
+            .expect("the socket accepts the bytes");
+        let is_withdrawn = connection.withdraw_unsent(attempts[1]);
+        assert!(!is_withdrawn, "calls that were sent can't be withdrawn");
+        drop(connection);
         let bytes = received(&listener);
-        let wanted = left
+        let expected = remaining
             .iter()
             .map(|id| format!("{id} 3 d=1000 20\n{}", "t".repeat(20)));
-        let wanted: Vec<u8> = wanted
+        let expected: Vec<u8> = expected
             .flat_map(|part| {
                 let head = (part.len() as u32 + 1).to_be_bytes();
                 [&head[..], b"q", part.as_bytes()].concat()
             })
             .collect();
-        assert_eq!(bytes, wanted, "{}", String::from_utf8_lossy(&bytes));
+        assert_eq!(bytes, expected, "{}", String::from_utf8_lossy(&bytes));
     }
 }
 
-/// The timeout that a leaf server is sent must not exceed what the client has left.
+/// The timeout that is sent to a leaf server must not exceed the client's remaining time.
 #[test]
-fn a_call_that_waited_for_its_connection_is_sent_with_the_time_that_is_left() {
-    let (listener, mut leaf) = establishing();
+fn a_call_that_waited_for_its_connection_is_sent_with_its_remaining_timeout() {
+    let (listener, mut connection) = pending_connection();
     let mut keys = slotmap::SlotMap::with_key();
-    let attempt = send_part(&mut leaf, &mut keys, 1.0);
-    let withdrawn = send_part(&mut leaf, &mut keys, 1.25);
-    assert!(leaf.withdraw_unsent(withdrawn));
-    leaf.mark_connected(1.75);
-    leaf.flush(|_| Some(0.0), &mut Vec::new())
-        .expect("room in the socket");
+    let attempt = send_part(&mut connection, &mut keys, 1.0);
+    let withdrawn = send_part(&mut connection, &mut keys, 1.25);
+    assert!(connection.withdraw_unsent(withdrawn));
+    connection.mark_connected(1.75);
+    connection
+        .flush(|_| Some(0.0), &mut Vec::new())
+        .expect("the socket accepts the bytes");
     assert!(
-        leaf.has_nothing_to_send() && !leaf.withdraw_unsent(attempt),
-        "it has left"
+        connection.has_nothing_to_send() && !connection.withdraw_unsent(attempt),
+        "the call was sent"
     );
-    send_part(&mut leaf, &mut keys, 2.0);
-    drop(leaf);
+    send_part(&mut connection, &mut keys, 2.0);
+    drop(connection);
     let bytes = received(&listener);
     let text = String::from_utf8_lossy(&bytes);
     assert!(
@@ -285,9 +306,9 @@
     assert!(!text.contains("q1.25"), "{text}");
 }
 
-/// A coordinator with a request of one part, whose attempt is in flight; and the request.
-fn held(
-    cancel: bool,
+/// Returns a coordinator with a request of one part whose attempt is in flight, the commands so far, and the key of the request.
+fn coordinator_with_request(
+    can_cancel: bool,
 ) -> (
     Coordinator,
     Vec<Command>,
@@ -295,9 +316,10 @@
 ) {
     let settings = format!(
         r#"{{"categories":[{{"name":"slot","aimS":1,"giveUpS":5,"effect":"retryable"}}],
-        "permissions":{{"sendCap":4,"cancelling":{cancel}}},"familyInfo":{{"cells":1,"slabs":1}}}}"#
+        "permissions":{{"sendCap":4,"cancelling":{can_cancel}}},"familyInfo":{{"cells":1,"slabs":1}}}}"#
     );
-    let deployment = Rc::new(wharfhub::config::decode(settings.as_bytes()).expect("settings"));
+    let deployment =
+        Rc::new(wharfhub::config::decode(settings.as_bytes()).expect("the settings are valid"));
     let (mut coordinator, mut out) = (Coordinator::new(deployment, 7, 0.0), Vec::new());
     coordinator.update_endpoints(
         0.0,
@@ -324,8 +346,8 @@
     (coordinator, out, key)
 }
 
-/// The attempts that are to leave.
-fn calls(out: &[Command]) -> Vec<AttemptKey> {
+/// Returns the attempts that the commands start.
+fn started_attempts(out: &[Command]) -> Vec<AttemptKey> {
     let call = |command: &Command| match command {
         Command::Call { parts, .. } => parts.iter().map(|part| part.attempt).collect(),
         _ => Vec::new(),
@@ -333,22 +355,26 @@
     out.iter().flat_map(call).collect()
 }
 
-/// Also where attempts can't be cancelled, those of a request that has ended are not sent if they still wait.
+/// Where attempts can be cancelled, a cancellation also keeps an unsent attempt from being sent.
 #[test]
 fn a_request_that_has_ended_withdraws_its_unsent_attempts_where_none_can_be_cancelled() {
-    for cancel in [false, true] {
-        let (mut coordinator, mut out, key) = held(cancel);
-        let attempts: Vec<AttemptKey> = calls(&out);
+    for can_cancel in [false, true] {
+        let (mut coordinator, mut out, key) = coordinator_with_request(can_cancel);
+        let attempts: Vec<AttemptKey> = started_attempts(&out);
         assert_eq!(attempts.len(), 1, "{out:?}");
         out.clear();
         coordinator.client_disconnected(0.2, key, &mut out);
-        let unsent = out
+        let is_withdrawn = out
             .iter()
             .any(|c| matches!(c, Command::Withdraw { attempt } if *attempt == attempts[0]));
         let is_cancelled = out
             .iter()
             .any(|c| matches!(c, Command::Cancel { attempt } if *attempt == attempts[0]));
-        assert_eq!((unsent, is_cancelled), (!cancel, cancel), "{out:?}");
+        assert_eq!(
+            (is_withdrawn, is_cancelled),
+            (!can_cancel, can_cancel),
+            "{out:?}"
+        );
         coordinator.attempt_ended(0.3, attempts[0], Outcome::Superseded, None, &mut out);
         out.clear();
         coordinator.wake(
@@ -357,30 +383,32 @@
             &mut out,
         );
         assert!(
-            calls(&out).is_empty(),
-            "nothing is begun for it any more: {out:?}"
+            started_attempts(&out).is_empty(),
+            "no attempt is started for the ended request: {out:?}"
         );
     }
 }
 
-/// The invariants are checked before the first byte of each call: a forbidden call is not sent, and the one after it is.
+/// The invariants are checked before the first byte of each call is written. A forbidden call is withdrawn, and the call after it
+/// is sent.
 #[test]
 fn a_call_that_an_invariant_forbids_is_not_sent() {
-    let (listener, mut leaf) = connection();
+    let (listener, mut connection) = established_connection();
     let mut keys = slotmap::SlotMap::with_key();
     let (forbidden, allowed) = (keys.insert(()), keys.insert(()));
-    leaf.queue_call(&[call_part(forbidden, "forbidden", "t", 5.0)], 1.0);
-    leaf.queue_call(&[call_part(allowed, "allowed", "t", f64::INFINITY)], 1.0);
-    assert_eq!(leaf.unsent_attempts(), [forbidden, allowed]);
+    connection.queue_call(&[call_part(forbidden, "forbidden", "t", 5.0)], 1.0);
+    connection.queue_call(&[call_part(allowed, "allowed", "t", f64::INFINITY)], 1.0);
+    assert_eq!(connection.unsent_attempts(), [forbidden, allowed]);
     let mut withdrawn = Vec::new();
-    leaf.flush(|call| (call.send_by > 5.0).then_some(0.0), &mut withdrawn)
-        .expect("room in the socket");
+    connection
+        .flush(|call| (call.send_by > 5.0).then_some(0.0), &mut withdrawn)
+        .expect("the socket accepts the bytes");
     assert_eq!(
-        (withdrawn, leaf.take_started_calls().len()),
+        (withdrawn, connection.take_started_calls().len()),
         (vec![forbidden], 1)
     );
-    assert!(leaf.unsent_attempts().is_empty() && !leaf.is_unused());
-    drop(leaf);
+    assert!(connection.unsent_attempts().is_empty() && !connection.is_unused());
+    drop(connection);
     let text = String::from_utf8_lossy(&received(&listener)).into_owned();
     assert!(
         text.contains("allowed.3") && !text.contains("forbidden.3"),
@@ -388,33 +416,42 @@
     );
 }
 
-/// A leaf server that reads nothing: the socket is full and one call has left in part. Those behind it are sent with the time
-/// that is left once the socket takes them.
+/// While a leaf server reads nothing, its socket is full and one call is partly sent. The calls after it are sent with their
+/// remaining timeouts once the socket accepts them.
 #[test]
 fn a_full_socket_leaves_one_call_partly_sent_and_others_unsent() {
-    let (listener, mut leaf) = connection();
+    let (listener, mut connection) = established_connection();
     let mut keys = slotmap::SlotMap::with_key();
     let text = "t".repeat(60_000);
     let mut last = Vec::new();
-    while leaf.has_nothing_to_send() {
+    while connection.has_nothing_to_send() {
         let attempt = keys.insert(());
-        leaf.queue_call(&[call_part(attempt, "large", &text, f64::INFINITY)], 1.0);
-        leaf.flush(|_| Some(0.0), &mut Vec::new()).expect("no end");
+        connection.queue_call(&[call_part(attempt, "large", &text, f64::INFINITY)], 1.0);
+        connection
+            .flush(|_| Some(0.0), &mut Vec::new())
+            .expect("the connection stays open");
         last = vec![attempt];
-        assert!(keys.len() < 1_000, "the socket takes all");
+        assert!(
+            keys.len() < 1_000,
+            "the socket is not full after 1000 calls"
+        );
     }
-    assert_eq!(leaf.partly_sent_attempts(), last);
-    assert!(!leaf.withdraw_unsent(last[0]), "it has begun to leave");
+    assert_eq!(connection.partly_sent_attempts(), last);
+    assert!(
+        !connection.withdraw_unsent(last[0]),
+        "a part of the call was sent"
+    );
     let waiting = keys.insert(());
-    leaf.queue_call(&[call_part(waiting, "waiting", "t", f64::INFINITY)], 1.0);
-    leaf.refresh_timeouts(1.5);
+    connection.queue_call(&[call_part(waiting, "waiting", "t", f64::INFINITY)], 1.0);
+    connection.refresh_timeouts(1.5);
     let reader = std::thread::spawn(move || received(&listener));
-    while !leaf.has_nothing_to_send() {
-        leaf.flush(|_| Some(0.0), &mut Vec::new())
-            .expect("room in the socket, in the end");
+    while !connection.has_nothing_to_send() {
+        connection
+            .flush(|_| Some(0.0), &mut Vec::new())
+            .expect("the connection stays open");
     }
-    drop(leaf);
-    let bytes = reader.join().expect("a reader that ends");
+    drop(connection);
+    let bytes = reader.join().expect("the reader thread does not panic");
     let text = String::from_utf8_lossy(&bytes[bytes.len() - 40..]).into_owned();
     assert!(text.contains("waiting.3 3 d=500 1\nt"), "{text}");
 }
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -1,38 +1,38 @@
-//! The six rules under adversarial streams of events with fixed seeds, over varied settings. The referee knows nothing of
-//! the decision module; a test of its own shows it a breach of each rule, which it must see.
+//! Property tests of the six rules of the decision module: random sequences of events from a fixed seed, with varied settings.
+//! The checker is independent of the module's code, and a test of its own passes it a violation of each rule.
 
+mod checker;
 #[path = "../common/mod.rs"]
 mod common;
-mod referee;
 
+use checker::{Attempt, End, Part, Query, RuleChecker};
 use common::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use referee::{Attempt, End, Part, Query, Referee};
 use wharfhub::decisions::api::*;
 
-/// One step of a stream.
+/// One element of a generated sequence.
 #[derive(Clone, Debug)]
-enum Step {
+enum Input {
     Query {
         class: u16,
         parts: u32,
         wait_ms: u32,
-        repeat: bool,
+        is_repeat: bool,
     },
     End {
         pick: usize,
         outcome: usize,
     },
-    Pass {
+    Wait {
         ms: u32,
     },
     List {
         replica: u32,
         state: usize,
-        fresh: bool,
+        is_restart: bool,
     },
-    Stall {
+    Pause {
         ms: u32,
     },
     EndAgain {
@@ -40,19 +40,19 @@
     },
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn input() -> impl Strategy<Value = Input> {
     prop_oneof![
         4 => (0..4u16, 1..7u32, 0..3000u32, any::<bool>())
-            .prop_map(|(class, parts, wait_ms, repeat)| Step::Query { class, parts, wait_ms, repeat }),
-        8 => (any::<usize>(), 0..16usize).prop_map(|(pick, outcome)| Step::End { pick, outcome }),
-        4 => (1..200u32).prop_map(|ms| Step::Pass { ms }),
-        1 => (1..7u32, 0..3usize, any::<bool>()).prop_map(|(replica, state, fresh)| Step::List { replica, state, fresh }),
-        1 => (100..1000u32).prop_map(|ms| Step::Stall { ms }),
-        1 => any::<usize>().prop_map(|pick| Step::EndAgain { pick }),
+            .prop_map(|(class, parts, wait_ms, is_repeat)| Input::Query { class, parts, wait_ms, is_repeat }),
+        8 => (any::<usize>(), 0..16usize).prop_map(|(pick, outcome)| Input::End { pick, outcome }),
+        4 => (1..200u32).prop_map(|ms| Input::Wait { ms }),
+        1 => (1..7u32, 0..3usize, any::<bool>()).prop_map(|(replica, state, is_restart)| Input::List { replica, state, is_restart }),
+        1 => (100..1000u32).prop_map(|ms| Input::Pause { ms }),
+        1 => any::<usize>().prop_map(|pick| Input::EndAgain { pick }),
     ]
 }
 
-fn varied() -> impl Strategy<Value = Settings> {
+fn varied_settings() -> impl Strategy<Value = Settings> {
     (any::<bool>(), any::<bool>(), any::<bool>(), 1..3u32).prop_map(
         |(hedging, retry_budget, cancel, cells)| {
             let base = ClassSettings {
@@ -107,54 +107,57 @@
     )
 }
 
-struct Play {
+/// A run of the decision module under the checker.
+struct Run {
     driver: Driver,
-    referee: Referee,
-    seen: usize,
-    next: u32,
+    checker: RuleChecker,
+    checked_actions: usize,
+    last_query: u32,
 }
 
-impl Play {
-    fn watch(&mut self) {
-        for at in self.seen..self.driver.actions.len() {
-            self.referee
-                .act(self.driver.times[at], &self.driver.actions[at]);
+impl Run {
+    fn check_actions(&mut self) {
+        for index in self.checked_actions..self.driver.actions.len() {
+            self.checker
+                .check_action(self.driver.times[index], &self.driver.actions[index]);
         }
-        self.seen = self.driver.actions.len();
+        self.checked_actions = self.driver.actions.len();
     }
 
-    fn pass(&mut self, seconds: f64) {
+    fn advance(&mut self, seconds: f64) {
         for _ in 0..(seconds / 0.005) as u32 {
             self.driver.pass(0.005);
-            self.watch();
-            self.second_steps();
+            self.check_actions();
+            self.send_second_steps();
         }
     }
 
-    fn second_steps(&mut self) {
+    fn send_second_steps(&mut self) {
         let due: Vec<u32> = self
-            .referee
+            .checker
             .queries
             .iter()
-            .filter(|(_, q)| q.step == 1 && q.finals == 0 && q.step_parts.len() < q.expected)
+            .filter(|(_, q)| {
+                q.step == 1 && q.final_answers == 0 && q.parts_of_step.len() < q.expected_parts
+            })
             .map(|(id, _)| *id)
             .collect();
         for id in due {
-            let expected = self.referee.queries[&id].expected;
-            for index in 0..expected {
-                self.part(
+            let expected_parts = self.checker.queries[&id].expected_parts;
+            for index in 0..expected_parts {
+                self.add_part(
                     id,
                     id * 100 + 50 + index as u32,
                     index as u32,
-                    1.0 / expected as f64,
+                    1.0 / expected_parts as f64,
                 );
             }
         }
     }
 
-    fn part(&mut self, query: u32, part: u32, shard: u32, weight: f64) {
-        self.referee.accepted.push(self.driver.now);
-        self.referee.parts.insert(
+    fn add_part(&mut self, query: u32, part: u32, shard: u32, weight: f64) {
+        self.checker.accepted_times.push(self.driver.now);
+        self.checker.parts.insert(
             part,
             Part {
                 query,
@@ -162,32 +165,36 @@
                 ..Part::default()
             },
         );
-        self.referee
+        self.checker
             .queries
             .get_mut(&query)
-            .expect("held")
-            .step_parts
+            .expect("the query is recorded")
+            .parts_of_step
             .push(part);
         self.driver.part(part, query, shard, weight);
-        self.watch();
+        self.check_actions();
     }
 
-    fn end(&mut self, part: u32, attempt: usize, outcome: Outcome) {
-        let state = self.referee.parts.get_mut(&part).expect("held");
+    fn end_attempt(&mut self, part: u32, attempt: usize, outcome: Outcome) {
+        let state = self
+            .checker
+            .parts
+            .get_mut(&part)
+            .expect("the part is recorded");
         let ended = &mut state.attempts[attempt];
-        let never_ran = matches!(
+        let was_not_executed = matches!(
             outcome,
             Outcome::Rejected | Outcome::ConnectFailed | Outcome::Superseded
         );
-        ended.end = Some(if never_ran {
-            End::NeverRan
+        ended.end = Some(if was_not_executed {
+            End::NotExecuted
         } else {
-            End::MayHaveRun
+            End::MayBeExecuted
         });
         let Attempt {
             sent_at, replica, ..
         } = *ended;
-        state.answered |= outcome == Outcome::Ok;
+        state.is_answered |= outcome == Outcome::Ok;
         self.driver.end(
             part,
             attempt as u8,
@@ -195,42 +202,42 @@
             self.driver.now - sent_at,
             outcome,
         );
-        self.watch();
-        self.second_steps();
+        self.check_actions();
+        self.send_second_steps();
     }
 
-    fn play(&mut self, step: &Step) {
-        match step {
-            Step::Query {
+    fn apply(&mut self, input: &Input) {
+        match input {
+            Input::Query {
                 class,
                 parts,
                 wait_ms,
-                repeat,
-            } => self.query(*class, *parts, *wait_ms, *repeat),
-            Step::End { pick, outcome } => self.end_one(*pick, *outcome),
-            Step::Pass { ms } => self.pass(f64::from(*ms) / 1000.0),
-            Step::Stall { ms } => self.stall(*ms),
-            Step::List {
+                is_repeat,
+            } => self.add_query(*class, *parts, *wait_ms, *is_repeat),
+            Input::End { pick, outcome } => self.end_picked_attempt(*pick, *outcome),
+            Input::Wait { ms } => self.advance(f64::from(*ms) / 1000.0),
+            Input::Pause { ms } => self.pause(*ms),
+            Input::List {
                 replica: id,
                 state,
-                fresh,
-            } => self.list(*id, *state, *fresh),
-            Step::EndAgain { pick } => self.end_again(*pick),
+                is_restart,
+            } => self.update_list(*id, *state, *is_restart),
+            Input::EndAgain { pick } => self.end_first_attempt_again(*pick),
         }
     }
 
-    fn query(&mut self, class: u16, parts: u32, wait_ms: u32, repeat: bool) {
-        self.next += 1;
-        let id = self.next;
+    fn add_query(&mut self, class: u16, parts: u32, wait_ms: u32, is_repeat: bool) {
+        self.last_query += 1;
+        let id = self.last_query;
         let deadline = self.driver.now + f64::from(wait_ms) / 1000.0;
-        self.referee.accepted.push(self.driver.now);
-        let known = Query {
+        self.checker.accepted_times.push(self.driver.now);
+        let state = Query {
             deadline,
             class: usize::from(class),
-            expected: parts as usize,
+            expected_parts: parts as usize,
             ..Query::default()
         };
-        self.referee.queries.insert(id, known);
+        self.checker.queries.insert(id, state);
         self.driver.event(Event::Query(NewQuery {
             id: QueryId(id),
             number: id,
@@ -238,20 +245,20 @@
             tenant: id % 3,
             deadline,
             parts,
-            is_repeat: repeat,
+            is_repeat,
             key: u64::from(id % 5),
             pre_check: None,
         }));
-        self.watch();
+        self.check_actions();
         for index in 0..parts {
-            self.part(id, id * 100 + index, index, 1.0 / f64::from(parts));
+            self.add_part(id, id * 100 + index, index, 1.0 / f64::from(parts));
         }
     }
 
-    /// Ends one of the attempts in flight.
-    fn end_one(&mut self, pick: usize, outcome: usize) {
+    /// Ends one of the attempts in flight, if there are any.
+    fn end_picked_attempt(&mut self, pick: usize, outcome: usize) {
         let mut in_flight: Vec<(u32, usize)> = Vec::new();
-        for (id, part) in &self.referee.parts {
+        for (id, part) in &self.checker.parts {
             let attempts = part.attempts.iter().enumerate();
             let of_part = attempts.filter(|(_, attempt)| attempt.is_in_flight());
             in_flight.extend(of_part.map(|(number, _)| (*id, number)));
@@ -270,52 +277,53 @@
             Outcome::Superseded,
         ];
         let outcome = outcomes.get(outcome).copied().unwrap_or(Outcome::Ok);
-        self.end(part, attempt, outcome);
+        self.end_attempt(part, attempt, outcome);
     }
 
-    /// Nothing is handled meanwhile; deadlines within the stall are not the module's to keep.
-    fn stall(&mut self, ms: u32) {
+    /// Lets time pass without any event, like a pause of the process. Deadlines within the pause can't be met by the module and
+    /// are moved to its end.
+    fn pause(&mut self, ms: u32) {
         self.driver.now += f64::from(ms) / 1000.0;
         let now = self.driver.now;
-        let queries = self.referee.queries.values_mut();
-        for query in queries.filter(|query| query.finals == 0) {
+        let queries = self.checker.queries.values_mut();
+        for query in queries.filter(|query| query.final_answers == 0) {
             query.deadline = query.deadline.max(now);
         }
-        self.pass(0.005);
+        self.advance(0.005);
     }
 
-    fn list(&mut self, id: u32, state: usize, is_restart: bool) {
+    fn update_list(&mut self, id: u32, state: usize, is_restart: bool) {
         let lifecycle = [Lifecycle::Ready, Lifecycle::Draining, Lifecycle::Removed][state];
         let started_at = if is_restart { self.driver.now } else { 0.0 };
         let entry = ReplicaEntry {
             lifecycle,
             started_at,
-            cell: id % self.referee.settings.cells,
+            cell: id % self.checker.settings.cells,
             ..replica(id)
         };
         let now = self.driver.now;
         if lifecycle == Lifecycle::Ready {
-            self.referee.not_ready_since.remove(&entry.id);
+            self.checker.not_ready_since.remove(&entry.id);
         } else {
-            self.referee.not_ready_since.insert(entry.id, now);
+            self.checker.not_ready_since.insert(entry.id, now);
         }
         if lifecycle == Lifecycle::Removed {
-            self.referee.gone.insert(entry.id);
+            self.checker.removed.insert(entry.id);
         } else {
-            self.referee.gone.remove(&entry.id);
+            self.checker.removed.remove(&entry.id);
         }
         if is_restart {
-            self.referee.starts.insert(entry.id, now);
+            self.checker.started_at.insert(entry.id, now);
         }
         self.driver.list(false, &[entry]);
-        self.watch();
+        self.check_actions();
     }
 
-    /// Reports the end of an answered attempt once more.
-    fn end_again(&mut self, pick: usize) {
-        let parts = self.referee.parts.iter();
+    /// Reports an end of the first attempt of an answered part, usually for the second time.
+    fn end_first_attempt_again(&mut self, pick: usize) {
+        let parts = self.checker.parts.iter();
         let answered: Vec<u32> = parts
-            .filter(|(_, part)| part.answered)
+            .filter(|(_, part)| part.is_answered)
             .map(|(id, _)| *id)
             .collect();
         if answered.is_empty() {
@@ -323,12 +331,12 @@
         }
         let part = answered[pick % answered.len()];
         self.driver.end(part, 0, ReplicaId(1), 0.1, Outcome::Ok);
-        self.watch();
+        self.check_actions();
     }
 }
 
 #[test]
-fn the_rules_hold_under_adversarial_streams() {
+fn the_rules_hold_under_adversarial_sequences_of_events() {
     let config = Config {
         cases: 120,
         failure_persistence: None,
@@ -336,8 +344,11 @@
     };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let streams = (varied(), proptest::collection::vec(step(), 1..150));
-    let verdict = runner.run(&streams, |(settings, steps)| {
+    let sequences = (
+        varied_settings(),
+        proptest::collection::vec(input(), 1..150),
+    );
+    let result = runner.run(&sequences, |(settings, inputs)| {
         let replicas: Vec<_> = (1..7)
             .map(|id| ReplicaEntry {
                 cell: id % settings.cells,
@@ -345,33 +356,33 @@
             })
             .collect();
         let driver = Driver::new(settings.clone(), &replicas);
-        let mut play = Play {
+        let mut run = Run {
             driver,
-            referee: Referee::new(&settings),
-            seen: 0,
-            next: 0,
+            checker: RuleChecker::new(&settings),
+            checked_actions: 0,
+            last_query: 0,
         };
-        play.watch();
-        steps.iter().for_each(|step| play.play(step));
-        play.pass(3.5);
-        let open = play
-            .referee
+        run.check_actions();
+        inputs.iter().for_each(|input| run.apply(input));
+        run.advance(3.5);
+        let open = run
+            .checker
             .queries
             .values()
-            .filter(|query| query.finals != 1)
+            .filter(|query| query.final_answers != 1)
             .count();
         prop_assert_eq!(open, 0, "queries without exactly one final answer");
         prop_assert!(
-            play.referee.breaches.is_empty(),
+            run.checker.violations.is_empty(),
             "{:?}",
-            play.referee.breaches
+            run.checker.violations
         );
         Ok(())
     });
-    verdict.unwrap();
+    result.unwrap();
 }
 
-/// A class that is not idempotent and one that is, with no retries at all.
+/// Returns settings with a class that is not idempotent and one that is, and without any retries.
 fn strict_settings() -> Settings {
     let non_idempotent = ClassSettings {
         effect: Effect::NonIdempotent,
@@ -390,15 +401,16 @@
     }
 }
 
-/// What the referee sees in these actions, with an open query of each class and one replica that started at `start`.
-fn breaches_in(start: f64, is_draining: bool, actions: &[Action]) -> String {
-    let mut referee = Referee::new(&strict_settings());
+/// Returns the violations that the checker finds in these actions. There is an open query of each class, and one replica, which
+/// started at `started_at`.
+fn violations_in(started_at: f64, is_draining: bool, actions: &[Action]) -> String {
+    let mut checker = RuleChecker::new(&strict_settings());
     for class in 0..2u32 {
         let query = Query {
             deadline: 1.0,
             class: class as usize,
-            step_parts: vec![class],
-            expected: 1,
+            parts_of_step: vec![class],
+            expected_parts: 1,
             ..Query::default()
         };
         let part = Part {
@@ -406,29 +418,31 @@
             weight: 1.0,
             ..Part::default()
         };
-        referee.queries.insert(class, query);
-        referee.parts.insert(class, part);
+        checker.queries.insert(class, query);
+        checker.parts.insert(class, part);
     }
-    referee.accepted.push(0.0);
-    referee.starts.insert(ReplicaId(1), start);
+    checker.accepted_times.push(0.0);
+    checker.started_at.insert(ReplicaId(1), started_at);
     if is_draining {
-        referee.not_ready_since.insert(ReplicaId(1), -1.0);
+        checker.not_ready_since.insert(ReplicaId(1), -1.0);
     }
-    actions.iter().for_each(|action| referee.act(0.5, action));
-    referee.breaches.join("; ")
+    actions
+        .iter()
+        .for_each(|action| checker.check_action(0.5, action));
+    checker.violations.join("; ")
 }
 
-/// Each check of the referee sees a breach that is made on purpose.
+/// Without this test, a checker that reports nothing would let the property test pass.
 #[test]
-fn the_referee_sees_each_breach() {
+fn the_checker_reports_a_violation_of_each_rule() {
     let send = |part: u32| Action::Send {
         part: PartId(part),
         replica: ReplicaId(1),
         max_timeout_s: 1.0,
         is_pre_check: false,
     };
-    let warm = -100.0;
-    let seen = |actions: &[Action]| breaches_in(warm, false, actions);
+    let long_ago = -100.0;
+    let violations = |actions: &[Action]| violations_in(long_ago, false, actions);
     let fail = Action::Fail { query: QueryId(1) };
     let reject = Action::Reject {
         query: QueryId(0),
@@ -438,17 +452,19 @@
         query: QueryId(1),
         is_complete: true,
     };
-    assert_eq!(seen(&[send(1), fail.clone()]), "");
-    assert!(seen(&[fail.clone(), fail.clone()]).contains("lost"));
-    assert!(seen(&[fail, send(1)]).contains("sent after its end"));
-    assert!(seen(&[send(0), send(0)]).contains("effect: part"));
-    assert!(seen(&[send(0), reject]).contains("rejected"));
-    assert!(breaches_in(warm, true, &[send(1)]).contains("drain"));
-    assert!(breaches_in(0.4, false, &[send(1)]).contains("slow start"));
-    assert!(seen(&[answer]).contains("honest"));
-    let twice = seen(&[send(1), send(1)]);
+    assert_eq!(violations(&[send(1), fail.clone()]), "");
+    assert!(
+        violations(&[fail.clone(), fail.clone()]).contains("final answer: query 1 ended 2 times")
+    );
+    assert!(violations(&[fail, send(1)]).contains("sent after the end"));
+    assert!(violations(&[send(0), send(0)]).contains("effect: part"));
+    assert!(violations(&[send(0), reject]).contains("effect: query rejected"));
+    assert!(violations_in(long_ago, true, &[send(1)]).contains("drain"));
+    assert!(violations_in(0.4, false, &[send(1)]).contains("slow start"));
+    assert!(violations(&[answer]).contains("completeness"));
+    let twice = violations(&[send(1), send(1)]);
     assert!(
-        twice.contains("budget") && twice.contains("attempts"),
+        twice.contains("retry budget") && twice.contains("attempts"),
         "{twice}"
     );
 }
