--- a/crates/wharfhub-testbed/src/experiments/soak.rs
+++ b/crates/wharfhub-testbed/src/experiments/soak.rs
@@ -1,4 +1,4 @@
-//! The randomized fault soak: real daemons under faults that overlap in time, judged from outside, over many seeds.
+//! The `soak` experiment: randomized fault soaks of real daemons with consecutive seeds, checked from outside.
 
 use super::{Failure, Options, Verdict};
 use crate::report::Table;
@@ -8,19 +8,19 @@
 use std::io;
 use std::path::Path;
 
-/// Soaks of a full run, one after the other.
+/// Number of soaks in a full run.
 const SEEDS: u64 = 20;
-/// Soaks of a quick one.
+/// Number of soaks in a quick run.
 const QUICK_SEEDS: u64 = 3;
-/// The part of the experiment that plays its first seed alone, at full size.
+/// Name of the part of the experiment that runs a soak with the first seed only.
 const ONE_SEED: &str = "one";
-/// In the quiet time at the end at least this share is served.
-const MIN_SERVED_AT_THE_END: f64 = 0.9;
-/// Broken rules that are printed of each soak.
-const MAX_PRINTED: usize = 8;
-/// Lines of the mixers' logs that are printed of a soak with broken rules.
+/// Smallest share of requests that have to be served in the last seconds of a soak, when faults have ended.
+const MIN_FINAL_SERVED_SHARE: f64 = 0.9;
+/// Largest number of violations printed for a soak.
+const MAX_PRINTED_VIOLATIONS: usize = 8;
+/// Largest number of lines of the mixers' logs printed for a soak with violations.
 const MAX_PRINTED_LOG_LINES: usize = 40;
-/// What such a line contains: what a mixer found of its own acts, and when it was stopped.
+/// Texts by which log lines are selected for printing: the findings of the mixers' invariant checks, and stalls of the process.
 const PRINTED_LOG_TEXTS: [&str; 3] = [
     "invariant violated",
     "invariant undecided",
@@ -32,33 +32,38 @@
     vec![
         plan.seed.to_string(),
         plan.terms.mixers.to_string(),
-        plan.notified_size.to_string(),
-        if plan.terms.pushed { "pushed" } else { "asked" }.into(),
+        plan.configured_fleet_size.to_string(),
+        if plan.terms.lists_pushed {
+            "pushed"
+        } else {
+            "asked"
+        }
+        .into(),
         plan.faults.len().to_string(),
         counts.all.to_string(),
         counts.served.to_string(),
         counts.refused.to_string(),
         counts.failed.to_string(),
-        counts.left.to_string(),
-        (counts.not_taken + counts.unanswered).to_string(),
+        counts.closed_by_client.to_string(),
+        (counts.not_accepted + counts.unanswered).to_string(),
         outcome.calls.to_string(),
-        format!("{:.3}", outcome.served_at_the_end),
-        outcome.stops.to_string(),
+        format!("{:.3}", outcome.final_served_share),
+        outcome.stopped_actions.to_string(),
         format!("{:.2}", outcome.stalled_s),
         outcome.violations.len().to_string(),
     ]
 }
 
 fn print_violations(plan: &Plan, outcome: &Outcome) {
-    let mut by_rule: BTreeMap<_, usize> = BTreeMap::new();
+    let mut count_by_rule: BTreeMap<_, usize> = BTreeMap::new();
     for violation in &outcome.violations {
-        *by_rule.entry(violation.rule).or_default() += 1;
+        *count_by_rule.entry(violation.rule).or_default() += 1;
     }
-    println!("seed {}: broken {by_rule:?}", plan.seed);
-    for violation in outcome.violations.iter().take(MAX_PRINTED) {
+    println!("seed {}: violations {count_by_rule:?}", plan.seed);
+    for violation in outcome.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         println!(
             "  {:7.3} {:?}: {}",
-            violation.at, violation.rule, violation.what
+            violation.at, violation.rule, violation.description
         );
     }
     for planned in &plan.faults {
@@ -66,7 +71,7 @@
     }
 }
 
-/// Prints what the mixers found of their own acts: the folder with their logs does not outlive a run in CI.
+/// Prints the selected lines of the mixers' logs, because the folder with the logs is not kept after a run in CI.
 fn print_log_lines(folder: &Path) -> io::Result<()> {
     let mut lines = Vec::new();
     for entry in std::fs::read_dir(folder)? {
@@ -81,7 +86,7 @@
         println!("{line}");
     }
     if lines.len() > MAX_PRINTED_LOG_LINES {
-        println!("  and {} lines more", lines.len() - MAX_PRINTED_LOG_LINES);
+        println!("  and {} more lines", lines.len() - MAX_PRINTED_LOG_LINES);
     }
     Ok(())
 }
@@ -112,28 +117,28 @@
         "broken",
     ];
     let mut table = Table::new(&columns);
-    let mut short = Vec::new();
+    let mut shortfalls = Vec::new();
     for seed in options.seed..options.seed + seeds {
         let plan = Plan::draw(seed, options.quick);
         let folder = options.out.join(format!("soak-{seed}"));
-        let (_, outcome) = run::play(&plan, &folder).map_err(Failure::from)?;
+        let (_, outcome) = run::run_plan(&plan, &folder).map_err(Failure::from)?;
         table.row(row(&plan, &outcome));
         if !outcome.violations.is_empty() {
             print_violations(&plan, &outcome);
             print_log_lines(&folder)?;
-            short.push(format!(
-                "seed {seed}: {} rules broken",
+            shortfalls.push(format!(
+                "seed {seed}: {} violations",
                 outcome.violations.len()
             ));
         }
-        if outcome.served_at_the_end < MIN_SERVED_AT_THE_END {
-            short.push(format!(
-                "seed {seed}: {:.3} served at the end",
-                outcome.served_at_the_end
+        if outcome.final_served_share < MIN_FINAL_SERVED_SHARE {
+            shortfalls.push(format!(
+                "seed {seed}: {:.3} of the requests served at the end",
+                outcome.final_served_share
             ));
         }
     }
     print!("{}", table.text());
     table.save(&options.out.join("soak.csv"))?;
-    Ok((!short.is_empty()).then(|| short.join("; ")))
+    Ok((!shortfalls.is_empty()).then(|| shortfalls.join("; ")))
 }
--- a/crates/wharfhub-testbed/src/soak/servers.rs
+++ b/crates/wharfhub-testbed/src/soak/servers.rs
@@ -1,6 +1,7 @@
-//! The leaf servers of a soak: they read at once and note what comes, answer after some milliseconds, and fail as told.
+//! The leaf servers of a soak: they record each part as soon as it arrives, answer after some milliseconds, and behave as
+//! `run.rs` sets.
 //!
-//! A thread for each connection reads, one for each server answers. This file must never decide which fault comes when.
+//! One thread reads from each connection, and one thread for each server writes the answers.
 
 use super::history::{PartCall, Recorder};
 use crate::standin::lock;
@@ -12,30 +13,30 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// Time that a part takes, at least and at most (milliseconds).
+/// Shortest and longest service time of a part (milliseconds).
 const SERVICE_MS: (u64, u64) = (2, 25);
-/// Odds that a call on a server that resets connections meets a reset.
-const RESET_ODDS: f64 = 0.3;
-/// Odds that a server that is full turns a part away.
-const FULL_ODDS: f64 = 0.5;
-/// How often the listener looks whether its server is alive.
-const ACCEPT_TICK: Duration = Duration::from_millis(2);
+/// Probability that a server that resets connections closes the connection on a call.
+const RESET_PROBABILITY: f64 = 0.3;
+/// Probability that an overloaded server rejects a part.
+const REJECT_PROBABILITY: f64 = 0.5;
+/// Interval at which the listener accepts connections and checks whether its server is down.
+const ACCEPT_POLL_INTERVAL: Duration = Duration::from_millis(2);
 const MAX_FRAME_BYTES: usize = 1 << 20;
 
-/// How a server behaves.
+/// The faults of a server that are in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Behavior {
-    /// Its process does not run.
-    pub is_dead: bool,
-    /// It answers nothing.
+    /// The server neither accepts nor keeps connections, as if its process did not run.
+    pub is_down: bool,
+    /// The server records parts and does not answer them.
     pub hangs: bool,
-    /// It resets connections under its calls.
+    /// The server closes connections on some of its calls.
     pub resets: bool,
-    /// It turns work away.
-    pub is_full: bool,
+    /// The server rejects some parts.
+    pub is_overloaded: bool,
 }
 
-/// An answer that is due, in order of time.
+/// An answer with the time at which it is due. Answers are ordered by that time.
 struct Answer {
     due: Instant,
     bytes: Vec<u8>,
@@ -66,59 +67,59 @@
     answers: BinaryHeap<Reverse<Answer>>,
 }
 
-struct Inside {
+struct Shared {
     number: usize,
     state: Mutex<State>,
     changed: Condvar,
     recorder: Arc<Recorder>,
 }
 
-/// A server. Its threads end with the process.
+/// A running leaf server. Its threads run until the process ends.
 pub struct LeafServer {
-    /// Where it listens.
+    /// Address at which the server listens.
     pub address: SocketAddr,
-    inside: Arc<Inside>,
+    shared: Arc<Shared>,
 }
 
 impl LeafServer {
-    /// Starts one.
+    /// Starts a server.
     pub fn start(number: usize, recorder: &Arc<Recorder>) -> io::Result<LeafServer> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let (state, changed, recorder) = (Mutex::default(), Condvar::new(), recorder.clone());
-        let inside = Arc::new(Inside {
+        let shared = Arc::new(Shared {
             number,
             state,
             changed,
             recorder,
         });
-        let (accepting, answering) = (inside.clone(), inside.clone());
-        std::thread::spawn(move || accepting.accept(listener, address));
-        std::thread::spawn(move || answering.answer());
-        Ok(LeafServer { address, inside })
+        let (accepting, writing) = (shared.clone(), shared.clone());
+        std::thread::spawn(move || accepting.accept_connections(listener, address));
+        std::thread::spawn(move || writing.write_answers());
+        Ok(LeafServer { address, shared })
     }
 
-    /// Behaves otherwise from now on.
-    pub fn behave(&self, change: impl FnOnce(&mut Behavior)) {
-        let mut state = lock(&self.inside.state);
+    /// Changes the behavior. A server that is down loses its connections and pending answers.
+    pub fn update_behavior(&self, change: impl FnOnce(&mut Behavior)) {
+        let mut state = lock(&self.shared.state);
         change(&mut state.behavior);
-        if state.behavior.is_dead {
+        if state.behavior.is_down {
             state.answers.clear();
             for connection in state.connections.drain(..) {
                 let _ = connection.shutdown(Shutdown::Both);
             }
         }
-        self.inside.changed.notify_all();
+        self.shared.changed.notify_all();
     }
 }
 
-impl Inside {
-    /// Accepts while the server is alive; its port is closed meanwhile.
-    fn accept(self: Arc<Inside>, listener: TcpListener, address: SocketAddr) {
+impl Shared {
+    /// Accepts connections, and closes the port while the server is down.
+    fn accept_connections(self: Arc<Shared>, listener: TcpListener, address: SocketAddr) {
         let mut listener = Some(listener);
         loop {
-            let is_dead = lock(&self.state).behavior.is_dead;
-            if is_dead {
+            let is_down = lock(&self.state).behavior.is_down;
+            if is_down {
                 listener = None;
             } else if listener.is_none() {
                 listener = TcpListener::bind(address).ok();
@@ -126,19 +127,19 @@
             if let Some(open) = &listener {
                 let _ = open.set_nonblocking(true);
                 while let Ok((stream, _)) = open.accept() {
-                    let inside = self.clone();
-                    // What can't be used ends its connection.
-                    std::thread::spawn(move || inside.serve(stream));
+                    let shared = self.clone();
+                    // An error ends only the connection that it occurs on.
+                    std::thread::spawn(move || shared.read_calls(stream));
                 }
             }
-            std::thread::sleep(ACCEPT_TICK);
+            std::thread::sleep(ACCEPT_POLL_INTERVAL);
         }
     }
 
-    fn serve(&self, mut stream: TcpStream) -> io::Result<()> {
+    fn read_calls(&self, mut stream: TcpStream) -> io::Result<()> {
         stream.set_nonblocking(false)?;
         stream.set_nodelay(true)?;
-        let out = Arc::new(Mutex::new(stream.try_clone()?));
+        let writer = Arc::new(Mutex::new(stream.try_clone()?));
         lock(&self.state).connections.push(stream.try_clone()?);
         let mut length = [0; 4];
         loop {
@@ -150,29 +151,29 @@
             let mut frame = vec![0; length];
             stream.read_exact(&mut frame)?;
             if frame[0] == b'q' {
-                self.take_call(&frame[1..], &out)?;
+                self.receive_call(&frame[1..], &writer)?;
             }
         }
     }
 
-    /// Notes each part of a call and puts its answer off until it is due.
-    fn take_call(&self, frame: &[u8], out: &Arc<Mutex<TcpStream>>) -> io::Result<()> {
+    /// Records each part of a call and queues the answer for the time at which it is due.
+    fn receive_call(&self, frame: &[u8], writer: &Arc<Mutex<TcpStream>>) -> io::Result<()> {
         let at = self.recorder.now();
         let behavior = lock(&self.state).behavior;
-        if behavior.is_dead {
+        if behavior.is_down {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
         let mut rng = rand::rng();
-        let resets = behavior.resets && rng.random_bool(RESET_ODDS);
-        for part in parts(frame).ok_or(io::ErrorKind::InvalidData)? {
-            let is_full = behavior.is_full && rng.random_bool(FULL_ODDS);
-            let mixer = mixer_of(&part.request).ok_or(io::ErrorKind::InvalidData)?;
+        let resets = behavior.resets && rng.random_bool(RESET_PROBABILITY);
+        for part in parse_call(frame).ok_or(io::ErrorKind::InvalidData)? {
+            let is_rejected = behavior.is_overloaded && rng.random_bool(REJECT_PROBABILITY);
+            let mixer = mixer_number(&part.request).ok_or(io::ErrorKind::InvalidData)?;
             let PartLine {
                 request,
                 shard,
                 sent_timeout_s,
             } = part;
-            let end = if is_full { "skipped" } else { "served" };
+            let end = if is_rejected { "skipped" } else { "served" };
             let answer = format!("a{request}.{shard} {end} 1 -\nv");
             let call = PartCall {
                 mixer,
@@ -181,7 +182,7 @@
                 server: self.number,
                 at,
                 sent_timeout_s,
-                never_ran: is_full,
+                never_ran: is_rejected,
             };
             self.recorder.record(|history| history.calls.push(call));
             let mut bytes = (answer.len() as u32).to_be_bytes().to_vec();
@@ -192,27 +193,27 @@
                 lock(&self.state).answers.push(Reverse(Answer {
                     due,
                     bytes,
-                    stream: out.clone(),
+                    stream: writer.clone(),
                 }));
                 self.changed.notify_all();
             }
         }
         if resets {
-            let _ = lock(out).shutdown(Shutdown::Both);
+            let _ = lock(writer).shutdown(Shutdown::Both);
             return Err(io::ErrorKind::ConnectionReset.into());
         }
         Ok(())
     }
 
     /// Writes answers when they are due.
-    fn answer(&self) {
+    fn write_answers(&self) {
         let mut state = lock(&self.state);
         loop {
             let now = Instant::now();
             match state.answers.peek().map(|Reverse(first)| first.due) {
                 Some(due) if due <= now => {
                     if let Some(Reverse(answer)) = state.answers.pop() {
-                        // Whoever asked may have gone.
+                        // The mixer may have closed the connection.
                         let _ = lock(&answer.stream).write_all(&answer.bytes);
                     }
                 }
@@ -235,15 +236,15 @@
     }
 }
 
-/// A part as its line in a call says.
+/// A part as described by its line in a call.
 struct PartLine {
     request: String,
     shard: u32,
     sent_timeout_s: f64,
 }
 
-/// Takes a call apart: for each part a line, and so many bytes of text as it says.
-fn parts(mut rest: &[u8]) -> Option<Vec<PartLine>> {
+/// Parses a call, which has a line for each part, followed by as many bytes of text as the line says.
+fn parse_call(mut rest: &[u8]) -> Option<Vec<PartLine>> {
     let mut found = Vec::new();
     while !rest.is_empty() {
         let end = rest.iter().position(|byte| *byte == b'\n')?;
@@ -269,7 +270,7 @@
     Some(found)
 }
 
-/// Requests bear the number of their mixer in their names: `m7-...`.
-fn mixer_of(request: &str) -> Option<usize> {
+/// Returns the number of the mixer from the ID of a request, which has the form `m7-...`.
+fn mixer_number(request: &str) -> Option<usize> {
     request.strip_prefix('m')?.split('-').next()?.parse().ok()
 }
