--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -193,9 +193,9 @@
     assert!(!rejected(&driver.query(101, &[0], 3.0)));
 }
 
-/// An answer shows the queue at the time at which its part was sent, one latency ago. Guards against a failure seen at Szeged
-/// while capacity was lost: by the time of the answers twice as many attempts were in flight, and 47% of the admitted
-/// queries were answered late.
+/// An answer shows the queue at the time at which its part was sent, one latency ago. Guards against a failure seen with the
+/// testbed's site szeged while capacity was lost: by the time of the answers twice as many attempts were in flight, and 47%
+/// of the admitted queries were answered late.
 #[test]
 fn attempts_in_flight_count_before_any_answer_shows_their_queue() {
     let class = ClassSettings {
@@ -319,14 +319,14 @@
         0,
         "no part is sent to a replica whose call has been in flight for twice as long as any answer took"
     );
-    // Calls have been in flight for long at all replicas: many queries that would hardly be answered in time are rejected.
+    // Calls are in flight for a long time at all replicas: many queries that would hardly be answered in time are rejected.
     let mut driver = warm();
     (100..110).for_each(|id| drop(driver.query(id, &[0], 3.0)));
     driver.pass(0.7);
     let rejections = (200..300)
         .filter(|id| rejected(&driver.query(*id, &[0], 3.0)))
         .count();
-    assert!(rejections > 20, "{rejections} of 100");
+    assert!(rejections > 20, "{rejections} of 100 rejected");
 }
 
 /// If a replica answers a class less than twice per second, the three answers of a reading take more than a second. The price
@@ -348,13 +348,13 @@
         .price;
     assert!(
         price > 2.0,
-        "{price} after 40 s with a queueing delay of 0.5 s"
+        "the price is {price} after 40 s with a queueing delay of 0.5 s"
     );
 }
 
-/// Guards against a failure seen at Szeged at a quick pace: a price of 10 rejected every query of its class. Two answers, too
-/// few for a reading, had arrived in the price interval, so the price did not change for 5 s, ten latency objectives,
-/// although the replica answered other classes within a tenth of the objective.
+/// Guards against a failure seen with the testbed's site szeged at shortened service times and latency objectives: a price of 10
+/// rejected every query of its class. Two answers, too few for a reading, had arrived in the price interval, so the price did
+/// not change for 5 s, ten latency objectives, although the replica answered other classes within a tenth of the objective.
 #[test]
 fn a_price_with_too_few_answers_falls() {
     let short_objective = ClassSettings {
@@ -383,7 +383,7 @@
         rejections += usize::from(rejected(&driver.round_trip(id, 0, 0.01)));
         driver.pass(0.005);
     }
-    assert!(rejections < 150, "{rejections} of 200 in 3 s");
+    assert!(rejections < 150, "{rejections} of 200 rejected in 3 s");
 }
 
 /// Guards against a failure seen with six in ten leaf servers replaced: each of 300 aggregators sent to a congested server too
@@ -395,7 +395,7 @@
 #[case(Outcome::Error, 300, 0)]
 #[case(Outcome::Rejected, 300, 14)]
 #[case(Outcome::Rejected, 2, 0)]
-fn a_query_lost_to_congestion_raises_the_price_for_others(
+fn a_query_that_fails_under_congestion_raises_the_price_of_other_queries(
     #[case] outcome: Outcome,
     #[case] aggregators: u32,
     #[case] min_rejections: usize,
--- a/tests/decisions/crash_detection.rs
+++ b/tests/decisions/crash_detection.rs
@@ -62,8 +62,8 @@
     )));
 }
 
-/// Guards against a failure seen at Szeged while capacity was lost: for 30 s after replicas had crashed every query waited for
-/// its first answer, for up to half a median latency, and its parts were sent in two calls.
+/// Guards against a failure seen with the testbed's site szeged while capacity was lost: for 30 s after replicas had crashed every
+/// query waited for its first answer, for up to half a median latency, and its parts were sent in two calls.
 #[test]
 fn a_first_reset_under_one_query_does_not_delay_other_queries() {
     let mut driver = warm_fleet(settings(class()));
--- a/tests/decisions/hedging.rs
+++ b/tests/decisions/hedging.rs
@@ -48,7 +48,7 @@
     assert!(with_3 < 40, "{with_3} steps of 10 ms");
     assert!(
         (48..60).contains(&with_300),
-        "{with_300} steps of 10 ms: not before half of the objective, and early enough for the hedged request to be served"
+        "{with_300} steps of 10 ms: not before about half of the objective, and early enough for the hedged request to be served"
     );
 }
 
@@ -67,8 +67,8 @@
         driver.pass(0.6).is_empty(),
         "a part that may only be late is not cancelled"
     );
-    // Guards against a failure seen at Szeged: the part stayed at its replica for half as long again after the replica's
-    // ejection, and was answered late.
+    // Guards against a failure seen with the testbed's site szeged: the part stayed at its replica for half as long again after
+    // the replica's ejection, and was answered late.
     let out = driver.pass(0.2);
     assert!(sends(&out).is_empty());
     assert!(out.contains(&Action::Cancel {
--- a/tests/decisions/idle_loss.rs
+++ b/tests/decisions/idle_loss.rs
@@ -97,7 +97,7 @@
     }
     assert!(
         to_failing > 4,
-        "{to_failing} parts, not more than the ejection takes"
+        "{to_failing} parts sent to the failing replica, no more than its ejection takes"
     );
     assert_eq!(closed, 0);
 }
--- a/tests/decisions/outliers.rs
+++ b/tests/decisions/outliers.rs
@@ -81,9 +81,10 @@
         ],
     );
     let faulty = ReplicaId(1);
-    let (mut to_faulty, mut out, mut attempts) =
+    let (mut to_faulty, mut in_flight, mut attempts) =
         ([[0; 2]; 2], Vec::new(), std::collections::BTreeMap::new());
-    // Attempts to start. Those sent when another attempt ends are started after the next query, so that every attempt ends.
+    // Attempts that are not simulated yet. Those sent at the end of another attempt are simulated after the next query, so that
+    // every attempt ends.
     let mut new = Vec::new();
     for id in 1..400 {
         let shard = if id % 2 == 1 { 0 } else { 2 };
@@ -103,14 +104,15 @@
                 } else {
                     0.05
                 };
-                out.push((driver.now + took, part, *attempt, at, took));
+                in_flight.push((driver.now + took, part, *attempt, at, took));
                 *attempt += 1;
             }
             new.extend(sends(&driver.pass(0.05)));
             let now = driver.now;
-            let (due, later): (Vec<_>, Vec<_>) =
-                out.into_iter().partition(|(due, ..)| *due <= now + 1e-9);
-            out = later;
+            let (due, later): (Vec<_>, Vec<_>) = in_flight
+                .into_iter()
+                .partition(|(due, ..)| *due <= now + 1e-9);
+            in_flight = later;
             for (_, part, attempt, at, took) in due {
                 let outcome = if took < 1.0 { OK } else { Outcome::TimedOut };
                 new.extend(sends(&driver.end(part, attempt, at, took, outcome)));
--- a/tests/decisions/retry.rs
+++ b/tests/decisions/retry.rs
@@ -172,7 +172,10 @@
             retries.push(*at);
             let within =
                 |times: &[f64]| times.iter().filter(|t| **t > at - 5.0 && *t <= at).count() as f64;
-            assert!(within(&retries) <= 2.0 + 0.2 * within(&accepted), "at {at}");
+            assert!(
+                within(&retries) <= 2.0 + 0.2 * within(&accepted),
+                "retry budget exceeded at {at}"
+            );
         }
     }
     assert!(retries.len() > 10, "{} retries", retries.len());
--- a/tests/decisions/selection.rs
+++ b/tests/decisions/selection.rs
@@ -61,7 +61,10 @@
         to_far
     };
     let (with_2, with_40) = (sent_to_far(2), sent_to_far(40));
-    assert!(with_2 == 0 && with_40 > 10, "{with_2}, {with_40}");
+    assert!(
+        with_2 == 0 && with_40 > 10,
+        "{with_2} parts to the other zone among 2 aggregators, {with_40} among 40"
+    );
 }
 
 /// Parts of a query share a call if one replica holds all their shards, so the call's own work is needed only once.
@@ -147,7 +150,7 @@
     }
     assert!(
         !sent_to.contains_key(&1) && (2..5).all(|id| sent_to[&id] > 15),
-        "{sent_to:?}"
+        "parts by replica: {sent_to:?}"
     );
 }
 
--- a/tests/rules/checker.rs
+++ b/tests/rules/checker.rs
@@ -1,5 +1,9 @@
-//! A checker for the actions of the decision module. It implements the six rules from the actions and the settings alone, and
-//! is independent of the module's code.
+//! A checker of the six rules for the actions of the decision module. It shares only the public types with the module, so an
+//! error in the module's code does not affect the check.
+//!
+//! The rules: a query gets exactly one final answer, by its deadline; a part is repeated only where its effect allows that; an
+//! answer is reported as complete only if it is; nothing is sent to a draining replica after the drain grace; retries stay within
+//! their budget and the limit on attempts; a replica in slow start is not overloaded.
 
 use std::collections::{BTreeMap, BTreeSet};
 use wharfhub::decisions::api::*;
