--- a/tests/decisions/outliers.rs
+++ b/tests/decisions/outliers.rs
@@ -81,7 +81,7 @@
         ],
     );
     let faulty = ReplicaId(1);
-    let (mut to_faulty, mut in_flight, mut attempts) =
+    let (mut to_faulty, mut open, mut attempts) =
         ([[0; 2]; 2], Vec::new(), std::collections::BTreeMap::new());
     // Attempts that are not simulated yet. Those sent at the end of another attempt are simulated after the next query, so that
     // every attempt ends.
@@ -104,15 +104,14 @@
                 } else {
                     0.05
                 };
-                in_flight.push((driver.now + took, part, *attempt, at, took));
+                open.push((driver.now + took, part, *attempt, at, took));
                 *attempt += 1;
             }
             new.extend(sends(&driver.pass(0.05)));
             let now = driver.now;
-            let (due, later): (Vec<_>, Vec<_>) = in_flight
-                .into_iter()
-                .partition(|(due, ..)| *due <= now + 1e-9);
-            in_flight = later;
+            let (due, later): (Vec<_>, Vec<_>) =
+                open.into_iter().partition(|(due, ..)| *due <= now + 1e-9);
+            open = later;
             for (_, part, attempt, at, took) in due {
                 let outcome = if took < 1.0 { OK } else { Outcome::TimedOut };
                 new.extend(sends(&driver.end(part, attempt, at, took, outcome)));
