--- a/crates/wharfhub-testbed/src/emulator/leaf_servers.rs
+++ b/crates/wharfhub-testbed/src/emulator/leaf_servers.rs
@@ -94,7 +94,7 @@
         }
         self.handshakes += 1;
         let work_s = self.scenario.site.handshake_work_s;
-        if work_s <= 0.0 || self.scenario.ideal {
+        if work_s <= 0.0 || self.scenario.is_ideal {
             self.schedule(
                 self.now,
                 Event::Opened(mixer, incarnation, leaf_server, connection),
@@ -537,7 +537,7 @@
         for mixer in 0..self.mixers.len() {
             let lag_s = self
                 .rng
-                .random_range(self.scenario.lag_s.0..=self.scenario.lag_s.1);
+                .random_range(self.scenario.list_delay_s.0..=self.scenario.list_delay_s.1);
             self.schedule(self.now + lag_s, Event::ListUpdate(mixer, entry));
         }
     }
--- a/crates/wharfhub-testbed/src/experiments/data_path.rs
+++ b/crates/wharfhub-testbed/src/experiments/data_path.rs
@@ -461,7 +461,7 @@
             classes: vec![class],
             ..plain.site
         },
-        ideal: true,
+        is_ideal: true,
         ..plain
     };
     scenario.load *= FLEET_QUERIES_PER_S / f64::from(MIXERS) / scenario.queries_per_s();
--- a/crates/wharfhub-testbed/src/experiments/decisions.rs
+++ b/crates/wharfhub-testbed/src/experiments/decisions.rs
@@ -48,7 +48,7 @@
             classes: vec![class],
             ..cardiff()
         },
-        ideal: true,
+        is_ideal: true,
         ..Scenario::default()
     };
     scenario.load *= rate / scenario.queries_per_s();
--- a/crates/wharfhub-testbed/src/experiments/deployments.rs
+++ b/crates/wharfhub-testbed/src/experiments/deployments.rs
@@ -108,7 +108,7 @@
         load: kind.load,
         site,
         faults,
-        lag_s: (1.5, 4.9),
+        list_delay_s: (1.5, 4.9),
         ..Scenario::default()
     }
 }
--- a/crates/wharfhub-testbed/src/experiments/tail.rs
+++ b/crates/wharfhub-testbed/src/experiments/tail.rs
@@ -37,7 +37,7 @@
         site,
         seconds,
         faults,
-        ideal: false,
+        is_ideal: false,
         ..plain
     }
 }
--- a/crates/wharfhub-testbed/src/model.rs
+++ b/crates/wharfhub-testbed/src/model.rs
@@ -34,7 +34,7 @@
     pub overload_multiple: f64,
     /// Length of the window over which incoming work is compared with that limit (seconds).
     pub overload_window_s: f64,
-    /// Whether the server stops cancelled jobs.
+    /// True if the server stops cancelled jobs.
     pub cancels: bool,
     /// Periodic pauses, if the server has any.
     pub pauses: Option<Pauses>,
@@ -103,9 +103,9 @@
     pub work_s: f64,
     /// Work with which the job counts towards the overload limit of slow start (core seconds).
     pub nominal_work_s: f64,
-    /// Whether the job runs before all ordinary waiting jobs.
+    /// True if the job runs before all ordinary waiting jobs.
     pub is_prioritized: bool,
-    /// Whether the sender had been notified of the leaf server's latest start.
+    /// True if the sender had been notified of the leaf server's latest start.
     pub sender_knows_start: bool,
 }
 
@@ -127,7 +127,7 @@
     waiting: VecDeque<(f64, J)>,
     advanced_to: f64, // time up to which the work has been computed
     cold_arrivals: VecDeque<(f64, f64, bool)>, // arrivals during slow start: time, work, sender knows the start
-    /// Whether the server was ever overloaded during slow start.
+    /// True if the server was ever overloaded during slow start.
     pub has_collapsed: bool,
     /// Work done so far (core seconds).
     pub completed_work_s: f64,
--- a/crates/wharfhub-testbed/src/model/tests.rs
+++ b/crates/wharfhub-testbed/src/model/tests.rs
@@ -23,18 +23,18 @@
 };
 
 /// Runs a leaf server until it is idle. Returns the completed jobs, each with its time in milliseconds.
-fn run(server: &mut LeafServer<char>, mut now: f64, slow: f64) -> Vec<(char, u32)> {
-    let mut ended = Vec::new();
-    while let Some(next) = server.next_event_at(now, slow) {
+fn run(server: &mut LeafServer<char>, mut now: f64, slowdown: f64) -> Vec<(char, u32)> {
+    let mut completed = Vec::new();
+    while let Some(next) = server.next_event_at(now, slowdown) {
         now = next;
-        ended.extend(
+        completed.extend(
             server
-                .advance(now, slow)
+                .advance(now, slowdown)
                 .into_iter()
                 .map(|job| (job, (now * 1000.0).round() as u32)),
         );
     }
-    ended
+    completed
 }
 
 /// Returns a leaf server at which these jobs have arrived at the time 1; `w` stands for a pre-check.
--- a/crates/wharfhub-testbed/src/site/mod.rs
+++ b/crates/wharfhub-testbed/src/site/mod.rs
@@ -66,7 +66,7 @@
     pub late_fail: f64,
     /// Deduction if as much work is wasted as was requested.
     pub waste: f64,
-    /// Whether the worth of a query is proportional to its work.
+    /// True if the worth of a query is proportional to its work.
     pub by_work: bool,
 }
 
@@ -81,7 +81,8 @@
     pub inter_zone_delay_s: (f64, f64),
     /// Placement of shards.
     pub layout: Layout,
-    /// Whether the shards of a query are consecutive; otherwise they are a random selection. Both depend only on the key and class.
+    /// True if the shards of a query are consecutive. Otherwise they are a random selection, which depends only on the key, the
+    /// class and the number of parts.
     pub has_consecutive_shards: bool,
     /// Classes of queries.
     pub classes: Vec<Class>,
@@ -90,8 +91,8 @@
     /// Worth of a tenant's traffic above its quota, relative to that within the quota.
     pub over_quota_weight: f64,
     /// Parameters of the service score.
-    pub goal: ScoringRule,
-    /// Whether queries contain estimates of the work of their parts.
+    pub scoring: ScoringRule,
+    /// True if queries contain estimates of the work of their parts.
     pub has_cost_hints: bool,
     /// Maximum number of parts of a call, and the fixed work of a call in addition to that of its parts (core seconds).
     pub call: (u32, f64),
@@ -115,7 +116,7 @@
 impl Site {
     /// Returns the deployment under a new name with service times divided by `factor`: the work, latency objectives, client
     /// timeouts and deduplication windows become shorter, so that the same load means more queries. Network delays, list delays,
-    /// pauses and slow starts are unchanged.
+    /// client backoff, pauses and slow starts are unchanged.
     pub fn with_faster_service(self, name: &'static str, factor: f64) -> Site {
         let faster = |class: Class| Class {
             work_s: class.work_s / factor,
--- a/crates/wharfhub-testbed/src/site/profiles.rs
+++ b/crates/wharfhub-testbed/src/site/profiles.rs
@@ -19,7 +19,7 @@
             ("garden-gate", 0.19),
         ],
         over_quota_weight: 0.2,
-        goal: ScoringRule {
+        scoring: ScoringRule {
             weights: [0.35, 0.35, 0.2, 0.1],
             late_fail: 0.11,
             waste: 0.058,
@@ -102,7 +102,7 @@
             ("muszaki-egyetem", 0.09),
         ],
         over_quota_weight: 0.05,
-        goal: ScoringRule {
+        scoring: ScoringRule {
             weights: [0.5, 0.2, 0.2, 0.1],
             late_fail: 0.03,
             waste: 0.081,
--- a/crates/wharfhub-testbed/src/site/queries.rs
+++ b/crates/wharfhub-testbed/src/site/queries.rs
@@ -27,7 +27,7 @@
     pub weight: f64,
     /// Work of a full answer (core seconds).
     pub work_s: f64,
-    /// Whether anything in the shard matches the query.
+    /// True if anything in the shard matches the query.
     pub matches: bool,
 }
 
@@ -169,7 +169,7 @@
         rng: &mut ChaCha8Rng,
     ) -> Part {
         let classes: &[Class] = &self.site.classes;
-        let spread = if self.ideal {
+        let spread = if self.is_ideal {
             1.0
         } else {
             distributions.work.sample(rng)
--- a/crates/wharfhub-testbed/src/site/scenario.rs
+++ b/crates/wharfhub-testbed/src/site/scenario.rs
@@ -51,7 +51,7 @@
     pub selectivity: f64,
     /// Work of a pre-check, as a share of the work of a full answer.
     pub pre_check_work: f64,
-    /// Whether leaf servers run pre-checks before other waiting jobs.
+    /// True if leaf servers run pre-checks before other waiting jobs.
     pub pre_check_first: bool,
     /// Value of the mixer setting `phases` as JSON; `None` turns two-phase queries off.
     pub phases: Option<String>,
@@ -60,9 +60,9 @@
     /// Faults, each with its beginning and end (seconds from the beginning of the scenario).
     pub faults: Vec<(f64, f64, Fault)>,
     /// Minimum and maximum delay of changes of the endpoint list (seconds).
-    pub lag_s: (f64, f64),
-    /// Whether every part takes exactly the mean work of its class and leaf servers have unlimited cores.
-    pub ideal: bool,
+    pub list_delay_s: (f64, f64),
+    /// True if every part takes exactly the mean work of its class and leaf servers have unlimited cores.
+    pub is_ideal: bool,
     /// Share of the clients that disconnect early.
     pub disconnecting_share: f64,
 }
@@ -82,8 +82,8 @@
             phases: None,
             pre_check_share: 1.0,
             faults: Vec::new(),
-            lag_s: (0.8, 3.0),
-            ideal: false,
+            list_delay_s: (0.8, 3.0),
+            is_ideal: false,
             disconnecting_share: 0.0,
         }
     }
@@ -93,7 +93,7 @@
     /// Returns the configuration of a leaf server, with the pauses drawn for it.
     pub fn leaf_server_setup(&self, leaf_server: u32) -> LeafServerSetup {
         let setup = self.site.leaf_servers;
-        if self.ideal {
+        if self.is_ideal {
             return LeafServerSetup {
                 cores: usize::MAX,
                 ..setup
--- a/crates/wharfhub-testbed/src/site/settings_json.rs
+++ b/crates/wharfhub-testbed/src/site/settings_json.rs
@@ -46,7 +46,11 @@
             self.tenants_json(),
             self.mixers,
             site.over_quota_weight,
-            if site.goal.by_work { "work" } else { "request" },
+            if site.scoring.by_work {
+                "work"
+            } else {
+                "request"
+            },
         );
         let _ = write!(
             text,
--- a/crates/wharfhub-testbed/src/tally.rs
+++ b/crates/wharfhub-testbed/src/tally.rs
@@ -78,7 +78,7 @@
     pub fn new(scenario: &Scenario) -> Tally {
         let windows = (scenario.seconds / WINDOW_S).ceil().max(1.0) as usize;
         Tally {
-            goal: scenario.site.goal,
+            goal: scenario.site.scoring,
             complete: Sum::default(),
             windows: vec![Sum::default(); windows],
             classes: vec![Sum::default(); scenario.site.classes.len()],
--- a/crates/wharfhub-testbed/tests/fleet.rs
+++ b/crates/wharfhub-testbed/tests/fleet.rs
@@ -113,11 +113,11 @@
     let discovery = discovery(1_500, Behavior::default());
     let mut mixer = mixer(0, discovery.addresses[0], 1_500);
     wait_for_revision(&mut mixer, 1);
-    let gone = |server: &ListedServer| ListedServer {
+    let removed = |server: &ListedServer| ListedServer {
         phase: Phase::Removed,
         ..server.clone()
     };
-    let changed = discovery.publish(servers(1_000).iter().map(gone).collect());
+    let changed = discovery.publish(servers(1_000).iter().map(removed).collect());
     assert_eq!(wait_for_revision(&mut mixer, changed.revision).servers, 500);
     assert_notified_once(&discovery, 1);
 }
@@ -131,23 +131,23 @@
         id: "s-unknown".into(),
         ..servers(11)[10].clone()
     };
-    let gone = ListedServer {
+    let removed = ListedServer {
         id: "s-never-there".into(),
         phase: Phase::Removed,
         ..unknown.clone()
     };
-    let changed = discovery.publish(vec![unknown, gone]);
+    let changed = discovery.publish(vec![unknown, removed]);
     assert_eq!(wait_for_revision(&mut mixer, changed.revision).servers, 11);
 }
 
 /// Truncated lists are not applied, even if they are repeated; the first complete list is.
 #[test]
 fn truncated_lists_are_not_applied() {
-    let cut = Behavior {
+    let truncated = Behavior {
         delivery: Delivery::TruncateAfter(5_000),
         ..Behavior::default()
     };
-    let discovery = discovery(200, cut);
+    let discovery = discovery(200, truncated);
     let mut mixer = mixer(0, discovery.addresses[0], 200);
     wait_until("three lists are truncated", || {
         discovery.counters().complete_lists >= 3
@@ -168,41 +168,44 @@
     );
     let mut mixer = mixer(0, discovery.addresses[0], 50);
     wait_for_revision(&mut mixer, 1);
-    let gone = ListedServer {
+    let removed = ListedServer {
         phase: Phase::Removed,
         ..servers(1)[0].clone()
     };
-    let changed = discovery.publish(vec![gone]);
+    let changed = discovery.publish(vec![removed]);
     assert_eq!(wait_for_revision(&mut mixer, changed.revision).servers, 49);
     assert_eq!(discovery.counters().change_answers, 0);
 }
 
 /// After discovery was unresponsive, down or partitioned from the mixer's region, the mixer applies the change that it missed.
 #[rstest]
-#[case::silent(Behavior { is_unresponsive: true, ..Behavior::default() }, false)]
+#[case::unresponsive(Behavior { is_unresponsive: true, ..Behavior::default() }, false)]
 #[case::down(Behavior { is_down: true, ..Behavior::default() }, false)]
-#[case::cut_off(Behavior::default(), true)]
-fn a_change_is_applied_after_a_fault_of_discovery(#[case] fault: Behavior, #[case] cut_off: bool) {
+#[case::partitioned(Behavior::default(), true)]
+fn a_change_is_applied_after_a_fault_of_discovery(
+    #[case] fault: Behavior,
+    #[case] is_partitioned: bool,
+) {
     let discovery = discovery(20, Behavior::default());
     let mut mixer = mixer(0, discovery.addresses[0], 20);
     wait_for_revision(&mut mixer, 1);
     wait_until("a watch is open", || discovery.counters().watches == 1);
     discovery.ignore_open_watches();
     discovery.set_behavior(fault);
-    discovery.set_partitioned(0, cut_off);
+    discovery.set_partitioned(0, is_partitioned);
     let changed = discovery.publish(vec![advance_phase(&servers(1)[0])]);
     let before = discovery.counters();
-    if cut_off {
+    if is_partitioned {
         // No data passes; the mixer opens another connection for its next call.
         wait_until("another connection is opened", || {
             discovery.counters().connections > before.connections
         });
         assert_eq!(discovery.counters().calls, before.calls);
     } else {
-        let tried =
+        let contacts =
             |counters: wharfhub_testbed::fleet::Counters| counters.calls + counters.connections;
         wait_until("another call is made", || {
-            tried(discovery.counters()) > tried(before)
+            contacts(discovery.counters()) > contacts(before)
         });
     }
     assert_eq!(mixer.report().revision, 1);
@@ -228,14 +231,14 @@
         .zip(&first)
         .for_each(|(mixer, revision)| drop(wait_for_revision(mixer, *revision)));
     regions.partition();
-    let gone = |index: usize| ListedServer {
+    let removed = |index: usize| ListedServer {
         phase: Phase::Removed,
         ..all[index].clone()
     };
     for (region, indices) in [(0, vec![0, 1, 2]), (1, vec![3])] {
         let published = indices
             .into_iter()
-            .map(|index| regions.publish(region, vec![gone(index)]));
+            .map(|index| regions.publish(region, vec![removed(index)]));
         let last = published.last().unwrap();
         assert!(last[1 - region].is_none());
         wait_for_revision(&mut mixers[region], last[region].unwrap().revision);
@@ -465,15 +468,15 @@
     since: 5,
     wait_s: 0.0,
 };
-const NO_NEWS: Answer = Answer::Changes { since: 5 };
+const NO_CHANGES: Answer = Answer::Changes { since: 5 };
 
 /// Answers at 10 s to a call that arrived at 9 s, while version 5 is current and the changes since version 3 are kept.
 #[rstest]
 #[case::complete_list(Call::CompleteList, 5, Some(Answer::CompleteList))]
-#[case::heartbeat(HEARTBEAT, 5, Some(NO_NEWS))]
-#[case::watch_without_news(WATCH, 5, None)]
-#[case::watch_with_news(WATCH, 6, Some(NO_NEWS))]
-#[case::from_too_long_ago(Call::Watch { since: 2, wait_s: 3.0 }, 5, Some(Answer::CompleteList))]
+#[case::heartbeat(HEARTBEAT, 5, Some(NO_CHANGES))]
+#[case::watch_without_changes(WATCH, 5, None)]
+#[case::watch_with_changes(WATCH, 6, Some(NO_CHANGES))]
+#[case::from_a_discarded_version(Call::Watch { since: 2, wait_s: 3.0 }, 5, Some(Answer::CompleteList))]
 #[case::of_another_discovery(Call::Watch { since: 9, wait_s: 3.0 }, 5, Some(Answer::CompleteList))]
 fn the_answer_to_a_call_depends_on_the_version_that_the_caller_has(
     #[case] call: Call,
@@ -492,11 +495,11 @@
     );
     assert_eq!(queue.watches(), usize::from(expected.is_none()));
     // A watch without changes is answered at its timeout.
-    let over = queue.poll(13.0, revision, |_| true);
+    let at_timeout = queue.poll(13.0, revision, |_| true);
     assert_eq!(
-        over,
+        at_timeout,
         if expected.is_none() {
-            vec![(1, NO_NEWS)]
+            vec![(1, NO_CHANGES)]
         } else {
             vec![]
         }
@@ -560,7 +563,7 @@
         mixer(&[(1, 1_100_000), (2, 2_300_000)]),
         mixer(&[(2, 2_500_000)]),
     );
-    let of = Propagation::of(&published, &[&both, &one]);
+    let propagation = Propagation::of(&published, &[&both, &one]);
     let expected = Propagation {
         median_s: 0.3,
         p99_s: 1.5,
@@ -568,7 +571,7 @@
         pairs: 4,
         missing: 0,
     };
-    assert_eq!(of, expected);
+    assert_eq!(propagation, expected);
     assert_eq!(
         Propagation::of(&published, &[&mixer(&[(1, 1_000_000)])]).missing,
         1
--- a/crates/wharfhub-testbed/tests/scenarios.rs
+++ b/crates/wharfhub-testbed/tests/scenarios.rs
@@ -70,8 +70,8 @@
     }
 }
 
-/// The same checks at the other deployment, with replica sets, calls of several parts, one attempt at a time, pauses and lost
-/// zones.
+/// Faults at the deployment with replica sets, calls of several parts, one attempt at a time and pauses: no rule is violated, and
+/// the same seed repeats the run.
 #[rstest]
 #[case::quiet(0.4, vec![])]
 #[case::some_slow(0.6, vec![(4.0, 14.0, Fault::SomeSlow(0.2, 8.0))])]
@@ -145,10 +145,10 @@
         },
         ..scenario.clone()
     };
-    let violations_of = |play: &dyn Fn(&mut RuleChecker)| {
+    let violations_of = |events: &dyn Fn(&mut RuleChecker)| {
         let mut rules = RuleChecker::new(&single, 0.0);
         rules.request_started("q1-0");
-        play(&mut rules);
+        events(&mut rules);
         rules.violations.join("; ")
     };
     let complete = |rules: &mut RuleChecker, pre_check: bool| {
@@ -279,8 +279,8 @@
             }),
         ),
     ];
-    for (name, play) in cases {
-        let violations = violations_of(&*play);
+    for (name, events) in cases {
+        let violations = violations_of(&*events);
         assert!(
             violations.contains(name),
             "{name} is not reported: {violations:?}"
