--- a/crates/wharfhub-testbed/src/experiments/data_path.rs
+++ b/crates/wharfhub-testbed/src/experiments/data_path.rs
@@ -467,7 +467,7 @@
             classes: vec![class],
             ..base.site
         },
-        ideal: true,
+        is_ideal: true,
         ..base
     };
     scenario.load *= FLEET_QUERIES_PER_S / f64::from(MIXERS) / scenario.queries_per_s();
--- a/crates/wharfhub-testbed/src/experiments/deployments.rs
+++ b/crates/wharfhub-testbed/src/experiments/deployments.rs
@@ -109,7 +109,7 @@
         load: kind.load,
         site,
         faults,
-        lag_s: (1.5, 4.9),
+        list_delay_s: (1.5, 4.9),
         ..Scenario::default()
     }
 }
--- a/crates/wharfhub-testbed/src/tally.rs
+++ b/crates/wharfhub-testbed/src/tally.rs
@@ -36,7 +36,7 @@
 /// Sums over one scenario.
 #[derive(Clone, Debug)]
 pub struct Tally {
-    goal: ScoringRule,
+    scoring: ScoringRule,
     overall: WeightSum,
     windows: Vec<WeightSum>,
     classes: Vec<WeightSum>,
@@ -79,7 +79,7 @@
     pub fn new(scenario: &Scenario) -> Tally {
         let windows = (scenario.seconds / WINDOW_S).ceil().max(1.0) as usize;
         Tally {
-            goal: scenario.site.goal,
+            scoring: scenario.site.scoring,
             overall: WeightSum::default(),
             windows: vec![WeightSum::default(); windows],
             classes: vec![WeightSum::default(); scenario.site.classes.len()],
@@ -109,7 +109,7 @@
     ) {
         let class = &scenario.site.classes[query.class];
         let weight = class.priority_weight
-            * if self.goal.by_work {
+            * if self.scoring.by_work {
                 query.work_s()
             } else {
                 1.0
@@ -168,13 +168,13 @@
             all.fold(1.0, f64::min)
         };
         let failed_late = self.failed_late / self.overall.requested.max(1e-9);
-        let [overall, window, class, tenant] = self.goal.weights;
+        let [overall, window, class, tenant] = self.scoring.weights;
         overall * self.overall.earned_share()
             + window * worst(&self.windows, MIN_WINDOW_SHARE * mean)
             + class * worst(&self.classes, 0.0)
             + tenant * worst(&self.tenants, 0.0)
-            - self.goal.late_fail * failed_late
-            - self.goal.waste * self.waste()
+            - self.scoring.late_fail * failed_late
+            - self.scoring.waste * self.waste()
     }
 
     /// Returns the work that no answer used, as a share of the work of all queries.
