--- a/crates/wharfhub-testbed/src/daemon.rs
+++ b/crates/wharfhub-testbed/src/daemon.rs
@@ -54,7 +54,7 @@
     leaf_servers: &[SocketAddr],
     search: &[u32],
 ) -> String {
-    let knowing = scenario.draw_leaf_servers(10, scenario.pre_check_share);
+    let pre_check_servers = scenario.draw_leaf_servers(10, scenario.pre_check_share);
     let endpoint = |(index, address): (usize, &SocketAddr)| {
         let leaf_server = index as u32;
         let (zone, cell) = (
@@ -69,7 +69,7 @@
         format!(
             "{{\"id\":\"box-{leaf_server}\",\"host_port\":\"{address}\",\"locality\":\"{zone}\",\"cell\":{cell},\
              \"phase\":\"Ready\",\"up_since_ms\":0,\"speaks\":\"{speaks}\",\"prefilter\":{}}}",
-            knowing.contains(&leaf_server)
+            pre_check_servers.contains(&leaf_server)
         )
     };
     let endpoints = leaf_servers
--- a/crates/wharfhub-testbed/src/experiments/decisions.rs
+++ b/crates/wharfhub-testbed/src/experiments/decisions.rs
@@ -227,14 +227,14 @@
         for (site, phases) in [(cardiff(), false), (cardiff(), true), (szeged(), false)] {
             let name = site.name;
             let mut cell = Cell::new(faulty_scenario(site, parts, phases, options.seed));
-            let taken = cell.run()?.requests;
+            let requests = cell.run()?.requests;
             violations += cell.violations;
             let phases = if phases { "on" } else { "off" };
             table.add_row(vec![
                 name.into(),
                 parts.to_string(),
                 phases.into(),
-                taken.to_string(),
+                requests.to_string(),
                 cell.digest(),
             ]);
         }
--- a/crates/wharfhub-testbed/src/fleet/bench.rs
+++ b/crates/wharfhub-testbed/src/fleet/bench.rs
@@ -165,10 +165,10 @@
             let version = self.discovery.publish(vec![servers[index].clone()]);
             published.push(version);
             if load.is_sequential || number + 1 == load.changes {
-                let in_force = self
+                let applied = self
                     .fleet
                     .await_revisions(&[version.revision], MAX_CHANGE_S)?;
-                report = merged(report, in_force);
+                report = merged(report, applied);
             }
         }
         Ok((published, report))
--- a/crates/wharfhub-testbed/src/fleet/call_queue.rs
+++ b/crates/wharfhub-testbed/src/fleet/call_queue.rs
@@ -135,10 +135,10 @@
                 }
             }
         }
-        let is_over = |watch: &OpenWatch| watch.since < revision || watch.until <= now;
-        let over = self.watches.iter().filter(|(_, watch)| is_over(watch));
-        let over: Vec<(K, u64)> = over.map(|(key, watch)| (*key, watch.since)).collect();
-        for (key, since) in over {
+        let is_ended = |watch: &OpenWatch| watch.since < revision || watch.until <= now;
+        let ended = self.watches.iter().filter(|(_, watch)| is_ended(watch));
+        let ended: Vec<(K, u64)> = ended.map(|(key, watch)| (*key, watch.since)).collect();
+        for (key, since) in ended {
             self.watches.remove(&key);
             answers.push((
                 key,
--- a/crates/wharfhub-testbed/src/fleet/catalog.rs
+++ b/crates/wharfhub-testbed/src/fleet/catalog.rs
@@ -19,7 +19,7 @@
 }
 
 impl Phase {
-    fn word(self) -> &'static str {
+    fn as_str(self) -> &'static str {
         match self {
             Phase::Ready => "Ready",
             Phase::Terminating => "Terminating",
@@ -218,7 +218,7 @@
             "{comma}{line}{{{key}\"id\":{colon}\"{id}\",{key}\"host_port\":{colon}\"{address}\",\
              {key}\"locality\":{colon}\"{zone}\",{key}\"flavor\":{colon}\"m2\",{key}\"cell\":{colon}{cell},\
              {key}\"phase\":{colon}\"{}\",{key}\"size\":{colon}1.0,{key}\"up_since_ms\":{colon}{started_ms}{line}}}",
-            phase.word()
+            phase.as_str()
         );
     }
     text.push_str("]}");
--- a/crates/wharfhub-testbed/src/fleet/host.rs
+++ b/crates/wharfhub-testbed/src/fleet/host.rs
@@ -10,7 +10,7 @@
 use thiserror::Error;
 
 /// Command that requests a report.
-pub const REPORT: &str = "report";
+pub const REPORT_COMMAND: &str = "report";
 
 /// Setup of a host process, sent as the first line.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -42,7 +42,7 @@
     Setup,
     /// The parent sent an unknown command.
     #[error("unknown command {0:?}")]
-    UnknownCall(String),
+    UnknownCommand(String),
     /// A mixer failed to start.
     #[error("mixer {number}: {error}")]
     Mixer {
@@ -85,7 +85,7 @@
     let mut mixers = start(&setup)?;
     for line in lines {
         match line?.trim() {
-            REPORT => {
+            REPORT_COMMAND => {
                 let resident_bytes = usage::resident_bytes(None)?;
                 let mixers = mixers.iter_mut().map(HollowMixer::report).collect();
                 let report = HostReport {
@@ -95,7 +95,7 @@
                 writeln!(output, "{}", json::to_string(&report))?;
                 output.flush()?;
             }
-            other => return Err(HostError::UnknownCall(other.to_string())),
+            other => return Err(HostError::UnknownCommand(other.to_string())),
         }
     }
     // Signals all mixers before any of them is joined, so that they shut down in parallel.
--- a/crates/wharfhub-testbed/src/fleet/processes.rs
+++ b/crates/wharfhub-testbed/src/fleet/processes.rs
@@ -1,7 +1,7 @@
 //! Fleet of hollow mixers in host processes: starts the processes, requests reports from them, and kills them when the fleet is
 //! dropped.
 
-use super::host::{HostReport, HostSetup, REPORT};
+use super::host::{HostReport, HostSetup, REPORT_COMMAND};
 use super::mixer::MixerReport;
 use super::setup::{FleetError, FleetSetup};
 use miniserde::json;
@@ -177,7 +177,7 @@
     pub fn report(&mut self) -> Result<FleetReport, FleetError> {
         let mut hosts: Vec<&mut Host> = self.hosts.iter_mut().flatten().collect();
         for host in &mut hosts {
-            host.send_line(REPORT)?;
+            host.send_line(REPORT_COMMAND)?;
         }
         let mut all = FleetReport::default();
         for host in hosts {
--- a/crates/wharfhub-testbed/tests/fleet.rs
+++ b/crates/wharfhub-testbed/tests/fleet.rs
@@ -426,7 +426,7 @@
     assert!(run(setup).is_ok());
     assert!(matches!(
         run(&format!("{setup}dance\n")),
-        Err(HostError::UnknownCall(_))
+        Err(HostError::UnknownCommand(_))
     ));
     let setup = setup.replace("[]", "[4]");
     assert!(matches!(
