--- a/crates/wharfhub-testbed/src/daemon.rs
+++ b/crates/wharfhub-testbed/src/daemon.rs
@@ -1,6 +1,4 @@
-//! The daemon under test: real processes on loopback, started with a scenario's settings and ended with it.
-//!
-//! This file owns those processes and their configuration files. It must never end a process that it did not start.
+//! Daemon processes under test on loopback, started with a scenario's settings.
 
 use crate::site::Scenario;
 use std::io::{self, BufRead, BufReader};
@@ -10,15 +8,15 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::Duration;
 
-/// Longest wait for a line of the log.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Longest wait for a log line.
+const MAX_LOG_WAIT: Duration = Duration::from_secs(10);
 
-/// A mixer that runs.
+/// Running mixer process; killed on drop, which also removes its configuration file.
 pub struct Daemon {
     child: Child,
-    file: PathBuf,
+    config_file: PathBuf,
     log: Receiver<String>,
-    /// Where clients connect.
+    /// Address at which it accepts clients.
     pub address: SocketAddr,
 }
 
@@ -26,14 +24,15 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.file);
+        let _ = std::fs::remove_file(&self.config_file);
     }
 }
 
-/// The program, beside this one, or where this is a test in the folder above.
+/// Returns the path of the daemon, which is in the directory of the current program, or in its parent directory if the current
+/// program is a test.
 pub fn program() -> io::Result<PathBuf> {
     let own = std::env::current_exe()?;
-    let mut indices = own
+    let mut candidates = own
         .ancestors()
         .skip(1)
         .take(2)
@@ -41,24 +40,24 @@
     let missing = || {
         io::Error::new(
             io::ErrorKind::NotFound,
-            "the daemon is not built: cargo build --workspace",
+            "cannot find the wharfhub program; run cargo build --workspace",
         )
     };
-    indices.find(|path| path.is_file()).ok_or_else(missing)
+    candidates.find(|path| path.is_file()).ok_or_else(missing)
 }
 
-/// A mixer's configuration: a scenario's settings, and leaf servers that listen there; those of some numbers speak the search
-/// style, and those of some know phases.
+/// Returns the configuration of a mixer: the settings of a scenario, and a list with leaf servers at the given addresses. Those with
+/// the numbers in `search` speak the search API, and a share drawn by the scenario supports two-phase queries.
 pub fn config(
     scenario: &Scenario,
     number: u32,
     leaf_servers: &[SocketAddr],
     search: &[u32],
 ) -> String {
-    let knowing = scenario.draw_leaf_servers(10, scenario.pre_check_share);
+    let pre_check_servers = scenario.draw_leaf_servers(10, scenario.pre_check_share);
     let endpoint = |(index, address): (usize, &SocketAddr)| {
         let leaf_server = index as u32;
-        let (queue_capacity, cell) = (
+        let (zone, cell) = (
             scenario.site.zones[usize::from(scenario.zone(leaf_server))],
             scenario.cell(leaf_server),
         );
@@ -68,9 +67,9 @@
             "frames"
         };
         format!(
-            "{{\"id\":\"box-{leaf_server}\",\"host_port\":\"{address}\",\"locality\":\"{queue_capacity}\",\"cell\":{cell},\
+            "{{\"id\":\"box-{leaf_server}\",\"host_port\":\"{address}\",\"locality\":\"{zone}\",\"cell\":{cell},\
              \"phase\":\"Ready\",\"up_since_ms\":0,\"speaks\":\"{speaks}\",\"prefilter\":{}}}",
-            knowing.contains(&leaf_server)
+            pre_check_servers.contains(&leaf_server)
         )
     };
     let endpoints = leaf_servers
@@ -87,16 +86,16 @@
     )
 }
 
-/// Starts a mixer and waits until it serves.
+/// Starts a mixer and waits until it logs that it serves.
 pub fn start(program: &Path, config: &str, name: &str) -> io::Result<Daemon> {
-    let file = std::env::temp_dir().join(format!(
+    let config_file = std::env::temp_dir().join(format!(
         "wharfhub-testbed-{}-{name}.json",
         std::process::id()
     ));
-    std::fs::write(&file, config)?;
+    std::fs::write(&config_file, config)?;
     let mut child = Command::new(program)
         .args(["serve", "--config"])
-        .arg(&file)
+        .arg(&config_file)
         .stderr(Stdio::piped())
         .spawn()?;
     let errors = child.stderr.take().ok_or(io::ErrorKind::BrokenPipe)?;
@@ -110,7 +109,7 @@
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
     let mut daemon = Daemon {
         child,
-        file,
+        config_file,
         log,
         address,
     };
@@ -124,12 +123,12 @@
     Ok(daemon)
 }
 
-/// What a process has used so far, as the kernel counts it.
+/// Resources that a process has used.
 #[derive(Clone, Copy, Debug)]
 pub struct Usage {
-    /// Processor time of all its threads (seconds).
+    /// CPU time of its running threads (seconds).
     pub cpu_s: f64,
-    /// Memory that it occupies (bytes).
+    /// Resident memory (bytes).
     pub resident_bytes: u64,
 }
 
@@ -142,8 +141,8 @@
 }
 
 impl Daemon {
-    /// Processor time and memory of the process. The scheduler's own counters are exact to the nanosecond, where those
-    /// of `/proc/PID/stat` go by ticks of 10 ms.
+    /// Reads the CPU time and memory of the process. `schedstat` has a resolution of nanoseconds; `/proc/PID/stat` counts ticks of
+    /// 10 ms.
     pub fn usage(&self) -> io::Result<Usage> {
         let process = PathBuf::from(format!("/proc/{}", self.child.id()));
         let mut cpu_ns = 0;
@@ -162,9 +161,12 @@
 
     fn await_log(&mut self, text: &str) -> io::Result<String> {
         loop {
-            let line = self.log.recv_timeout(PATIENCE);
+            let line = self.log.recv_timeout(MAX_LOG_WAIT);
             let line = line.map_err(|_| {
-                io::Error::new(io::ErrorKind::TimedOut, format!("never logged: {text}"))
+                io::Error::new(
+                    io::ErrorKind::TimedOut,
+                    format!("timed out waiting for the log line {text:?}"),
+                )
             })?;
             if line.contains(text) {
                 return Ok(line);
--- a/crates/wharfhub-testbed/src/experiments/decisions.rs
+++ b/crates/wharfhub-testbed/src/experiments/decisions.rs
@@ -1,35 +1,35 @@
-//! The CPU that a mixer's core and module spend on a query: by the rate of queries, by the number of leaf servers, and
-//! by the number of its parts.
+//! Decisions experiment: the CPU time of a mixer's core and decision module for a query, by query rate, by number of leaf servers
+//! and by number of parts.
 //!
-//! One mixer, leaf servers that answer after 50 ms whatever they hold: only the mixer's own cost changes. Times are this
-//! machine's; the verdict rests on their ratios. Beside these cells stand scenarios on which much goes wrong: their digests,
-//! with those of the cells, tell whether another program decides the same.
+//! One mixer runs with leaf servers that answer after 50 ms under any load, so that only the mixer's own cost varies. Times depend
+//! on the machine; the criteria are ratios of costs. Further scenarios contain many faults. The digests of all scenarios show whether
+//! another version of the program makes the same decisions.
 
 use super::two_phase::PHASES;
-use super::{Failure, Options, Verdict};
+use super::{ExperimentError, Options, Verdict};
 use crate::emulator::{self, Run};
-use crate::report::{chart, Estimate, Line, Table};
+use crate::report::{draw_chart, Estimate, Line, Table};
 use crate::site::{cardiff, szeged, Class, Fault, Scenario, Site};
 use std::path::Path;
 
 const RATES: [f64; 3] = [50.0, 500.0, 5000.0];
 const LEAF_SERVER_COUNTS: [u32; 4] = [4, 20, 200, 2000];
-/// The cost may differ so many times.
-const FLAT: f64 = 1.3;
-/// Queries that a run plays at least, and its least length (seconds): the windows of 8 s have to fill.
-const QUERIES: f64 = 4000.0;
+/// Largest ratio of the highest to the lowest cost of a query over all rates and numbers of leaf servers.
+const MAX_COST_SPREAD: f64 = 1.3;
+/// Smallest number of queries of a run, and its shortest length in the full run (seconds), which lets the windows of 8 s fill.
+const MIN_QUERIES: f64 = 4000.0;
 const MIN_SCENARIO_S: f64 = 9.0;
 
-/// Parts of a query, the leaf servers that answer them, and the rate of parts (a second).
+/// Numbers of parts of a query, the number of leaf servers, and the rate of parts (per second).
 const PARTS: [usize; 3] = [4, 45, 180];
-const SERVERS: u32 = 200;
+const LEAF_SERVERS: u32 = 200;
 const PARTS_PER_S: f64 = 4000.0;
-/// The cost of a part may differ so many times between the least and the greatest query.
-const LINEAR: f64 = 1.5;
-/// Length of a scenario on which much goes wrong (seconds).
+/// Largest ratio of the cost of a part in the largest query to that in the smallest.
+const MAX_PART_COST_RATIO: f64 = 1.5;
+/// Length of a scenario with many faults (seconds).
 const FAULTY_SCENARIO_S: f64 = 14.0;
 
-/// A scenario on which every query has so many parts, and servers answer them after 50 ms.
+/// Returns a scenario in which every query has `parts` parts, and servers answer them after 50 ms.
 fn ideal_scenario(rate: f64, leaf_servers: u32, parts: usize, seed: u64, quick: bool) -> Scenario {
     let class = Class {
         name: "slot-check",
@@ -43,7 +43,7 @@
         seed,
         leaf_servers,
         mixers: 1,
-        seconds: (QUERIES / rate).clamp(min_s, 80.0),
+        seconds: (MIN_QUERIES / rate).clamp(min_s, 80.0),
         site: Site {
             classes: vec![class],
             ..cardiff()
@@ -55,7 +55,7 @@
     scenario
 }
 
-/// A scenario of all classes, with so many parts at least, on which much goes wrong.
+/// Returns a scenario of all classes with many faults, in which every query has `parts` parts.
 fn faulty_scenario(site: Site, parts: usize, phases: bool, seed: u64) -> Scenario {
     let classes = site.classes.iter().map(|class| Class {
         parts: (parts, parts, 0.0),
@@ -74,7 +74,7 @@
     ];
     Scenario {
         seed,
-        leaf_servers: SERVERS,
+        leaf_servers: LEAF_SERVERS,
         mixers: 2,
         seconds: FAULTY_SCENARIO_S,
         site: Site {
@@ -88,12 +88,12 @@
     }
 }
 
-/// A cell of the experiment, played as often as there are runs.
+/// Cell of the experiment: a scenario that is run several times.
 struct Cell {
     scenario: Scenario,
-    min_cost_us: f64, // of a query
+    min_cost_us: f64, // lowest CPU time for a query over all runs
     digest: Option<u64>,
-    broken: usize,
+    violations: usize,
 }
 
 impl Cell {
@@ -102,19 +102,21 @@
             scenario,
             min_cost_us: f64::MAX,
             digest: None,
-            broken: 0,
+            violations: 0,
         }
     }
 
-    fn play(&mut self) -> Result<Run, Failure> {
+    fn run(&mut self) -> Result<Run, ExperimentError> {
         let run = emulator::run(&self.scenario)?;
         self.min_cost_us = self
             .min_cost_us
             .min(run.cpu_s * 1e6 / run.requests.max(1) as f64);
         if *self.digest.get_or_insert(run.digest) != run.digest {
-            return Err(Failure::Other("two plays of one day differ".into()));
+            return Err(ExperimentError::Other(
+                "two runs of one scenario have different digests".into(),
+            ));
         }
-        self.broken += run.rules.violation_count as usize;
+        self.violations += run.rules.violation_count as usize;
         Ok(run)
     }
 
@@ -123,16 +125,16 @@
     }
 }
 
-/// How many times the highest cost is the least.
-fn spread(costs: impl Iterator<Item = f64>) -> f64 {
+/// Returns the ratio of the highest to the lowest cost.
+fn cost_spread(costs: impl Iterator<Item = f64>) -> f64 {
     let (min, max) = costs.fold((f64::MAX, 0.0_f64), |(min, max), cost| {
         (min.min(cost), max.max(cost))
     });
     max / min
 }
 
-/// The table and the chart by rate and by number of leaf servers; gives how much the cost differs.
-fn show_rates(cells: &[Cell], out: &Path) -> Result<f64, Failure> {
+/// Prints and saves the costs by query rate and by number of leaf servers, and returns the ratio of the highest to the lowest.
+fn report_rates(cells: &[Cell], out: &Path) -> Result<f64, ExperimentError> {
     let mut table = Table::new(&[
         "boxes",
         "queries/s",
@@ -145,7 +147,7 @@
         .flat_map(|leaf_servers| RATES.map(|rate| (*leaf_servers, rate)));
     for (cell, (leaf_servers, rate)) in cells.iter().zip(cell_keys) {
         let cost = cell.min_cost_us;
-        table.row(vec![
+        table.add_row(vec![
             leaf_servers.to_string(),
             format!("{rate:.0}"),
             format!("{cost:.1}"),
@@ -161,7 +163,7 @@
             rate,
             Estimate {
                 mean: cost,
-                half: 0.0,
+                half_width: 0.0,
             },
         );
         lines
@@ -170,12 +172,12 @@
             .into_iter()
             .for_each(|line| line.points.push(point));
     }
-    let spread = spread(cells.iter().map(|cell| cell.min_cost_us));
+    let spread = cost_spread(cells.iter().map(|cell| cell.min_cost_us));
     print!("{}", table.text());
     println!("highest over lowest: {spread:.2}");
     table.save(&out.join("decisions.csv"))?;
     let title = "CPU of core and module a query (four parts)";
-    chart(
+    draw_chart(
         &out.join("decisions.svg"),
         title,
         ("queries a second", "µs"),
@@ -185,8 +187,9 @@
     Ok(spread)
 }
 
-/// The table by the number of parts; gives how many times as much a part of the greatest query costs.
-fn show_parts(cells: &[Cell], out: &Path) -> Result<f64, Failure> {
+/// Prints and saves the costs by number of parts, and returns the ratio of the cost of a part in the largest query to that in the
+/// smallest.
+fn report_parts(cells: &[Cell], out: &Path) -> Result<f64, ExperimentError> {
     let mut table = Table::new(&[
         "parts",
         "CPU µs a query",
@@ -196,22 +199,22 @@
     let cost = |index: usize| cells[index].min_cost_us / PARTS[index] as f64;
     for (index, cell) in cells.iter().enumerate() {
         let query = format!("{:.1}", cell.min_cost_us);
-        table.row(vec![
+        table.add_row(vec![
             PARTS[index].to_string(),
             query,
             format!("{:.2}", cost(index)),
             cell.digest(),
         ]);
     }
-    let growth = cost(PARTS.len() - 1) / cost(0);
+    let part_cost_ratio = cost(PARTS.len() - 1) / cost(0);
     print!("{}", table.text());
-    println!("a part of the greatest query over one of the least: {growth:.2}");
+    println!("CPU of a part, largest query over smallest: {part_cost_ratio:.2}");
     table.save(&out.join("decisions-parts.csv"))?;
-    Ok(growth)
+    Ok(part_cost_ratio)
 }
 
-/// Scenarios on which much goes wrong: only what was done counts there.
-fn faulty_scenarios(options: &Options) -> Result<usize, Failure> {
+/// Runs the scenarios with many faults, whose digests are recorded but not their costs. Returns the number of violations.
+fn faulty_scenarios(options: &Options) -> Result<usize, ExperimentError> {
     let mut table = Table::new(&[
         "site",
         "parts",
@@ -219,26 +222,26 @@
         "queries",
         "digest of what was done",
     ]);
-    let mut broken = 0;
+    let mut violations = 0;
     for parts in PARTS {
         for (site, phases) in [(cardiff(), false), (cardiff(), true), (szeged(), false)] {
             let name = site.name;
             let mut cell = Cell::new(faulty_scenario(site, parts, phases, options.seed));
-            let taken = cell.play()?.requests;
-            broken += cell.broken;
+            let requests = cell.run()?.requests;
+            violations += cell.violations;
             let phases = if phases { "on" } else { "off" };
-            table.row(vec![
+            table.add_row(vec![
                 name.into(),
                 parts.to_string(),
                 phases.into(),
-                taken.to_string(),
+                requests.to_string(),
                 cell.digest(),
             ]);
         }
     }
     print!("{}", table.text());
     table.save(&options.out.join("decisions-troubled.csv"))?;
-    Ok(broken)
+    Ok(violations)
 }
 
 pub fn run(options: &Options) -> Verdict {
@@ -258,26 +261,30 @@
         .collect();
     let mut parts: Vec<Cell> = PARTS
         .iter()
-        .map(|parts| scenario(PARTS_PER_S / *parts as f64, SERVERS, *parts))
+        .map(|parts| scenario(PARTS_PER_S / *parts as f64, LEAF_SERVERS, *parts))
         .collect();
-    // The same scenarios again and again, in turns: what differs is the machine, and the least is the cost.
+    // The same scenarios run several times, interleaved: only the load of the machine varies, so that the lowest value is the cost.
     for _ in 0..runs {
         for cell in rates.iter_mut().chain(&mut parts) {
-            cell.play()?;
+            cell.run()?;
         }
     }
-    let spread = show_rates(&rates, &options.out)?;
-    let growth = show_parts(&parts, &options.out)?;
-    let mut broken: usize = rates.iter().chain(&parts).map(|cell| cell.broken).sum();
-    broken += faulty_scenarios(options)?;
-    if broken > 0 {
-        return Ok(Some(format!("{broken} rules broken")));
+    let spread = report_rates(&rates, &options.out)?;
+    let part_cost_ratio = report_parts(&parts, &options.out)?;
+    let mut violations: usize = rates.iter().chain(&parts).map(|cell| cell.violations).sum();
+    violations += faulty_scenarios(options)?;
+    if violations > 0 {
+        return Ok(Some(format!("{violations} rule violations")));
     }
-    if growth > LINEAR {
+    if part_cost_ratio > MAX_PART_COST_RATIO {
         return Ok(Some(format!(
-            "a part of {} costs {growth:.2} times one of 4, not {LINEAR} at most",
+            "a part of a query of {} parts costs {part_cost_ratio:.2} times one of 4 parts, limit {MAX_PART_COST_RATIO}",
             PARTS[2]
         )));
     }
-    Ok((spread > FLAT).then(|| format!("the cost differs {spread:.2} times, not {FLAT} at most")))
+    Ok((spread > MAX_COST_SPREAD).then(|| {
+        format!(
+            "the highest cost of a query is {spread:.2} times the lowest, limit {MAX_COST_SPREAD}"
+        )
+    }))
 }
--- a/crates/wharfhub-testbed/src/experiments/deployments.rs
+++ b/crates/wharfhub-testbed/src/experiments/deployments.rs
@@ -1,46 +1,47 @@
-//! Both kinds of deployment side by side, each at two paces: what is served in quiet scenarios and with each fault of their accounts.
+//! Deployments experiment: the service of both deployments at two speeds, without faults and with each kind of fault that the
+//! operators report.
 //!
-//! Every cell plays the same scenarios whatever the daemon does, so that two versions of it can be set against each other scenario by
-//! scenario: the scenarios stand in `deployments-days.csv`. The verdict rests on the rules alone.
+//! The scenarios do not depend on the daemon, so that two versions of it can be compared scenario by scenario in
+//! `deployments-days.csv`. The only criterion is that no rule is broken.
 
-use super::{parallel, Failure, Options, Verdict};
-use crate::report::{chart, Estimate, Line, Table};
+use super::{parallel, ExperimentError, Options, Verdict};
+use crate::report::{draw_chart, Estimate, Line, Table};
 use crate::site::{cardiff, szeged, Fault, Layout, Scenario, Site};
 use crate::{emulator, tally};
 
-/// Scenarios of a cell, and their length (seconds).
-const DAYS: (u64, u64) = (20, 4);
-const DAY_S: (f64, f64) = (45.0, 30.0);
-/// Broken rules that are printed, at most.
+/// Number of scenarios of a cell and their length (seconds), in the full and in the quick run.
+const SCENARIOS_PER_CELL: (u64, u64) = (20, 4);
+const SCENARIO_S: (f64, f64) = (45.0, 30.0);
+/// Largest number of violations that are printed.
 const MAX_PRINTED: usize = 20;
-/// How much faster the same profile is on the real-socket scenarios.
-const FASTER: f64 = 4.0;
+/// Factor by which the fast variants of the deployments are faster.
+const FAST_PROFILE_FACTOR: f64 = 4.0;
 
-/// One kind of scenario: its name, its load, and what goes wrong, in shares of the scenario's length.
-pub struct Kind {
-    /// Its name.
+/// Kind of scenario.
+pub struct ScenarioKind {
+    /// Name in the tables.
     pub name: &'static str,
-    /// What is asked, in shares of what the leaf servers can do.
+    /// Load as a share of the capacity of the leaf servers.
     pub load: f64,
-    /// What goes wrong, from when to when.
+    /// Faults with their start and end, as shares of the scenario's length.
     pub faults: Vec<(f64, f64, Fault)>,
-    /// Whether a larger fleet plays it.
-    pub big: bool,
+    /// Set if the scenario has more leaf servers than usual.
+    pub has_large_fleet: bool,
 }
 
-/// The kinds of scenario that the operators' accounts tell of.
-pub fn kinds() -> Vec<Kind> {
-    let kind = |name, load, faults| Kind {
+/// Returns the kinds of scenario that the operators report.
+pub fn kinds() -> Vec<ScenarioKind> {
+    let kind = |name, load, faults| ScenarioKind {
         name,
         load,
         faults,
-        big: false,
+        has_large_fleet: false,
     };
-    let big = |name, load, faults| Kind {
+    let large_fleet = |name, load, faults| ScenarioKind {
         name,
         load,
         faults,
-        big: true,
+        has_large_fleet: true,
     };
     vec![
         kind("quiet", 0.35, vec![]),
@@ -73,8 +74,8 @@
             0.95,
             vec![(0.3, 0.8, Fault::SomeSlow(0.15, 4.0))],
         ),
-        big("room lost", 0.5, vec![(0.3, 0.7, Fault::ZoneLoss(0, true))]),
-        big(
+        large_fleet("room lost", 0.5, vec![(0.3, 0.7, Fault::ZoneLoss(0, true))]),
+        large_fleet(
             "room lost, all slow",
             0.5,
             vec![
@@ -86,19 +87,19 @@
     ]
 }
 
-/// A scenario of a kind at a site.
-pub fn scenario(site: &Site, kind: &Kind, seed: u64, seconds: f64) -> Scenario {
+/// Returns a scenario of a kind for a deployment.
+pub fn scenario(site: &Site, kind: &ScenarioKind, seed: u64, seconds: f64) -> Scenario {
     let faults = kind
         .faults
         .iter()
-        .map(|(from, to, what)| (from * seconds, to * seconds, what.clone()))
+        .map(|(from, to, fault)| (from * seconds, to * seconds, fault.clone()))
         .collect();
-    let leaf_servers = if kind.big { 18 } else { 14 };
+    let leaf_servers = if kind.has_large_fleet { 18 } else { 14 };
     let mut site = site.clone();
     if let Layout::Sets(_, endpoints) = &mut site.layout {
         *endpoints = 2 + (seed % 2) as u32; // two or three leaf servers hold a shard
     }
-    // Waiting rooms of all sizes that the accounts allow.
+    // The seeds cover all queue capacities that the operators report.
     site.leaf_servers.queue_capacity = 14 + (seed as usize * 7) % 29;
     Scenario {
         seed,
@@ -113,7 +114,7 @@
     }
 }
 
-struct Played {
+struct RunMetrics {
     service: f64,
     in_time: f64,
     late: f64,
@@ -121,61 +122,61 @@
     attempts: f64,
     waste: f64,
     handshakes: u64,
-    broken: Vec<String>,
+    violations: Vec<String>,
 }
 
-fn play(scenario: &Scenario) -> Result<Played, Failure> {
+fn run_scenario(scenario: &Scenario) -> Result<RunMetrics, ExperimentError> {
     let run = emulator::run(scenario)?;
-    let asked = run.tally.requests[tally::TOTAL].max(1) as f64;
+    let sent = run.tally.requests[tally::TOTAL].max(1) as f64;
     let (late, unanswered) = run.tally.late_and_unanswered_shares();
-    Ok(Played {
+    Ok(RunMetrics {
         service: run.tally.service(),
         in_time: run.tally.in_time_share(),
         late,
         unanswered,
-        attempts: run.tally.attempts_sent as f64 / asked,
+        attempts: run.tally.attempts_sent as f64 / sent,
         waste: run.tally.waste(),
         handshakes: run.handshakes,
-        broken: run.rules.violations,
+        violations: run.rules.violations,
     })
 }
 
-/// One scenario of a cell.
+/// Scenario of a cell.
 struct Job {
     site: &'static str,
     kind: &'static str,
     scenario: Scenario,
 }
 
-/// Plays all cells, and says how many rules were broken.
+/// Runs the experiment.
 pub fn run(options: &Options) -> Verdict {
     let (scenarios, seconds) = if options.quick {
-        (DAYS.1, DAY_S.1)
+        (SCENARIOS_PER_CELL.1, SCENARIO_S.1)
     } else {
-        (DAYS.0, DAY_S.0)
+        (SCENARIOS_PER_CELL.0, SCENARIO_S.0)
     };
     let kinds = kinds();
     let jobs = jobs(&kinds, options.seed..options.seed + scenarios, seconds);
-    let played = parallel(&jobs, |job| play(&job.scenario))
+    let results = parallel(&jobs, |job| run_scenario(&job.scenario))
         .into_iter()
         .collect::<Result<Vec<_>, _>>()?;
     let mut report = Report::new();
     let cells = jobs
         .chunks(scenarios as usize)
-        .zip(played.chunks(scenarios as usize));
+        .zip(results.chunks(scenarios as usize));
     for (number, (jobs, played)) in cells.enumerate() {
         report.add_cell(number % kinds.len(), jobs, played);
     }
     report.finish(options)
 }
 
-/// The scenarios of all cells, cell by cell, at both sites and both paces.
-fn jobs(kinds: &[Kind], seeds: std::ops::Range<u64>, seconds: f64) -> Vec<Job> {
-    let swift = [
-        cardiff().with_faster_service("cardiff x4", FASTER),
-        szeged().with_faster_service("szeged x4", FASTER),
+/// Returns the scenarios of all cells, cell by cell, for both deployments at both speeds.
+fn jobs(kinds: &[ScenarioKind], seeds: std::ops::Range<u64>, seconds: f64) -> Vec<Job> {
+    let fast = [
+        cardiff().with_faster_service("cardiff x4", FAST_PROFILE_FACTOR),
+        szeged().with_faster_service("szeged x4", FAST_PROFILE_FACTOR),
     ];
-    let sites: Vec<Site> = [cardiff(), szeged()].into_iter().chain(swift).collect();
+    let sites: Vec<Site> = [cardiff(), szeged()].into_iter().chain(fast).collect();
     let mut jobs = Vec::new();
     for site in &sites {
         for kind in kinds {
@@ -189,12 +190,12 @@
     jobs
 }
 
-/// What was played, as tables, lines of a chart, and the rules that were broken.
+/// Tables, chart lines and rule violations of all cells.
 struct Report {
     cells: Table,
     scenarios: Table,
     lines: Vec<Line>,
-    broken: Vec<String>,
+    violations: Vec<String>,
 }
 
 impl Report {
@@ -222,18 +223,18 @@
                 "attempts a query",
             ]),
             lines: Vec::new(),
-            broken: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
-    /// Adds a cell, which is the one of that kind (by its place) at its site.
-    fn add_cell(&mut self, kind_number: usize, jobs: &[Job], played: &[Played]) {
+    /// Adds a cell; `kind_number` is the index of its kind.
+    fn add_cell(&mut self, kind_number: usize, jobs: &[Job], played: &[RunMetrics]) {
         let Job { site, kind, .. } = &jobs[0];
-        let of = |value: &dyn Fn(&Played) -> f64| {
+        let of = |value: &dyn Fn(&RunMetrics) -> f64| {
             Estimate::of(&played.iter().map(value).collect::<Vec<_>>())
         };
         let service = of(&|scenario| scenario.service);
-        self.cells.row(vec![
+        self.cells.add_row(vec![
             site.to_string(),
             kind.to_string(),
             service.text(3),
@@ -258,10 +259,10 @@
         }
     }
 
-    fn add_scenario(&mut self, job: &Job, played: &Played) {
+    fn add_scenario(&mut self, job: &Job, played: &RunMetrics) {
         let Job { site, kind, .. } = job;
         let seed = job.scenario.seed;
-        self.scenarios.row(vec![
+        self.scenarios.add_row(vec![
             site.to_string(),
             kind.to_string(),
             seed.to_string(),
@@ -271,27 +272,29 @@
             format!("{:.4}", played.unanswered),
             format!("{:.3}", played.attempts),
         ]);
-        let broken = played.broken.iter();
-        self.broken
-            .extend(broken.map(|what| format!("{site}, {kind}, seed {seed}: {what}")));
+        let violations = played.violations.iter();
+        self.violations.extend(
+            violations.map(|violation| format!("{site}, {kind}, seed {seed}: {violation}")),
+        );
     }
 
-    /// Prints and saves everything.
+    /// Prints and saves the results.
     fn finish(self, options: &Options) -> Verdict {
         print!("{}", self.cells.text());
         self.cells.save(&options.out.join("deployments.csv"))?;
         self.scenarios
             .save(&options.out.join("deployments-days.csv"))?;
-        chart(
+        draw_chart(
             &options.out.join("deployments.svg"),
             "Service by kind of day, both deployments",
             ("kind of day", "service"),
             false,
             &self.lines,
         )?;
-        for what in self.broken.iter().take(MAX_PRINTED) {
-            println!("broken: {what}");
+        for violation in self.violations.iter().take(MAX_PRINTED) {
+            println!("violation: {violation}");
         }
-        Ok((!self.broken.is_empty()).then(|| format!("{} rules broken", self.broken.len())))
+        Ok((!self.violations.is_empty())
+            .then(|| format!("{} rule violations", self.violations.len())))
     }
 }
--- a/crates/wharfhub-testbed/src/experiments/scale.rs
+++ b/crates/wharfhub-testbed/src/experiments/scale.rs
@@ -1,48 +1,48 @@
-//! The scale experiment: slopes over mixers, servers and changes a second, with one size kept out of each fit and
-//! predicted, and the events of a year on a fleet in two regions.
+//! Scale experiment: lines fitted to the cost by number of mixers, number of servers and changes per second, each checked against
+//! a size that the fit leaves out; and operational events of a year on a fleet in two regions.
 //!
-//! The verdict of the full run rests on predictions and on what came into force; that of the quick run on counts
-//! alone (calls, messages, bytes, whole lists), never on a time.
+//! The full run checks the predictions and the times until changes are applied. The quick run checks only counts (calls,
+//! messages, bytes, complete lists) and no times, because it also runs on busy machines.
 
 mod events;
 mod quantity;
 
-use super::{Failure, Options, Verdict};
+use super::{ExperimentError, Options, Verdict};
 use crate::fleet::bench::{Bench, Load, Point};
 use crate::fleet::events::CompressedDay;
 use crate::fleet::fit::LineFit;
-use crate::report::{chart, Estimate, Line, Table};
-use events::events;
+use crate::report::{draw_chart, Estimate, Line, Table};
+use events::run_events;
 use quantity::{
-    change_bytes, change_messages, changes, mixers, whole_list_bytes, FigureOf, Quantity,
+    change_bytes, change_messages, changes, complete_list_bytes, mixers, FigureOf, Quantity,
     BY_MIXERS, BY_RATE, BY_SERVERS,
 };
 use std::path::{Path, PathBuf};
 
-/// A prediction may miss what was measured by this share.
+/// Largest relative error of a prediction.
 const MAX_PREDICTION_ERROR: f64 = 0.25;
-/// Host processes of a fleet.
+/// Number of host processes of a fleet.
 const PROCESSES: u32 = 8;
-/// The name of the axis over changes a second.
+/// Name of the axis over changes per second.
 const RATE_AXIS: &str = "changes/s";
-/// The size to plan with.
+/// Numbers of mixers and servers that operators plan with.
 const FULL_SIZE: (u32, u32) = (860, 5_300);
-/// A change is to be in force everywhere within this time (seconds).
-const MAX_IN_FORCE_S: f64 = 10.0;
+/// Longest time until all mixers have applied a change (seconds).
+const MAX_PROPAGATION_S: f64 = 10.0;
 
-/// The sizes of a run.
+/// Sizes and lengths of a run.
 struct Plan {
-    mixers: [u32; 5],     // the last one is kept out
-    servers: [u32; 5],    // the last one is kept out
-    rates: [f64; 5],      // changes a second; the last one is kept out
-    standard: (u32, u32), // mixers for the slope over servers, servers for the slope over mixers
+    mixers: [u32; 5],     // the last one is left out of the fits
+    servers: [u32; 5],    // the last one is left out of the fits
+    rates: [f64; 5],      // changes per second; the last one is left out of the fits
+    standard: (u32, u32), // mixers while the servers vary, servers while the mixers vary
     full: Option<(u32, u32)>,
     events: (u32, u32),
-    scenario: CompressedDay,
+    day: CompressedDay,
     changes: u32,
     idle_s: f64,
     rate_s: f64,
-    rates_in_step: bool, // where a busy machine must not let changes be told together
+    are_rates_sequential: bool, // set where a busy machine must not combine several changes in one answer
     poll_within_s: f64,
 }
 
@@ -55,14 +55,14 @@
             standard: (100, 660),
             full: Some(FULL_SIZE),
             events: FULL_SIZE,
-            scenario: CompressedDay {
+            day: CompressedDay {
                 changes: 150,
-                per_s: 10.0,
+                changes_per_s: 10.0,
             },
             changes: 12,
             idle_s: 2.0,
             rate_s: 3.0,
-            rates_in_step: false,
+            are_rates_sequential: false,
             poll_within_s: 4.0,
         }
     }
@@ -75,21 +75,21 @@
             standard: (16, 100),
             full: None,
             events: (40, 200),
-            scenario: CompressedDay {
+            day: CompressedDay {
                 changes: 40,
-                per_s: 20.0,
+                changes_per_s: 20.0,
             },
             changes: 4,
             idle_s: 0.2,
             rate_s: 1.0,
-            rates_in_step: true,
+            are_rates_sequential: true,
             poll_within_s: 1.0,
         }
     }
 
-    /// A load at the size to plan with, on one machine: first calls are spread as in service, for the machine takes so
-    /// many whole lists no sooner; and targets are longer, for the idle work of so many mixers would fill five of its
-    /// eight cores.
+    /// Returns the load at the planned size on one machine. First calls are spread over 30 s as in operation, because the
+    /// machine cannot send so many complete lists faster. Latency targets are longer, because the idle work of so many mixers
+    /// would occupy five of its eight cores.
     fn full_size_load(&self, mixers: u32, servers: u32) -> Load {
         Load {
             poll_within_s: 30.0,
@@ -106,7 +106,7 @@
             changes: self.changes,
             is_sequential: true,
             idle_s: self.idle_s,
-            // Ten times those of service: hundreds of mixers share eight cores here.
+            // Ten times the interval in operation, because hundreds of mixers share eight cores here.
             round_s: 0.05,
             poll_within_s: self.poll_within_s,
             target_factor: 1.0,
@@ -114,7 +114,7 @@
     }
 }
 
-/// One axis: its points in order, the last of them kept out of the fits.
+/// Axis with its points in order; the last point is left out of the fits.
 struct Axis {
     name: &'static str,
     x: FigureOf,
@@ -122,7 +122,7 @@
     points: Vec<Point>,
 }
 
-fn measure(options: &Options, load: &Load) -> Result<Point, Failure> {
+fn measure(options: &Options, load: &Load) -> Result<Point, ExperimentError> {
     let mut bench = Bench::start(load, std::env::current_exe()?, PROCESSES, options.seed)?;
     let point = bench.measure(load)?;
     let Load {
@@ -140,7 +140,7 @@
     Ok(point)
 }
 
-fn by_rate(options: &Options, plan: &Plan) -> Result<Vec<Point>, Failure> {
+fn measure_rates(options: &Options, plan: &Plan) -> Result<Vec<Point>, ExperimentError> {
     let load = plan.load(plan.standard.0, plan.standard.1);
     let mut bench = Bench::start(&load, std::env::current_exe()?, PROCESSES, options.seed)?;
     let at = |changes_per_s: f64| {
@@ -149,15 +149,15 @@
             .measure(&Load {
                 changes_per_s,
                 changes,
-                is_sequential: plan.rates_in_step,
+                is_sequential: plan.are_rates_sequential,
                 ..load
             })
-            .map_err(Failure::from)
+            .map_err(ExperimentError::from)
     };
     plan.rates.into_iter().map(at).collect()
 }
 
-fn axes(options: &Options, plan: &Plan) -> Result<Vec<Axis>, Failure> {
+fn measure_axes(options: &Options, plan: &Plan) -> Result<Vec<Axis>, ExperimentError> {
     let (standard_mixers, standard_servers) = plan.standard;
     let by_mixers = plan
         .mixers
@@ -170,11 +170,11 @@
         .map(|load| measure(options, load))
         .collect::<Result<Vec<Point>, _>>()?;
     let by_servers = by_servers.iter().map(|load| {
-        // The standard size stands on both axes, and is measured once.
+        // The standard size is on both axes and is measured once.
         let measured = by_mixers.iter().find(|point| point.load == *load);
         measured.map_or_else(|| measure(options, load), |point| Ok(*point))
     });
-    let by_servers = by_servers.collect::<Result<Vec<Point>, Failure>>()?;
+    let by_servers = by_servers.collect::<Result<Vec<Point>, ExperimentError>>()?;
     Ok(vec![
         Axis {
             name: "mixers",
@@ -192,7 +192,7 @@
             name: RATE_AXIS,
             x: |point| point.load.changes_per_s,
             quantities: &BY_RATE,
-            points: by_rate(options, plan)?,
+            points: measure_rates(options, plan)?,
         },
     ])
 }
@@ -225,14 +225,14 @@
         .iter()
         .flat_map(|axis| axis.points.iter().map(|point| (axis.name, point)));
     for (name, point) in all.chain(full) {
-        // A fleet that goes on from one rate to the next has started once.
+        // All points by rate come from one fleet, which starts only once: its start is left out of their rows.
         let started = |text: String| if name == RATE_AXIS { "-".into() } else { text };
         let each = |value: f64| value / mixers(point);
         let (idle, idle_s) = point.idle;
         let Point {
             load, propagation, ..
         } = point;
-        table.row(vec![
+        table.add_row(vec![
             name.into(),
             load.mixers.to_string(),
             load.servers.to_string(),
@@ -241,7 +241,7 @@
             format!("{:.3}", each(point.idle_cores) * 100.0),
             format!("{:.1}", each(idle.bytes() as f64) / idle_s),
             format!("{:.3}", each(idle.messages() as f64) / idle_s),
-            started(format!("{:.1}", whole_list_bytes(point) / 1e3)),
+            started(format!("{:.1}", complete_list_bytes(point) / 1e3)),
             started(format!("{:.2}", each(point.start_cpu_s) * 1e3)),
             format!("{:.3}", each(point.change_cpu_s) * 1e3),
             format!("{:.1}", change_messages(point) / changes(point)),
@@ -257,7 +257,8 @@
     table
 }
 
-/// The fits of all axes; says which predictions miss by too much.
+/// Returns the table of the fits of all axes, and the predictions whose error is too large. With `counts_only`, times are not
+/// checked.
 fn fits_table(axes: &[Axis], counts_only: bool) -> (Table, Vec<String>) {
     let columns = [
         "axis",
@@ -271,7 +272,7 @@
         "measured",
         "error %",
     ];
-    let (mut table, mut short) = (Table::new(&columns), Vec::new());
+    let (mut table, mut shortfalls) = (Table::new(&columns), Vec::new());
     for axis in axes {
         let Some((kept_out, fitted)) = axis.points.split_last() else {
             continue;
@@ -282,12 +283,12 @@
                 .map(|point| ((axis.x)(point), (quantity.of)(point)))
                 .collect();
             let Some(fit) = LineFit::of(&points) else {
-                short.push(format!("no line for {} by {}", quantity.name, axis.name));
+                shortfalls.push(format!("cannot fit {} by {}", quantity.name, axis.name));
                 continue;
             };
             let (x, measured) = ((axis.x)(kept_out), (quantity.of)(kept_out));
             let error = fit.error(x, measured);
-            table.row(vec![
+            table.add_row(vec![
                 axis.name.into(),
                 quantity.role.into(),
                 quantity.name.into(),
@@ -301,20 +302,21 @@
             ]);
             if error > MAX_PREDICTION_ERROR && (quantity.is_count || !counts_only) {
                 let (name, error) = (quantity.name, error * 100.0);
-                short.push(format!(
-                    "{name} at {x} {} is predicted {error:.0}% off",
+                shortfalls.push(format!(
+                    "prediction of {name} at {x} {} is off by {error:.0}%",
                     axis.name
                 ));
             }
         }
     }
-    (table, short)
+    (table, shortfalls)
 }
 
-/// What the size to plan with would be by the slopes over servers, against what was measured there.
+/// Compares the values that the lines over servers predict for the planned size with the measurement there. Returns the table and
+/// the predictions whose error is too large.
 fn full_size_table(by_servers: &Axis, full: &Point) -> (Table, Vec<String>) {
     let mut table = Table::new(&["figure at full size", "predicted", "measured", "error %"]);
-    let mut short = Vec::new();
+    let mut shortfalls = Vec::new();
     let fitted = &by_servers.points[..by_servers.points.len() - 1];
     for quantity in &by_servers.quantities[..2] {
         let points: Vec<(f64, f64)> = fitted
@@ -331,29 +333,29 @@
             format!("{measured:.3}"),
             format!("{:.1}", error * 100.0),
         ];
-        table.row(
+        table.add_row(
             [quantity.name.to_string()]
                 .into_iter()
                 .chain(cells)
                 .collect(),
         );
         if error > MAX_PREDICTION_ERROR {
-            short.push(format!(
-                "{} at full size is predicted {:.0}% off",
+            shortfalls.push(format!(
+                "prediction of {} at full size is off by {:.0}%",
                 quantity.name,
                 error * 100.0
             ));
         }
     }
-    (table, short)
+    (table, shortfalls)
 }
 
-fn charts(out: &Path, axes: &[Axis]) -> Result<(), Failure> {
+fn draw_charts(out: &Path, axes: &[Axis]) -> Result<(), ExperimentError> {
     for axis in axes {
         let line = |(name, of): (&str, FigureOf)| {
             let value = |point: &Point| Estimate {
                 mean: of(point),
-                half: f64::INFINITY,
+                half_width: f64::INFINITY,
             };
             let points = axis
                 .points
@@ -381,7 +383,7 @@
         let file = axis.name.replace('/', "-per-");
         let path = |what: &str| -> PathBuf { out.join(format!("scale-{file}-{what}.svg")) };
         let title = format!("A change in force everywhere, by {}", axis.name);
-        chart(
+        draw_chart(
             &path("in-force"),
             &title,
             (axis.name, "seconds"),
@@ -389,7 +391,7 @@
             &times.map(line),
         )?;
         let title = format!("What a mixer needs, by {}", axis.name);
-        chart(
+        draw_chart(
             &path("cost"),
             &title,
             (axis.name, "ms, MB"),
@@ -400,8 +402,8 @@
     Ok(())
 }
 
-fn slopes(options: &Options, plan: &Plan) -> Result<Vec<String>, Failure> {
-    let axes = axes(options, plan)?;
+fn run_slopes(options: &Options, plan: &Plan) -> Result<Vec<String>, ExperimentError> {
+    let axes = measure_axes(options, plan)?;
     let full = match plan.full {
         Some((mixers, servers)) => {
             let load = Load {
@@ -413,17 +415,17 @@
         None => None,
     };
     let points = points_table(&axes, full.as_ref());
-    let (fits, mut short) = fits_table(&axes, options.quick);
+    let (fits, mut shortfalls) = fits_table(&axes, options.quick);
     println!("{}\n{}", points.text(), fits.text());
     points.save(&options.out.join("scale.csv"))?;
     fits.save(&options.out.join("scale-fits.csv"))?;
-    charts(&options.out, &axes)?;
+    draw_charts(&options.out, &axes)?;
     let all = axes.iter().flat_map(|axis| &axis.points).chain(&full);
-    short.extend(
+    shortfalls.extend(
         all.filter(|point| point.propagation.missing > 0)
             .map(|point| {
                 format!(
-                    "{} changes never in force at {:?}",
+                    "{} pairs of change and mixer never applied at {:?}",
                     point.propagation.missing, point.load
                 )
             }),
@@ -432,15 +434,15 @@
         let (table, missed) = full_size_table(&axes[1], full);
         println!("{}", table.text());
         table.save(&options.out.join("scale-full-size.csv"))?;
-        short.extend(missed);
-        if full.propagation.last_s > MAX_IN_FORCE_S {
-            short.push(format!(
-                "a change takes {:.1} s at full size",
+        shortfalls.extend(missed);
+        if full.propagation.last_s > MAX_PROPAGATION_S {
+            shortfalls.push(format!(
+                "a change is applied everywhere after {:.1} s at full size",
                 full.propagation.last_s
             ));
         }
     }
-    Ok(short)
+    Ok(shortfalls)
 }
 
 pub fn run(options: &Options) -> Verdict {
@@ -449,19 +451,19 @@
     } else {
         Plan::full()
     };
-    let mut short = Vec::new();
+    let mut shortfalls = Vec::new();
     match options.part.as_deref() {
         None => {
-            short.extend(slopes(options, &plan)?);
-            short.extend(events(options, &plan)?);
+            shortfalls.extend(run_slopes(options, &plan)?);
+            shortfalls.extend(run_events(options, &plan)?);
         }
-        Some("slopes") => short.extend(slopes(options, &plan)?),
-        Some("events") => short.extend(events(options, &plan)?),
+        Some("slopes") => shortfalls.extend(run_slopes(options, &plan)?),
+        Some("events") => shortfalls.extend(run_events(options, &plan)?),
         Some(other) => {
-            return Err(Failure::Other(format!(
-                "part: {other:?} is none of slopes, events"
+            return Err(ExperimentError::Other(format!(
+                "unknown part {other:?}, expected slopes or events"
             )))
         }
     }
-    Ok((!short.is_empty()).then(|| short.join("; ")))
+    Ok((!shortfalls.is_empty()).then(|| shortfalls.join("; ")))
 }
--- a/crates/wharfhub-testbed/src/experiments/scale/quantity.rs
+++ b/crates/wharfhub-testbed/src/experiments/scale/quantity.rs
@@ -1,21 +1,19 @@
-//! The figures of a point whose slopes over mixers, servers and changes a second are looked for.
-//!
-//! This file owns how each figure is calculated. It must never measure anything.
+//! Quantities of a measured point that the scale experiment fits by mixers, servers and changes per second.
 
 use crate::fleet::bench::Point;
 
-/// Takes a figure from a point.
+/// Function that calculates a figure of a point.
 pub(super) type FigureOf = fn(&Point) -> f64;
 
-/// A figure of a point whose slope is looked for.
+/// Quantity to which a line is fitted.
 pub(super) struct Quantity {
-    /// Whose figure it is.
+    /// Component that has the cost: mixers, discovery or the fleet.
     pub(super) role: &'static str,
-    /// Its name, with the unit.
+    /// Name with the unit.
     pub(super) name: &'static str,
-    /// Whether it is a count, which a busy machine does not change.
+    /// Set for counts, which do not depend on the load of the machine.
     pub(super) is_count: bool,
-    /// Takes it from a point.
+    /// Function that calculates the quantity.
     pub(super) of: FigureOf,
 }
 
@@ -45,17 +43,18 @@
     f64::from(point.load.mixers)
 }
 
-/// How long changes were made (seconds).
-pub(super) fn changing_s(point: &Point) -> f64 {
+/// Returns the planned length of the period with changes (seconds).
+pub(super) fn change_period_s(point: &Point) -> f64 {
     changes(point) / point.load.changes_per_s
 }
 
-/// A change reaches a mixer as one answer, and the mixer asks again: two messages. Renewals of watches come beside them.
+/// Returns the messages that changes cause: for each answer with changes, the answer and the next call of the mixer. Renewals of
+/// timed out watches are not counted.
 pub(super) fn change_messages(point: &Point) -> f64 {
     2.0 * point.change.change_answers as f64
 }
 
-pub(super) fn whole_list_bytes(point: &Point) -> f64 {
+pub(super) fn complete_list_bytes(point: &Point) -> f64 {
     point.start.bytes_out as f64 / point.start.complete_lists.max(1) as f64
 }
 
@@ -103,7 +102,7 @@
         point.idle_cores / mixers(point) * 100.0
     }),
     counted("discovery", "bytes of the whole list (kB)", |point| {
-        whole_list_bytes(point) / 1e3
+        complete_list_bytes(point) / 1e3
     }),
     timed("fleet", "change in force, median (ms)", |point| {
         point.propagation.median_s * 1e3
@@ -112,14 +111,15 @@
 
 pub(super) const BY_RATE: [Quantity; 4] = [
     timed("mixers", "CPU for changes, each (% of a core)", |point| {
-        let answers_per_s = point.change.change_answers as f64 / mixers(point) / changing_s(point);
+        let answers_per_s =
+            point.change.change_answers as f64 / mixers(point) / change_period_s(point);
         point.change_cpu_s * answers_per_s / mixers(point) * 100.0
     }),
     counted("mixers", "messages a second, each", |point| {
-        change_messages(point) / changing_s(point) / mixers(point)
+        change_messages(point) / change_period_s(point) / mixers(point)
     }),
     counted("mixers", "bytes a second, each", |point| {
-        change_bytes(point) / changing_s(point) / mixers(point)
+        change_bytes(point) / change_period_s(point) / mixers(point)
     }),
     timed("discovery", "CPU for changes (% of a core)", |point| {
         point.discovery_change_cpu_s * point.load.changes_per_s * 100.0
--- a/crates/wharfhub-testbed/src/experiments/soak.rs
+++ b/crates/wharfhub-testbed/src/experiments/soak.rs
@@ -1,6 +1,6 @@
 //! The `soak` experiment: randomized fault soaks of real daemons with consecutive seeds, checked from outside.
 
-use super::{Failure, Options, Verdict};
+use super::{ExperimentError, Options, Verdict};
 use crate::report::Table;
 use crate::soak::plan::Plan;
 use crate::soak::run::{self, Outcome};
@@ -121,8 +121,8 @@
     for seed in options.seed..options.seed + seeds {
         let plan = Plan::draw(seed, options.quick);
         let folder = options.out.join(format!("soak-{seed}"));
-        let (_, outcome) = run::run_plan(&plan, &folder).map_err(Failure::from)?;
-        table.row(row(&plan, &outcome));
+        let (_, outcome) = run::run_plan(&plan, &folder).map_err(ExperimentError::from)?;
+        table.add_row(row(&plan, &outcome));
         if !outcome.violations.is_empty() {
             print_violations(&plan, &outcome);
             print_log_lines(&folder)?;
--- a/crates/wharfhub-testbed/src/journal.rs
+++ b/crates/wharfhub-testbed/src/journal.rs
@@ -1,10 +1,9 @@
-//! The journal of the operators' bench as a table and a chart: what each scored scenario gave, run by run.
+//! Table and chart of the operators' benchmark journal: the scores of each scenario, run by run.
 //!
-//! This file owns the reading of those entries. It must never write to the journal, nor leave out a run of the kind that
-//! was asked for.
+//! The journal is only read, and every run that matches is shown, failed ones included.
 
-use crate::experiments::Failure;
-use crate::report::{chart, Estimate, Line, Table};
+use crate::experiments::ExperimentError;
+use crate::report::{draw_chart, Estimate, Line, Table};
 use miniserde::{json, Deserialize};
 use std::path::{Path, PathBuf};
 
@@ -19,7 +18,7 @@
     #[serde(rename = "figures")]
     metrics: Option<Metrics>,
     #[serde(rename = "days")]
-    scenarios: Option<Vec<DayEntry>>,
+    scenarios: Option<Vec<ScenarioEntry>>,
 }
 
 #[derive(Deserialize)]
@@ -29,7 +28,7 @@
 }
 
 #[derive(Deserialize)]
-struct DayEntry {
+struct ScenarioEntry {
     name: Option<String>,
     seed: Option<u64>,
     score: Option<f64>,
@@ -38,7 +37,7 @@
     min_served: Option<f64>,
 }
 
-/// Columns of the table, a row for each scored scenario.
+/// Columns of the table, which has a row for each scored scenario.
 const COLUMNS: [&str; 10] = [
     "at",
     "commit",
@@ -52,9 +51,15 @@
     "why",
 ];
 
-/// Reads the journal's runs of the command `cmd` whose scenarios have `kind` in their names, and writes `NAME.csv` and
-/// `NAME.svg` of them.
-pub fn show(journal: &Path, cmd: &str, kind: &str, name: &str, out: &Path) -> Result<(), Failure> {
+/// Reads the runs of the command `cmd` with scenarios whose names contain `kind`, prints them as a table, and writes `NAME.csv` and
+/// `NAME.svg`.
+pub fn show(
+    journal: &Path,
+    cmd: &str,
+    kind: &str,
+    name: &str,
+    out: &Path,
+) -> Result<(), ExperimentError> {
     let mut table = Table::new(&COLUMNS);
     let mut lines: Vec<Line> = Vec::new();
     let mut runs: u32 = 0;
@@ -66,10 +71,10 @@
         }
         runs += 1;
         for scenario in scenarios {
-            table.row(row_of(&entry, &scenario));
+            table.add_row(row_of(&entry, &scenario));
             let score = Estimate {
                 mean: scenario.score.unwrap_or(0.0),
-                half: 0.0,
+                half_width: 0.0,
             };
             let line = line_named(&mut lines, scenario.name.unwrap_or_default());
             line.points.push((f64::from(runs), score));
@@ -78,7 +83,7 @@
     print!("{}", table.text());
     table.save(&out.join(format!("{name}.csv")))?;
     let title = format!("Scored days ({kind}), run by run");
-    Ok(chart(
+    Ok(draw_chart(
         &out.join(format!("{name}.svg")),
         &title,
         ("run", "score"),
@@ -87,8 +92,8 @@
     )?)
 }
 
-/// The journal's files, in order of time.
-fn entry_files(journal: &Path) -> Result<Vec<PathBuf>, Failure> {
+/// Returns the journal's files, sorted by name and thereby by time.
+fn entry_files(journal: &Path) -> Result<Vec<PathBuf>, ExperimentError> {
     let mut files: Vec<PathBuf> = std::fs::read_dir(journal)?
         .map(|entry| entry.map(|entry| entry.path()))
         .collect::<Result<_, _>>()?;
@@ -97,13 +102,14 @@
     Ok(files)
 }
 
-fn read_entry(path: &Path) -> Result<Entry, Failure> {
+fn read_entry(path: &Path) -> Result<Entry, ExperimentError> {
     let text = std::fs::read_to_string(path)?;
-    json::from_str(&text)
-        .map_err(|_| Failure::Other(format!("{}: is no entry of the journal", path.display())))
+    json::from_str(&text).map_err(|_| {
+        ExperimentError::Other(format!("cannot parse journal entry {}", path.display()))
+    })
 }
 
-fn scenarios_of_kind(entry: &mut Entry, kind: &str) -> Vec<DayEntry> {
+fn scenarios_of_kind(entry: &mut Entry, kind: &str) -> Vec<ScenarioEntry> {
     let mut scenarios = entry.scenarios.take().unwrap_or_default();
     scenarios.retain(|scenario| {
         scenario
@@ -114,8 +120,8 @@
     scenarios
 }
 
-/// The cells of a scenario, in the order of [`COLUMNS`].
-fn row_of(entry: &Entry, scenario: &DayEntry) -> Vec<String> {
+/// Returns the cells of a scenario in the order of [`COLUMNS`].
+fn row_of(entry: &Entry, scenario: &ScenarioEntry) -> Vec<String> {
     let decimals = |value: Option<f64>| value.map_or("-".into(), |value| format!("{value:.3}"));
     let metrics = entry.metrics.as_ref();
     let gate = match metrics.and_then(|metrics| metrics.gate) {
@@ -139,7 +145,7 @@
     ]
 }
 
-/// The line of that name, which begins empty.
+/// Returns the line with a name, which is added if it does not exist.
 fn line_named(lines: &mut Vec<Line>, name: String) -> &mut Line {
     let index = lines
         .iter()
--- a/crates/wharfhub-testbed/src/report.rs
+++ b/crates/wharfhub-testbed/src/report.rs
@@ -1,7 +1,4 @@
-//! Tables, charts and intervals of experiments.
-//!
-//! This file owns how results are shown: a table in text, the same as CSV, and charts as SVG. It must never change a
-//! figure, and never decide what is good enough.
+//! Output of experiments: tables as text and CSV, charts as SVG, and means with confidence intervals.
 
 use plotters::prelude::*;
 use statrs::distribution::{ContinuousCDF, StudentsT};
@@ -9,37 +6,37 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why a result could not be shown.
+/// Error of writing a result.
 #[derive(Debug, Error)]
 pub enum ReportError {
     /// A file could not be written.
     #[error("cannot write {path}: {reason}")]
     Write {
-        /// Which.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Cause.
         reason: String,
     },
 }
 
-/// A mean and half the width of its 95% interval.
+/// Mean with its 95% confidence interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
-    /// The mean.
+    /// Arithmetic mean of the values.
     pub mean: f64,
-    /// Half the width; without end where there is one value or none.
-    pub half: f64,
+    /// Half the width of the interval; infinite for fewer than two values.
+    pub half_width: f64,
 }
 
 impl Estimate {
-    /// By Student's t, from independent values.
+    /// Computes the mean and, by Student's t-distribution, the interval of independent values.
     pub fn of(values: &[f64]) -> Estimate {
         let count = values.len() as f64;
         let mean = values.iter().sum::<f64>() / count.max(1.0);
         if values.len() < 2 {
             return Estimate {
                 mean,
-                half: f64::INFINITY,
+                half_width: f64::INFINITY,
             };
         }
         let variance = values
@@ -51,28 +48,28 @@
             StudentsT::new(0.0, 1.0, count - 1.0).map_or(f64::INFINITY, |t| t.inverse_cdf(0.975));
         Estimate {
             mean,
-            half: t * (variance / count).sqrt(),
+            half_width: t * (variance / count).sqrt(),
         }
     }
 
-    /// As text, with so many places.
-    pub fn text(&self, places: usize) -> String {
-        if self.half.is_finite() {
-            format!("{:.places$} ± {:.places$}", self.mean, self.half)
+    /// Formats the mean and the interval with the given number of decimals.
+    pub fn text(&self, decimals: usize) -> String {
+        if self.half_width.is_finite() {
+            format!("{:.decimals$} ± {:.decimals$}", self.mean, self.half_width)
         } else {
-            format!("{:.places$}", self.mean)
+            format!("{:.decimals$}", self.mean)
         }
     }
 }
 
-/// A table.
+/// Table of text cells.
 pub struct Table {
     columns: Vec<String>,
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// An empty one.
+    /// Creates a table without rows.
     pub fn new(columns: &[&str]) -> Table {
         Table {
             columns: columns.iter().map(|column| column.to_string()).collect(),
@@ -80,12 +77,12 @@
         }
     }
 
-    /// Another row; as many cells as columns.
-    pub fn row(&mut self, cells: Vec<String>) {
+    /// Adds a row, which must have as many cells as there are columns.
+    pub fn add_row(&mut self, cells: Vec<String>) {
         self.rows.push(cells);
     }
 
-    /// As text that is Markdown too.
+    /// Formats the table as Markdown with aligned columns.
     pub fn text(&self) -> String {
         let width = |index: usize| {
             let cells = self
@@ -121,7 +118,7 @@
         text
     }
 
-    /// Writes it as CSV.
+    /// Writes the table to a CSV file.
     pub fn save(&self, path: &Path) -> Result<(), ReportError> {
         let failed = |error: csv::Error| ReportError::Write {
             path: path.into(),
@@ -136,33 +133,33 @@
     }
 }
 
-/// A line of a chart: its name, and points with the half width of their intervals.
+/// Line of a chart.
 pub struct Line {
-    /// Its name.
+    /// Name in the legend.
     pub name: String,
-    /// Its points.
+    /// Points as `x` and the estimate of `y`.
     pub points: Vec<(f64, Estimate)>,
 }
 
-/// Draws lines with their intervals. Axes may be logarithmic along.
-pub fn chart(
+/// Draws lines with confidence intervals to an SVG file; with `log_x`, the x axis is logarithmic.
+pub fn draw_chart(
     path: &Path,
     title: &str,
     labels: (&str, &str),
-    log: bool,
+    log_x: bool,
     lines: &[Line],
 ) -> Result<(), ReportError> {
     let failed = |reason: String| ReportError::Write {
         path: path.into(),
         reason,
     };
-    let Some(bounds) = Bounds::of(lines, log) else {
-        return Err(failed("there is nothing to draw".into()));
+    let Some(bounds) = Bounds::of(lines, log_x) else {
+        return Err(failed("the chart has no points".into()));
     };
     let drawing = Drawing {
         title,
         labels,
-        log,
+        log_x,
         bounds,
         lines,
     };
@@ -170,33 +167,33 @@
     drawn.map_err(failed)
 }
 
-/// Where a point lies along.
-fn position(x: f64, log: bool) -> f64 {
-    if log {
+/// Returns the position of `x` on the x axis.
+fn x_position(x: f64, log_x: bool) -> f64 {
+    if log_x {
         x.log10()
     } else {
         x
     }
 }
 
-/// Half of an interval, where it has an end.
-fn half(estimate: &Estimate) -> f64 {
-    if estimate.half.is_finite() {
-        estimate.half
+/// Returns the half width of an interval, or 0 if it is infinite.
+fn finite_half_width(estimate: &Estimate) -> f64 {
+    if estimate.half_width.is_finite() {
+        estimate.half_width
     } else {
         0.0
     }
 }
 
-/// What a chart shows of each axis, with a margin.
+/// Ranges of the axes, with a margin.
 struct Bounds {
-    along: std::ops::Range<f64>,
-    up: std::ops::Range<f64>,
+    x: std::ops::Range<f64>,
+    y: std::ops::Range<f64>,
 }
 
 impl Bounds {
-    /// None where there is no point.
-    fn of(lines: &[Line], log: bool) -> Option<Bounds> {
+    /// Returns the ranges that contain all points and intervals, or `None` without points.
+    fn of(lines: &[Line], log_x: bool) -> Option<Bounds> {
         let points = || lines.iter().flat_map(|line| &line.points);
         points().next()?;
         let widen = |low: f64, high: f64, share: f64| {
@@ -208,16 +205,16 @@
             let margin = (high - low) * share;
             low - margin..high + margin
         };
-        let along = || points().map(|(x, _)| position(*x, log));
-        let lows = points().map(|(_, estimate)| estimate.mean - half(estimate));
-        let highs = points().map(|(_, estimate)| estimate.mean + half(estimate));
+        let xs = || points().map(|(x, _)| x_position(*x, log_x));
+        let lows = points().map(|(_, estimate)| estimate.mean - finite_half_width(estimate));
+        let highs = points().map(|(_, estimate)| estimate.mean + finite_half_width(estimate));
         Some(Bounds {
-            along: widen(
-                along().fold(f64::MAX, f64::min),
-                along().fold(f64::MIN, f64::max),
+            x: widen(
+                xs().fold(f64::MAX, f64::min),
+                xs().fold(f64::MIN, f64::max),
                 0.05,
             ),
-            up: widen(
+            y: widen(
                 lows.fold(f64::MAX, f64::min),
                 highs.fold(f64::MIN, f64::max),
                 0.08,
@@ -226,11 +223,11 @@
     }
 }
 
-/// A chart before it is drawn.
+/// Contents of a chart.
 struct Drawing<'a> {
     title: &'a str,
     labels: (&'a str, &'a str),
-    log: bool,
+    log_x: bool,
     bounds: Bounds,
     lines: &'a [Line],
 }
@@ -244,9 +241,9 @@
             .margin(12)
             .x_label_area_size(42)
             .y_label_area_size(64)
-            .build_cartesian_2d(self.bounds.along.clone(), self.bounds.up.clone())?;
+            .build_cartesian_2d(self.bounds.x.clone(), self.bounds.y.clone())?;
         let label = |x: &f64| {
-            if self.log {
+            if self.log_x {
                 format!("{:.0}", 10f64.powf(*x))
             } else {
                 format!("{x:.2}")
@@ -264,7 +261,7 @@
             let points: Vec<(f64, Estimate)> = line
                 .points
                 .iter()
-                .map(|(x, estimate)| (position(*x, self.log), *estimate))
+                .map(|(x, estimate)| (x_position(*x, self.log_x), *estimate))
                 .collect();
             let means = points.iter().map(|(x, estimate)| (*x, estimate.mean));
             chart
@@ -276,8 +273,8 @@
             chart.draw_series(means.map(|point| Circle::new(point, 3, color.filled())))?;
             let bars = points.iter().map(|(x, estimate)| {
                 let (low, high) = (
-                    estimate.mean - half(estimate),
-                    estimate.mean + half(estimate),
+                    estimate.mean - finite_half_width(estimate),
+                    estimate.mean + finite_half_width(estimate),
                 );
                 PathElement::new(vec![(*x, low), (*x, high)], color.stroke_width(1))
             });
