--- a/crates/wharfhub-testbed/src/connections.rs
+++ b/crates/wharfhub-testbed/src/connections.rs
@@ -57,7 +57,7 @@
     Connecting(u64),
     /// New connection with this id, which the caller has to establish.
     New(u64),
-    /// No connection: none has room, and the limit for the leaf server is reached.
+    /// No connection: no open connection has capacity for the call, and the limit for the leaf server is reached.
     PoolFull,
 }
 
--- a/crates/wharfhub-testbed/src/emulator/clients.rs
+++ b/crates/wharfhub-testbed/src/emulator/clients.rs
@@ -8,17 +8,17 @@
 use wharfhub::requests::coordinator::{FinalAnswer, PartRequest, QueryRequest};
 
 impl Emulator<'_> {
-    /// Returns the mixer for a request. Each retry goes to another mixer. The load balancer skips a dead mixer once it has noticed
-    /// the failure, after [`FAILOVER_DELAY_S`].
+    /// Returns the mixer for a request. Each retry goes to another mixer. The load balancer skips a mixer that does not run
+    /// once it has noticed the failure, after [`FAILOVER_DELAY_S`].
     pub(super) fn choose_mixer(&self, query: &Query, retry: u32) -> usize {
         let count = self.mixers.len();
-        let known_dead = |mixer: &Mixer| {
-            mixer.coordinator.is_none() && self.now > mixer.died_at + FAILOVER_DELAY_S
+        let known_stopped = |mixer: &Mixer| {
+            mixer.coordinator.is_none() && self.now > mixer.stopped_at + FAILOVER_DELAY_S
         };
         let first = (query.mixer + retry as usize) % count;
         let next = (0..count).map(|step| (first + step) % count);
         next.into_iter()
-            .find(|index| !known_dead(&self.mixers[*index]))
+            .find(|index| !known_stopped(&self.mixers[*index]))
             .unwrap_or(first)
     }
 
@@ -50,7 +50,7 @@
         let mixer = self.choose_mixer(query, retry);
         self.tally.requests[tally::TOTAL] += 1;
         if self.mixers[mixer].coordinator.is_none() {
-            // The mixer is dead, so the connection is refused.
+            // The mixer does not run, so the connection is refused.
             self.tally.requests[tally::FAILED] += 1;
             return self.retry_or_finish(number, retry, None, true);
         }
--- a/crates/wharfhub-testbed/src/emulator/faults.rs
+++ b/crates/wharfhub-testbed/src/emulator/faults.rs
@@ -47,7 +47,7 @@
         let server = &mut self.leaf_servers[leaf_server as usize];
         match fault {
             Fault::Dead(_) => {
-                self.server_dies(leaf_server);
+                self.kill_server(leaf_server);
                 self.send_list_updates(leaf_server, Lifecycle::Removed);
             }
             Fault::ZoneLoss(..) => {
@@ -81,7 +81,7 @@
                 server.setup.pauses = self.scenario.leaf_server_setup(leaf_server).pauses;
             }
             Fault::Drain(_) => {
-                self.server_dies(leaf_server);
+                self.kill_server(leaf_server);
                 self.schedule(
                     self.now + DRAIN_RESTART_DELAY_S,
                     Event::Restart(leaf_server),
@@ -111,7 +111,7 @@
                 continue;
             }
             if begins {
-                self.mixer_dies(mixer, true);
+                self.stop_mixer(mixer, true);
             } else {
                 self.restart_mixer(mixer);
             }
--- a/crates/wharfhub-testbed/src/emulator/leaf_servers.rs
+++ b/crates/wharfhub-testbed/src/emulator/leaf_servers.rs
@@ -514,9 +514,9 @@
     }
 
     /// Kills the process of a leaf server and resets its connections.
-    pub(super) fn server_dies(&mut self, leaf_server: u32) {
+    pub(super) fn kill_server(&mut self, leaf_server: u32) {
         self.advance(leaf_server);
-        self.leaf_servers[leaf_server as usize].die();
+        self.leaf_servers[leaf_server as usize].kill();
         self.event_versions[leaf_server as usize] += 1;
         self.jobs_by_server[leaf_server as usize].clear();
         self.reset_connections(leaf_server);
@@ -525,7 +525,7 @@
     /// Starts a new process of a leaf server and announces it to the mixers.
     pub(super) fn restart_server(&mut self, leaf_server: u32) {
         if self.leaf_servers[leaf_server as usize].fault == ServerFault::Lost {
-            self.server_dies(leaf_server); // the restored machine resets connections that the mixers still keep open
+            self.kill_server(leaf_server); // the restored machine resets connections that the mixers still keep open
         }
         self.leaf_servers[leaf_server as usize].start(self.now);
         self.send_list_updates(leaf_server, Lifecycle::Ready);
--- a/crates/wharfhub-testbed/src/emulator/mod.rs
+++ b/crates/wharfhub-testbed/src/emulator/mod.rs
@@ -34,11 +34,11 @@
 const MIN_RETRY_TIME_S: f64 = 0.15;
 /// Tolerance of the rule checker for time limits, because of network delays (seconds).
 const SLACK_S: f64 = 0.01;
-/// Time from the death of a drained process to the start of the new one (seconds).
+/// Time from the end of a drained process to the start of the new one (seconds).
 const DRAIN_RESTART_DELAY_S: f64 = 6.0;
 /// Time after which the establishment of a connection fails (seconds).
 const CONNECT_TIMEOUT_S: f64 = 0.25;
-/// Time for which the load balancer in front of the mixers continues to send requests to a dead one (seconds).
+/// Time for which the load balancer in front of the mixers continues to send requests to a mixer that does not run (seconds).
 const FAILOVER_DELAY_S: f64 = 2.0;
 
 /// Attempt on its way to a leaf server or at one.
@@ -83,8 +83,7 @@
     Opened(usize, u32, u32, u64),
     /// Failed establishment of a connection; has no effect on an established connection.
     ConnectFailed(usize, u32, u32, u64),
-    /// Arrival of an answer at a mixer: mixer, incarnation, leaf server, connection, attempt, and the outcome with its value and
-    /// the time at which the attempt was sent.
+    /// Arrival of an answer at a mixer: mixer, incarnation, leaf server, connection, attempt, outcome with value, send time.
     Answer(
         usize,
         u32,
@@ -136,9 +135,9 @@
 }
 
 struct Mixer {
-    coordinator: Option<Coordinator>, // none while the mixer is dead
+    coordinator: Option<Coordinator>, // none while the mixer does not run
     incarnation: u32,
-    died_at: f64,
+    stopped_at: f64,
     pool: ConnectionPool,
     in_flight: BTreeMap<AttemptKey, (u32, u64, u64)>, // leaf server, connection, number of the job
     endpoints: BTreeMap<ReplicaId, ReplicaEntry>,     // list entries as last received
@@ -266,7 +265,7 @@
         Mixer {
             coordinator: Some(self.new_coordinator(number, 0)),
             incarnation: 0,
-            died_at: 0.0,
+            stopped_at: 0.0,
             pool,
             in_flight: BTreeMap::new(),
             endpoints: BTreeMap::new(),
@@ -312,8 +311,7 @@
             self.schedule(START_S + from, Event::Fault(number, true));
             self.schedule(START_S + to, Event::Fault(number, false));
         }
-        // The emulation continues for 8 s after the last query, longer than the client timeouts of the operators' deployments, so
-        // that every query can end.
+        // Every query ends within 8 s of the start of the last one: client timeouts of the operators' deployments are shorter.
         let end = START_S + self.scenario.seconds + 8.0;
         while let Some(Reverse(next)) = self.events.pop() {
             self.now = next.at as f64 / 1e6;
@@ -361,7 +359,7 @@
         }
     }
 
-    /// Calls the coordinator of a mixer and executes its commands. Has no effect on a dead mixer.
+    /// Calls the coordinator of a mixer and executes its commands. Has no effect if the mixer does not run.
     fn drive(&mut self, mixer: usize, call: impl FnOnce(&mut Coordinator, f64, &mut Vec<Command>)) {
         let Some(coordinator) = &mut self.mixers[mixer].coordinator else {
             return;
@@ -386,8 +384,7 @@
         self.commands = commands;
     }
 
-    /// Executes the commands of a mixer. Returns the attempts that are not sent, either because the pool has no connection or
-    /// because their result is no longer needed.
+    /// Executes the commands of a mixer. Returns the attempts not sent: the pool is full, or their result is no longer needed.
     fn execute_commands(
         &mut self,
         mixer: usize,
@@ -446,7 +443,7 @@
         self.digest = (self.digest ^ action).wrapping_mul(0x100_0000_01b3);
     }
 
-    /// Returns whether a mixer is alive and still the process that an event refers to.
+    /// Returns whether a mixer runs and is still the process that an event refers to.
     fn is_current(&self, mixer: usize, incarnation: u32) -> bool {
         self.mixers[mixer].incarnation == incarnation && self.mixers[mixer].coordinator.is_some()
     }
@@ -462,11 +459,9 @@
             }
             Event::Wake(..) => {}
             Event::CallArrives(leaf_server, jobs) => self.call_arrives(leaf_server, jobs),
-            Event::Progress(leaf_server, version)
-                if self.event_versions[leaf_server as usize] == version =>
-            {
-                self.advance(leaf_server);
-                self.schedule_next_event(leaf_server);
+            Event::Progress(server, version) if self.event_versions[server as usize] == version => {
+                self.advance(server);
+                self.schedule_next_event(server);
             }
             Event::Progress(..) => {}
             Event::HandshakeArrives(leaf_server, mixer, incarnation, connection) => {
@@ -541,15 +536,15 @@
     }
 
     /// Stops a mixer. If its machine is lost too, its clients get no reset and wait until their timeout.
-    fn mixer_dies(&mut self, mixer: usize, machine_lost: bool) {
-        let dying = &mut self.mixers[mixer];
-        if dying.coordinator.take().is_none() {
+    fn stop_mixer(&mut self, mixer: usize, machine_lost: bool) {
+        let stopped = &mut self.mixers[mixer];
+        if stopped.coordinator.take().is_none() {
             return;
         }
-        (dying.incarnation, dying.died_at) = (dying.incarnation + 1, self.now);
-        dying.pool = ConnectionPool::new(self.scenario.mixers, self.scenario.site.idle_timeout_s);
-        dying.in_flight.clear();
-        self.rules.mixer_died(mixer as u32);
+        (stopped.incarnation, stopped.stopped_at) = (stopped.incarnation + 1, self.now);
+        stopped.pool = ConnectionPool::new(self.scenario.mixers, self.scenario.site.idle_timeout_s);
+        stopped.in_flight.clear();
+        self.rules.mixer_stopped(mixer as u32);
         let interrupted: Vec<(usize, u32)> = self
             .open_requests
             .iter()
--- a/crates/wharfhub-testbed/src/experiments/data_path.rs
+++ b/crates/wharfhub-testbed/src/experiments/data_path.rs
@@ -283,12 +283,7 @@
     }
     shortfalls.extend(rule_violations(&rig.shared));
     let (_, attempts, _) = *lock(&rig.shared.work);
-    let parts: usize = rig
-        .shared
-        .queries
-        .iter()
-        .map(|query| query.parts.len())
-        .sum();
+    let parts: usize = rig.shared.queries.iter().map(|item| item.parts.len()).sum();
     let memory_mb = rig.daemon.usage()?.resident_bytes as f64 / 1e6;
     println!(
         "attempts a part: {:.3}; memory: {memory_mb:.1} MB",
--- a/crates/wharfhub-testbed/src/experiments/data_path/cost_law.rs
+++ b/crates/wharfhub-testbed/src/experiments/data_path/cost_law.rs
@@ -5,9 +5,9 @@
 /// Largest ratio of the cost of a part in the largest query to that at the size with the cheapest parts. The check is at least
 /// as strict as a comparison with the smallest query, whose four parts each bear a quarter of the fixed cost of a query.
 pub const MAX_COST_RATIO: f64 = 1.5;
-/// Largest relative error of the prediction at the held-out size.
+/// Largest accepted error of the prediction at the held-out size, relative to the measured cost.
 const MAX_PREDICTION_ERROR: f64 = 0.25;
-/// Largest relative error of a fitted point at which a line is the law; otherwise a parabola is fitted.
+/// Largest error at a fitted point, relative to its measured cost, at which a line is the law; otherwise a parabola is fitted.
 const MAX_LINE_RESIDUAL: f64 = 0.15;
 
 /// Fitted cost law and the figures that are checked.
--- a/crates/wharfhub-testbed/src/experiments/scale.rs
+++ b/crates/wharfhub-testbed/src/experiments/scale.rs
@@ -19,7 +19,7 @@
 };
 use std::path::{Path, PathBuf};
 
-/// Largest relative error of a prediction.
+/// Largest accepted error of a prediction, relative to the measured value.
 const MAX_PREDICTION_ERROR: f64 = 0.25;
 /// Number of host processes of a fleet.
 const PROCESSES: u32 = 8;
--- a/crates/wharfhub-testbed/src/fit.rs
+++ b/crates/wharfhub-testbed/src/fit.rs
@@ -17,7 +17,7 @@
 pub struct Polynomial {
     /// Coefficients by ascending power of the size, the constant term first.
     pub coefficients: Vec<f64>,
-    /// Largest relative error of a fitted point.
+    /// Largest error of the polynomial at a fitted point, relative to the measured cost of that point.
     pub residual: f64,
 }
 
--- a/crates/wharfhub-testbed/src/fleet/catalog.rs
+++ b/crates/wharfhub-testbed/src/fleet/catalog.rs
@@ -77,7 +77,7 @@
     /// No whitespace.
     #[default]
     Compact,
-    /// One key on a line, indented by two spaces for each level.
+    /// A line for each key, indented by two spaces for each level.
     Indented,
 }
 
--- a/crates/wharfhub-testbed/src/fleet/counters.rs
+++ b/crates/wharfhub-testbed/src/fleet/counters.rs
@@ -29,7 +29,8 @@
     pub max_queued: u64,
     /// Watches that were open when the counters were last updated.
     pub watches: u64,
-    /// Largest number of bytes queued for writing on one connection.
+    /// Largest number of bytes queued for writing on a single connection. A text that several connections share counts in full
+    /// for each of them.
     pub max_unsent_bytes: u64,
 }
 
--- a/crates/wharfhub-testbed/src/fleet/fit.rs
+++ b/crates/wharfhub-testbed/src/fleet/fit.rs
@@ -7,7 +7,7 @@
     pub base: f64,
     /// Increase for each unit of `x`.
     pub slope: f64,
-    /// Largest relative error of a fitted point.
+    /// Largest error of the line at a fitted point, relative to the measured value of that point.
     pub residual: f64,
 }
 
@@ -42,7 +42,7 @@
         self.base + self.slope * x
     }
 
-    /// Returns the relative error of the prediction at `x` against a measured value.
+    /// Returns the error of the prediction at `x`, relative to the measured value.
     pub fn error(&self, x: f64, measured: f64) -> f64 {
         (self.at(x) - measured).abs() / measured.abs().max(f64::MIN_POSITIVE)
     }
--- a/crates/wharfhub-testbed/src/load.rs
+++ b/crates/wharfhub-testbed/src/load.rs
@@ -122,7 +122,7 @@
             lock(&shared.rules).request_started(&id);
             lock(&self.tally).requests[tally::TOTAL] += 1;
             let answer = self.send_request(mixer, &id, number, query, timeout_s);
-            let (took_s, since_s) = (shared.now() - sent_at, shared.now() - query.at);
+            let (took_s, age_s) = (shared.now() - sent_at, shared.now() - query.at);
             let mut retry_after_s = None;
             let outcome = match &answer {
                 Ok(answer) if answer.status == 200 => {
@@ -132,7 +132,7 @@
                                 &id,
                                 query,
                                 &body,
-                                (took_s, since_s, timeout_s),
+                                (took_s, age_s, timeout_s),
                             )
                         }
                         Err(_) => RequestOutcome::Failed,
@@ -159,17 +159,14 @@
             lock(&self.tally).requests[kind] += 1;
             let (max, backoff_s, _) = scenario.site.retries;
             let backoff_s = (backoff_s.0 + backoff_s.1) / 2.0;
-            let retry_delay_s = retry_after_s
+            let delay_s = retry_after_s
                 .filter(|delay_s| *delay_s > 0.0)
                 .unwrap_or(backoff_s);
             let may_retry = retry_after_s.is_some() || class.is_retryable();
-            if retry >= max
-                || query.timeout_s - since_s - retry_delay_s <= MIN_RETRY_TIME_S
-                || !may_retry
-            {
-                return lock(&self.tally).record_query(scenario, query, None, since_s);
+            if retry >= max || query.timeout_s - age_s - delay_s <= MIN_RETRY_TIME_S || !may_retry {
+                return lock(&self.tally).record_query(scenario, query, None, age_s);
             }
-            std::thread::sleep(Duration::from_secs_f64(retry_delay_s));
+            std::thread::sleep(Duration::from_secs_f64(delay_s));
         }
     }
 
--- a/crates/wharfhub-testbed/src/model.rs
+++ b/crates/wharfhub-testbed/src/model.rs
@@ -69,7 +69,7 @@
     /// No fault.
     #[default]
     None,
-    /// The process has died; connections are refused.
+    /// The process does not run; connections are refused.
     Dead,
     /// The machine is lost or partitioned: no answers arrive, and new connections are never established.
     Lost,
@@ -90,7 +90,7 @@
     Failed,
     /// The job never gets an answer.
     Ignored,
-    /// The job is refused because the process has died or is overloaded during slow start.
+    /// The job is refused because the process does not run or is overloaded during slow start.
     Refused,
 }
 
@@ -120,7 +120,7 @@
     pub started_at: f64,
     /// Factor by which this server is slower than usual, in addition to the common slowdown.
     pub slowdown: f64,
-    /// Number of times that the process has died.
+    /// Number of times that the process was killed.
     pub incarnation: u32,
     running: Vec<(f64, J)>,          // remaining work (core seconds) and job
     prioritized: VecDeque<(f64, J)>, // waiting pre-checks and handshakes, which run before other jobs
@@ -167,7 +167,7 @@
     }
 
     /// Kills the process and returns the jobs that it held. [`LeafServer::start`] starts a new process.
-    pub fn die(&mut self) -> Vec<J> {
+    pub fn kill(&mut self) -> Vec<J> {
         self.fault = ServerFault::Dead;
         self.incarnation += 1;
         let interrupted = self
--- a/crates/wharfhub-testbed/src/rules.rs
+++ b/crates/wharfhub-testbed/src/rules.rs
@@ -129,14 +129,12 @@
     ) {
         let (shard, pre_check) = sent;
         let class = self.scenario.site.classes[query.class].clone();
-        if let Some(notified_at) =
-            self.unavailable_since
-                .get(&(mixer, leaf_server))
-                .filter(|notified_at| {
-                    now > **notified_at + self.scenario.site.drain_grace_s + self.slack_s
-                })
+        if let Some(since) = self
+            .unavailable_since
+            .get(&(mixer, leaf_server))
+            .filter(|since| now > **since + self.scenario.site.drain_grace_s + self.slack_s)
         {
-            let late = now - notified_at;
+            let late = now - since;
             self.record_violation(format!(
                 "drain: {id}.{shard} was sent to leaf server {leaf_server} {late:.3} s after the notification"
             ));
@@ -153,12 +151,11 @@
             ));
         }
         let slack_s = self.slack_s;
-        let (is_retryable, window_s, name) =
-            (class.is_retryable(), class.dedup_window_s, class.name);
+        let (can_retry, window_s, name) = (class.is_retryable(), class.dedup_window_s, class.name);
         let entry = self.requests.entry(id.to_string()).or_default();
         let (has_ended, part) = (entry.ended, entry.parts.entry(shard).or_default());
         let after_s = part.may_run_since.map_or(0.0, |first| now - first);
-        let late = !is_retryable && after_s > window_s + slack_s;
+        let late = !can_retry && after_s > window_s + slack_s;
         part.attempts += 1;
         part.in_flight += 1;
         let (attempts, in_flight) = (part.attempts, part.in_flight);
@@ -293,15 +290,15 @@
         }
     }
 
-    /// Discards the notifications that a mixer received, because the mixer has died. The caller removes its open requests with
+    /// Discards the notifications that a mixer received, because the mixer was stopped. The caller removes its open requests with
     /// [`RuleChecker::forget_request`].
-    pub fn mixer_died(&mut self, mixer: u32) {
+    pub fn mixer_stopped(&mut self, mixer: u32) {
         self.unavailable_since
             .retain(|(other, _), _| *other != mixer);
         self.listed_starts.retain(|(other, _), _| *other != mixer);
     }
 
-    /// Removes a request that no longer needs a final answer, because its mixer has died.
+    /// Removes a request that no longer needs a final answer, because its mixer was stopped.
     pub fn forget_request(&mut self, id: &str) {
         self.requests.remove(id);
     }
--- a/crates/wharfhub-testbed/src/site/mod.rs
+++ b/crates/wharfhub-testbed/src/site/mod.rs
@@ -62,9 +62,10 @@
 pub struct ScoringRule {
     /// Weights of the whole scenario, its worst 10 s, the worst class and the worst tenant in the score.
     pub weights: [f64; 4],
-    /// Deduction if all queries fail only after the latency objective.
+    /// Weight of late failures: multiplied by the share of the requested weight whose queries end without an answer after their
+    /// latency objective, and deducted.
     pub late_fail: f64,
-    /// Deduction if as much work is wasted as was requested.
+    /// Weight of wasted work: multiplied by the work that no answer used, as a share of the requested work, and deducted.
     pub waste: f64,
     /// True if the worth of a query is proportional to its work.
     pub by_work: bool,
--- a/crates/wharfhub-testbed/src/site/scenario.rs
+++ b/crates/wharfhub-testbed/src/site/scenario.rs
@@ -13,7 +13,7 @@
     Slow(f64),
     /// Some leaf servers are slower: share, factor.
     SomeSlow(f64, f64),
-    /// Some leaf servers die at the beginning of the fault and restart with slow start at its end: share.
+    /// Some leaf servers are killed at the beginning of the fault and restart with slow start at its end: share.
     Dead(f64),
     /// Some leaf servers send no answers: share.
     Silent(f64),
--- a/crates/wharfhub-testbed/src/soak/checker.rs
+++ b/crates/wharfhub-testbed/src/soak/checker.rs
@@ -5,9 +5,9 @@
 //! counts as notified as soon as its agent has the change. From the end of the drain grace after the notification on, the mixer
 //! must not send to a server that is draining or removed.
 //!
-//! In addition, no attempt starts for a client that has disconnected, each accepted request gets its final answer, keyed parts
-//! are repeated only within their deduplication window, the timeout sent to a server is no longer than the client still waits,
-//! and mixer processes do not crash and are ready in time.
+//! In addition, no attempt starts for a client that has disconnected, each accepted request gets its final answer, parts
+//! with an idempotency key are repeated only within their deduplication window, the timeout sent to a server is no longer than
+//! the client still waits, and mixer processes do not crash and are ready in time.
 //!
 //! The history is the checker's only input.
 
@@ -29,8 +29,8 @@
 /// Time from its start within which nine in ten restarted mixers have to be ready (seconds).
 const TARGET_TIME_TO_READY_S: f64 = 10.0;
 const MAX_LATE_RESTART_SHARE: f64 = 0.1;
-/// A request without an answer is excused if its mixer was stopped for longer than this meanwhile (seconds). The terms leave
-/// room for shorter stops.
+/// A request without an answer is excused if its mixer was stopped for longer than this meanwhile (seconds). The terms
+/// allow for shorter stops.
 const MAX_UNEXCUSED_STOP_S: f64 = 0.15;
 
 /// A rule of the operators' terms.
@@ -42,7 +42,7 @@
     ClientGone,
     /// Each accepted request gets a final answer.
     Lost,
-    /// Keyed parts are repeated only within their deduplication window.
+    /// Parts with an idempotency key are repeated only within their deduplication window.
     Duplicate,
     /// The timeout sent to a server does not exceed the time that the client still waits.
     SentTimeout,
@@ -197,10 +197,10 @@
         let mut first_sent_at: BTreeMap<(&str, u32), f64> = BTreeMap::new();
         let mut late = Vec::new();
         for call in &self.history.calls {
-            let is_keyed = requests
+            let has_idempotency_key = requests
                 .get(call.request.as_str())
-                .is_some_and(|request| request.keyed);
-            if !is_keyed || call.never_ran {
+                .is_some_and(|request| request.has_idempotency_key);
+            if !has_idempotency_key || call.never_ran {
                 continue;
             }
             let first_at = *first_sent_at
@@ -220,7 +220,7 @@
             self.report(
                 Rule::Duplicate,
                 call.at,
-                format!("m{mixer} repeated keyed part {request}.{shard} after {after_s:.2} s"),
+                format!("m{mixer} repeated part {request}.{shard} with an idempotency key after {after_s:.2} s"),
             );
         }
     }
--- a/crates/wharfhub-testbed/src/soak/clients.rs
+++ b/crates/wharfhub-testbed/src/soak/clients.rs
@@ -21,7 +21,7 @@
 /// Longest single wait for bytes. A receive timeout of this length ends at most a few milliseconds late.
 const MAX_WAIT_SLICE: Duration = Duration::from_millis(100);
 /// Share of requests in the class with idempotency keys.
-const KEYED_SHARE: f64 = 0.25;
+const IDEMPOTENCY_KEY_SHARE: f64 = 0.25;
 /// Probability that a client closes its connection before the answer, during the fault that makes clients do so.
 const EARLY_CLOSE_PROBABILITY: f64 = 0.4;
 /// Pause of a client without a connection while its mixer is out of rotation, in addition to the pause between requests.
@@ -128,11 +128,11 @@
         let id = format!("m{mixer}-{number}");
         let timeout =
             Duration::from_millis(rng.random_range(MIN_TIMEOUT_MS..self.max_client_timeout_ms));
-        let keyed = rng.random_bool(KEYED_SHARE);
+        let has_idempotency_key = rng.random_bool(IDEMPOTENCY_KEY_SHARE);
         let closes_early = self.clients_close_early.load(Ordering::Relaxed)
             && rng.random_bool(EARLY_CLOSE_PROBABILITY);
         let close_after = closes_early.then(|| timeout.mul_f64(rng.random_range(0.0..1.0)));
-        let text = self.request_text(&id, keyed, timeout);
+        let text = self.request_text(&id, has_idempotency_key, timeout);
         let is_reused = idle_connection.is_some();
         let (mut at, mut end) = match idle_connection.take() {
             Some(stream) => self.exchange(stream, &text, timeout, close_after, idle_connection),
@@ -156,7 +156,7 @@
             mixer,
             at,
             timeout_s: timeout.as_secs_f64(),
-            keyed,
+            has_idempotency_key,
             reused_connection_lost_at,
             end,
         };
@@ -237,7 +237,7 @@
         (written_at, end)
     }
 
-    fn request_text(&self, id: &str, keyed: bool, timeout: Duration) -> String {
+    fn request_text(&self, id: &str, has_idempotency_key: bool, timeout: Duration) -> String {
         let mut rng = rand::rng();
         let shards = self.shards as usize;
         let count = rng.random_range(1..=MAX_PARTS.min(shards));
@@ -249,8 +249,8 @@
             .collect::<Vec<_>>()
             .join(",");
         let body = format!("{{\"tablets\":[{parts}],\"statement\":\"s\"}}");
-        let class = if keyed { "hold" } else { "slot" };
-        let key = if keyed {
+        let class = if has_idempotency_key { "hold" } else { "slot" };
+        let key = if has_idempotency_key {
             format!("Idempotency-Key: k{id}\r\n")
         } else {
             String::new()
--- a/crates/wharfhub-testbed/src/soak/history.rs
+++ b/crates/wharfhub-testbed/src/soak/history.rs
@@ -125,7 +125,7 @@
     /// Timeout of the client (seconds).
     pub timeout_s: f64,
     /// Whether the request has an idempotency key, by which servers discard repeats of its parts within a limited window.
-    pub keyed: bool,
+    pub has_idempotency_key: bool,
     /// Time at which a reused connection was closed without an answer to the request, which was then retried on a new one.
     pub reused_connection_lost_at: Option<f64>,
     /// End of the request.
@@ -170,7 +170,7 @@
     pub mixer: usize,
     /// Time of the event.
     pub at: f64,
-    /// The event.
+    /// Change of the process that happened at this time.
     pub event: ProcessEvent,
 }
 
--- a/crates/wharfhub-testbed/src/soak/plan.rs
+++ b/crates/wharfhub-testbed/src/soak/plan.rs
@@ -48,7 +48,7 @@
     pub mixers: usize,
     /// Time after the notification from which on no part may go to a draining server (seconds).
     pub drain_grace_s: f64,
-    /// Time for which servers discard repeats of keyed parts (seconds).
+    /// Time for which servers discard repeats of parts with an idempotency key (seconds).
     pub dedup_window_s: f64,
     /// Length of the soak (seconds).
     pub duration_s: f64,
@@ -230,7 +230,7 @@
 pub struct PlannedFault {
     /// Start of the fault (seconds since the start of the soak).
     pub at: f64,
-    /// The fault.
+    /// Kind of the fault, with its parameters.
     pub fault: InjectedFault,
 }
 
--- a/crates/wharfhub-testbed/src/soak/processes.rs
+++ b/crates/wharfhub-testbed/src/soak/processes.rs
@@ -167,7 +167,7 @@
         let recorder = self.recorder.clone();
         std::thread::spawn(move || {
             for line in BufReader::new(errors).lines().map_while(Result::ok) {
-                // The soak goes on if a log can't be written.
+                // The soak continues if a log can't be written.
                 let _ = writeln!(log, "{:.3} {line}", recorder.now());
             }
         });
--- a/crates/wharfhub-testbed/src/soak/run.rs
+++ b/crates/wharfhub-testbed/src/soak/run.rs
@@ -97,9 +97,9 @@
     mixers: Vec<Mixer>,
     client_pool: Arc<ClientPool>,
     duration_s: f64,
-    /// Number of outages of discovery in force. Discovery returns when the last one ends.
+    /// Number of active outages of discovery. Discovery returns when the last one ends.
     outage_faults: AtomicUsize,
-    /// Number of faults in force that make clients close early. Clients stop doing so when the last one ends.
+    /// Number of active faults that make clients close early. Clients stop doing so when the last one ends.
     early_close_faults: AtomicUsize,
 }
 
--- a/crates/wharfhub-testbed/src/soak/servers.rs
+++ b/crates/wharfhub-testbed/src/soak/servers.rs
@@ -23,7 +23,7 @@
 const ACCEPT_POLL_INTERVAL: Duration = Duration::from_millis(2);
 const MAX_FRAME_BYTES: usize = 1 << 20;
 
-/// The faults of a server that are in force.
+/// Active faults of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Behavior {
     /// The server neither accepts nor keeps connections, as if its process did not run.
--- a/crates/wharfhub-testbed/src/soak/timeline.rs
+++ b/crates/wharfhub-testbed/src/soak/timeline.rs
@@ -11,7 +11,7 @@
 const NOTIFIED_AFTER_S: f64 = 6.0;
 /// After a new configuration, a mixer counts as notified of what its agent has this much later (seconds).
 const NOTIFIED_AFTER_MOVE_S: f64 = 4.0;
-/// Time from the start of a process in which its first call is made: if discovery is unreachable at any moment of it, the
+/// Time from the start of a process in which its first call is made: if discovery is unreachable at any time in it, the
 /// process counts as started during an outage (seconds).
 const FIRST_CALL_WITHIN_S: f64 = 1.0;
 
--- a/crates/wharfhub-testbed/tests/soak.rs
+++ b/crates/wharfhub-testbed/tests/soak.rs
@@ -84,7 +84,7 @@
         mixer,
         at,
         timeout_s: 0.8,
-        keyed: true,
+        has_idempotency_key: true,
         reused_connection_lost_at: None,
         end,
     }
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -32,43 +32,43 @@
     /// A number is outside its range.
     #[error("settings: {key}: {value} is not between {min} and {max}")]
     OutOfBounds {
-        /// The path of the key.
+        /// Path of the key in the configuration.
         key: String,
-        /// Its value.
+        /// Rejected value of the key.
         value: f64,
-        /// The least value that is accepted.
+        /// Minimum accepted value.
         min: f64,
-        /// The greatest value that is accepted.
+        /// Maximum accepted value.
         max: f64,
     },
     /// A count is outside its range or has a fractional part.
     #[error("settings: {key}: {value} is not an integer from {min} to {max}")]
     NotInteger {
-        /// The path of the key.
+        /// Path of the key in the configuration.
         key: &'static str,
-        /// Its value.
+        /// Rejected value of the key.
         value: f64,
-        /// The least value that is accepted.
+        /// Minimum accepted value.
         min: f64,
-        /// The greatest value that is accepted.
+        /// Maximum accepted value.
         max: f64,
     },
     /// A string is not one of the values that the key accepts.
     #[error("settings: {key}: {value:?} is not one of {choices:?}")]
     UnknownChoice {
-        /// The path of the key.
+        /// Path of the key in the configuration.
         key: String,
-        /// Its value.
+        /// Rejected value of the key.
         value: String,
-        /// The accepted values.
+        /// Accepted values.
         choices: &'static [&'static str],
     },
     /// A string cannot be parsed as an address.
     #[error("settings: {key} is not an address: {value:?}")]
     NotAnAddress {
-        /// The path of the key.
+        /// Path of the key in the configuration.
         key: &'static str,
-        /// Its value.
+        /// Rejected value of the key.
         value: String,
     },
     /// A reloaded file lacks a key that the configuration in use has.
@@ -101,9 +101,9 @@
     /// The registers in `store.folder` cannot be opened.
     #[error("settings: store.folder {folder}: {error}")]
     StoreFolder {
-        /// The folder.
+        /// Path from the configuration.
         folder: String,
-        /// The cause.
+        /// Error of the store for this folder.
         #[source]
         error: StoreError,
     },
--- a/src/config/fault.rs
+++ b/src/config/fault.rs
@@ -1,9 +1,9 @@
 //! Locates the invalid value in a JSON text that could not be decoded.
 //!
-//! The search works from the top down and decodes modified copies of the text: values of an object are replaced in turn, and
-//! entries of a list are left out, until the text decodes. The value that had to change is invalid, and the search continues
-//! inside it. The number of decoding attempts grows with the depth and with the number of keys of the objects on the path, and
-//! with the logarithm of the length of a list.
+//! The search works from the top down and decodes modified copies of the text: values of an object are replaced one after the
+//! other, and entries of a list are left out, until the text decodes. The value that had to change is invalid, and the search
+//! continues inside it. The number of decoding attempts grows with the depth and with the number of keys of the objects on the
+//! path, and with the logarithm of the length of a list.
 
 use miniserde::json::{self, Array, Number, Object, Value};
 use miniserde::Deserialize;
@@ -21,7 +21,7 @@
     /// The text is not JSON.
     #[error("not valid JSON, or truncated")]
     NotJson,
-    /// One value is invalid.
+    /// A value is invalid.
     #[error("{path}: {shown} is {}", .mismatch.label())]
     Value {
         /// Path of the value.
@@ -31,7 +31,7 @@
         /// The requirement that the value does not meet.
         mismatch: Mismatch,
     },
-    /// One entry of a list is invalid.
+    /// An entry of a list is invalid.
     #[error("{list}: entry {index}, {shown}, is {}", Mismatch::UnexpectedForm.label())]
     Entry {
         /// Path of the list.
@@ -124,7 +124,7 @@
     }
 }
 
-/// One element of a path: the key of an object or the index of a list.
+/// Element of a path: the key of an object or the index of a list.
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     Key(String),
@@ -139,7 +139,7 @@
     replacement: Value,
 }
 
-/// A candidate value that is tried in place of another.
+/// Candidate value that replaces another to test whether the text then decodes.
 struct Replacement {
     value: Value,
     /// Mismatch of the original value if the text decodes with this candidate.
--- a/src/connections/idle.rs
+++ b/src/connections/idle.rs
@@ -60,9 +60,9 @@
     /// A value is not finite or not above 0.
     #[error("{value} is not above 0")]
     NotPositive {
-        /// Key of the value.
+        /// Key of the setting.
         key: &'static str,
-        /// The value.
+        /// Rejected value.
         value: f64,
     },
     /// The maximum Retry-After is below the minimum, or not finite.
--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -1,7 +1,7 @@
 //! Admission: the price of a query and the weight that the query has.
 //!
 //! The price follows from the admission prices and predicted latencies of the replicas that hold the query's shards. The
-//! weight follows from the quota of the tenant and the age of the client's first try.
+//! weight follows from the quota of the tenant and the time since the client's first request.
 
 use crate::decisions::api::{PartId, Settings};
 use crate::decisions::learned_state::Statistics;
@@ -21,7 +21,8 @@
 const LATENCY_DECAY_S: f64 = 2.0;
 /// Time constant of the decaying count of a tenant's queries (seconds).
 const TENANT_DECAY_S: f64 = 10.0;
-/// A repeat was cut to the time left until its deadline if its timeout is below this share of the first try's.
+/// A client's retry counts as cut to the time left until its deadline if the timeout is below this share of the longest
+/// timeout of a first request in the class.
 const CUT_TIMEOUT_SHARE: f64 = 0.99;
 /// Rounding error of the sum of a step's weights, which should be 1.
 pub(crate) const WEIGHT_ROUNDING: f64 = 0.00005;
@@ -141,24 +142,24 @@
     within_quota + (1.0 - within_quota) * settings.over_quota_weight.clamp(0.0, 1.0)
 }
 
-/// Returns the time at which the client sent the first try of a query that arrives now.
+/// Returns the time at which the client sent its first request for a query that arrives now.
 ///
-/// A client cuts the timeout of a repeat to the time left until its deadline, so the timeout shows the age of the first
-/// try. The age lets the caller reject repeats past their latency objective. Repeats of a client with a shorter timeout
-/// than others appear older than they are.
-pub(crate) fn first_try_at(
+/// A client cuts the timeout of a retry to the time left until its deadline, so the timeout shows the age of the first
+/// request. The age lets the caller reject retries past their latency objective. Retries of a client with a shorter
+/// timeout than others appear older than they are.
+pub(crate) fn first_request_at(
     settings: &Settings,
     statistics: &mut Statistics,
     query: &Query,
     now: f64,
 ) -> f64 {
     let timeout_s = query.deadline - now;
-    let first_try_timeout_s = &mut statistics.first_try_timeouts_s[query.class];
+    let first_request_timeout_s = &mut statistics.first_request_timeouts_s[query.class];
     if !query.is_repeat {
-        *first_try_timeout_s = first_try_timeout_s.max(timeout_s);
+        *first_request_timeout_s = first_request_timeout_s.max(timeout_s);
         return now;
     }
-    if timeout_s < CUT_TIMEOUT_SHARE * *first_try_timeout_s {
+    if timeout_s < CUT_TIMEOUT_SHARE * *first_request_timeout_s {
         now - (settings.classes[query.class].deadline_s - timeout_s).max(0.0)
     } else {
         now
--- a/src/decisions/aggregator.rs
+++ b/src/decisions/aggregator.rs
@@ -59,7 +59,7 @@
     pub fn new(settings: Settings, seed: u64, now: f64) -> Self {
         let statistics = Statistics {
             latencies: settings.classes.iter().map(Latencies::initial).collect(),
-            first_try_timeouts_s: vec![0.0; settings.classes.len()],
+            first_request_timeouts_s: vec![0.0; settings.classes.len()],
             tenant_queries: vec![TenantQueries::new(now); settings.tenants.len()],
             hedging_credit: f64::MAX,
             ..Statistics::default()
@@ -137,13 +137,13 @@
         let latencies = remap(classes, &inherited.latencies, |class| {
             own_latencies[class].clone()
         });
-        let first_try_timeouts_s = remap(classes, &inherited.first_try_timeouts_s, |_| 0.0);
+        let first_request_timeouts_s = remap(classes, &inherited.first_request_timeouts_s, |_| 0.0);
         let tenant_queries = remap(tenants, &inherited.tenant_queries, |_| {
             TenantQueries::new(self.now)
         });
         self.statistics = Statistics {
             latencies,
-            first_try_timeouts_s,
+            first_request_timeouts_s,
             tenant_queries,
             ..inherited
         };
@@ -355,8 +355,10 @@
         statistics.latencies = remap(former_classes, &statistics.latencies, |class| {
             Latencies::initial(&classes[class])
         });
-        statistics.first_try_timeouts_s =
-            remap(former_classes, &statistics.first_try_timeouts_s, |_| 0.0);
+        statistics.first_request_timeouts_s =
+            remap(former_classes, &statistics.first_request_timeouts_s, |_| {
+                0.0
+            });
         for (_, replica) in self.replicas.iter_mut() {
             let by_class = &mut replica.statistics.classes;
             *by_class = remap(former_classes, by_class, |_| ClassStatistics::new(now));
--- a/src/decisions/api.rs
+++ b/src/decisions/api.rs
@@ -33,7 +33,7 @@
 pub struct ClassSettings {
     /// Latency up to which an answer has its full weight (seconds).
     pub latency_objective_s: f64,
-    /// Time that a client waits for an answer, all its tries together (seconds).
+    /// Time that a client waits for an answer, including its retries (seconds).
     pub deadline_s: f64,
     /// Weight of a complete answer within the latency objective.
     pub priority_weight: f64,
@@ -187,7 +187,7 @@
     Removed,
 }
 
-/// One entry of the endpoint list.
+/// Entry of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReplicaEntry {
     /// Replica that the entry describes.
@@ -225,11 +225,11 @@
     pub class: u16,
     /// Index of the query's tenant; ignored in a deployment without tenants.
     pub tenant: u32,
-    /// Time at which the client stops waiting for this try.
+    /// Time at which the client stops waiting for this request.
     pub deadline: f64,
     /// Number of parts of the first step.
     pub parts: u32,
-    /// True if the client marked the query as a repeat.
+    /// True if the client marked the query as a retry of an earlier request.
     pub is_repeat: bool,
     /// Key of the object that the query is about; 0 in a deployment without keys.
     pub key: u64,
--- a/src/decisions/crash_detection.rs
+++ b/src/decisions/crash_detection.rs
@@ -16,8 +16,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct CrashRecord {
     last_at: f64,
-    /// Number of crash-inducing queries that were first tries, not repeats.
-    first_tries: u32,
+    /// Number of crash-inducing queries that were first requests of a client, not retries.
+    first_requests: u32,
 }
 
 /// Crash-inducing queries by fingerprint.
@@ -42,17 +42,17 @@
             .retain(|_, record| now < record.last_at + RETENTION_S);
         let record = self.by_fingerprint.entry(fingerprint.clone()).or_default();
         record.last_at = now;
-        record.first_tries += u32::from(!is_repeat);
+        record.first_requests += u32::from(!is_repeat);
         self.crashes_expire_at = now + RETENTION_S;
     }
 
-    /// Returns whether a query is to be rejected: a repeat after one crash-inducing query with the same fingerprint, and a
-    /// first try after two crash-inducing first tries. Harmless queries with the same fingerprint are rejected too until
-    /// the record expires.
+    /// Returns whether a query is to be rejected: a client's retry after one crash-inducing query with the same
+    /// fingerprint, and a first request after two crash-inducing first requests. Harmless queries with the same
+    /// fingerprint are rejected too until the record expires.
     pub fn is_rejected(&self, now: f64, fingerprint: &K, is_repeat: bool) -> bool {
         let record = self.by_fingerprint.get(fingerprint);
         let record = record.filter(|record| now < record.last_at + RETENTION_S);
-        record.is_some_and(|record| is_repeat || record.first_tries > 1)
+        record.is_some_and(|record| is_repeat || record.first_requests > 1)
     }
 
     /// Returns whether a crash-inducing query was recorded recently.
--- a/src/decisions/crash_detection/tests.rs
+++ b/src/decisions/crash_detection/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn repeats_are_rejected_after_one_crash_inducing_query_and_first_tries_after_two() {
+fn retries_are_rejected_after_one_crash_inducing_query_and_first_requests_after_two() {
     let mut queries = CrashInducingQueries::new(0.0);
     assert!(!queries.has_recent_crash(0.0));
     queries.record(1.0, &"q", false);
--- a/src/decisions/learned_state.rs
+++ b/src/decisions/learned_state.rs
@@ -142,9 +142,9 @@
 pub struct Statistics {
     /// Latency quantiles by class.
     pub latencies: Vec<Latencies>,
-    /// Longest timeout of a first try, by class (seconds).
+    /// Longest timeout of a client's first request for a query, by class (seconds).
     #[serde(rename = "usual_wait")]
-    pub first_try_timeouts_s: Vec<f64>,
+    pub first_request_timeouts_s: Vec<f64>,
     /// Decaying counts of queries, by tenant.
     #[serde(rename = "asked")]
     pub tenant_queries: Vec<TenantQueries>,
--- a/src/decisions/query.rs
+++ b/src/decisions/query.rs
@@ -7,7 +7,7 @@
 use crate::decisions::replica_table::ReplicaTable;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One attempt of a part.
+/// Attempt of a part.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Attempt {
     pub(crate) replica: ReplicaId,
@@ -68,8 +68,8 @@
             .filter(|(_, attempt)| attempt.is_in_flight())
     }
 
-    /// Returns the state of the part for the progress of its query; `is_ejected` tells whether the replica of an attempt is
-    /// ejected.
+    /// Returns the state of the part for the progress of its query; `is_ejected` returns whether the replica of an
+    /// attempt is ejected.
     pub(crate) fn state(&self, is_ejected: impl Fn(&Attempt) -> bool) -> PartState {
         if self.is_answered {
             return PartState::Answered;
@@ -131,7 +131,7 @@
     pub(crate) is_repeat: bool,
     pub(crate) deadline: f64,
     pub(crate) arrived_at: f64,
-    /// End of the latency objective, counted from the client's first try.
+    /// End of the latency objective, counted from the client's first request.
     pub(crate) objective_at: f64,
     /// Number of parts of the present step.
     pub(crate) expected_parts: usize,
--- a/src/decisions/query_lifecycle.rs
+++ b/src/decisions/query_lifecycle.rs
@@ -25,9 +25,9 @@
         };
         let objective_s = class_settings.latency_objective_s;
         let mut query = self.new_query(&new);
-        let first_try_at =
-            admission::first_try_at(&self.settings, &mut self.statistics, &query, self.now);
-        query.objective_at = first_try_at + objective_s;
+        let first_request_at =
+            admission::first_request_at(&self.settings, &mut self.statistics, &query, self.now);
+        query.objective_at = first_request_at + objective_s;
         if self.queries.open.contains_key(&new.id) {
             return;
         }
--- a/src/decisions/retry.rs
+++ b/src/decisions/retry.rs
@@ -11,7 +11,7 @@
 
 /// A holder is fast enough for a retry up to this multiple of the median latency.
 const MAX_RETRY_MEDIANS: f64 = 2.5;
-/// A holder without an attempt of the part is tried if its expected latency is at most this share of the time left.
+/// A holder without an attempt of the part gets one if its expected latency is at most this share of the time left.
 const MAX_RETRY_TIME_SHARE: f64 = 0.5;
 
 /// Returns whether a further attempt of this part is allowed now by its effect and by the limits on attempts.
--- a/src/endpoints/heartbeat/tests.rs
+++ b/src/endpoints/heartbeat/tests.rs
@@ -345,7 +345,8 @@
     );
 }
 
-/// An unreachable discovery is called once a period. Once it answers again, checks have the short timeout as before.
+/// An unreachable discovery is called once a period. Checks have the short timeout again as soon as
+/// discovery answers.
 #[test]
 fn an_unreachable_discovery_is_called_once_a_period() {
     let mut heartbeat = Heartbeat::new(
--- a/src/endpoints/lease.rs
+++ b/src/endpoints/lease.rs
@@ -1,6 +1,6 @@
 //! The lease on the endpoint list, which limits how long the list may be used and which each answer of discovery renews.
 //!
-//! A list is correct at the moment at which discovery writes it. The mixer counts as notified of a change 6 s after discovery
+//! A list is correct at the time at which discovery writes it. The mixer counts as notified of a change 6 s after discovery
 //! had the change and was reachable; sending to a draining or removed server after that violates the rules. The list may
 //! therefore be used for 6 s after it was confirmed. While calls fail, discovery counts as unreachable, and the lease is
 //! extended from the start of each failed call. The lease expires if no call is made, for example because the process was
@@ -35,9 +35,9 @@
 /// Minimum time after a failed call before the lease requires another one (seconds). The watch schedule, which spreads the
 /// retries of a fleet, retries a failed call within 1.4 s, so the lease leaves the retry to the schedule.
 const MIN_RETRY_INTERVAL_S: f64 = 1.5;
-/// Minimum interval between checks of a lease in force (seconds).
+/// Minimum interval between checks of a valid lease (seconds).
 const CHECK_INTERVAL_S: f64 = 1.0;
-/// Minimum interval between checks of a lease that is not in force yet (seconds).
+/// Minimum interval between checks of a lease that is not valid yet (seconds).
 const MIN_CHECK_INTERVAL_S: f64 = 0.05;
 /// The list counts as in use for this time after a request (seconds).
 const IN_USE_S: f64 = 6.0;
@@ -385,7 +385,7 @@
     }
 
     /// Returns whether the list may be used now.
-    pub fn is_in_force(&self, now: f64) -> bool {
+    pub fn is_valid(&self, now: f64) -> bool {
         now < self.expires_at(now)
     }
 
--- a/src/endpoints/lease/tests.rs
+++ b/src/endpoints/lease/tests.rs
@@ -44,17 +44,17 @@
 #[test]
 fn without_discovery_the_lease_never_expires() {
     let lease = ListLease::new(false, GRACE_S, STARTED_AT);
-    assert!(lease.is_in_force(STARTED_AT + 1e9) && !lease.needs_call(STARTED_AT + 1e9));
+    assert!(lease.is_valid(STARTED_AT + 1e9) && !lease.needs_call(STARTED_AT + 1e9));
 }
 
 #[test]
 fn a_list_from_before_the_start_is_not_used_until_it_is_confirmed() {
     let mut lease = lease();
-    assert!(!lease.is_in_force(STARTED_AT) && !lease.is_in_force(STARTED_AT + 60.0));
+    assert!(!lease.is_valid(STARTED_AT) && !lease.is_valid(STARTED_AT + 60.0));
     confirm(&mut lease, STARTED_AT + 1.0);
-    assert!(lease.is_in_force(STARTED_AT + 1.0) && lease.is_in_force(STARTED_AT + 6.9));
+    assert!(lease.is_valid(STARTED_AT + 1.0) && lease.is_valid(STARTED_AT + 6.9));
     assert!(
-        !lease.is_in_force(STARTED_AT + 7.0),
+        !lease.is_valid(STARTED_AT + 7.0),
         "missed changes count as notified"
     );
 }
@@ -67,18 +67,18 @@
         let at = STARTED_AT + 0.01 * f64::from(index);
         fail(&mut lease, at, at);
     }
-    assert!(!lease.is_in_force(STARTED_AT + 1.4) && lease.is_in_force(STARTED_AT + 1.5));
+    assert!(!lease.is_valid(STARTED_AT + 1.4) && lease.is_valid(STARTED_AT + 1.5));
     let mut lease = self::lease();
     fail(&mut lease, STARTED_AT + 2.0, STARTED_AT + 2.0);
     fail(&mut lease, STARTED_AT + 3.0, STARTED_AT + 3.1);
     assert!(
-        !lease.is_in_force(STARTED_AT + 4.0),
+        !lease.is_valid(STARTED_AT + 4.0),
         "two quick failures are not enough"
     );
     fail(&mut lease, STARTED_AT + 4.0, STARTED_AT + 4.0);
-    assert!(lease.is_in_force(STARTED_AT + 4.0));
+    assert!(lease.is_valid(STARTED_AT + 4.0));
     assert!(
-        !lease.is_in_force(STARTED_AT + 10.1),
+        !lease.is_valid(STARTED_AT + 10.1),
         "the lease expires, because no call was made since"
     );
 }
@@ -92,10 +92,10 @@
         let at = STARTED_AT + 0.1 * f64::from(index);
         let next = fail_with(&mut lease, CallEnd::Reset, at, at);
         assert_eq!(next, NextCall::Early);
-        assert!(!lease.is_in_force(at), "{at}");
+        assert!(!lease.is_valid(at), "{at}");
     }
     assert!(
-        lease.is_in_force(STARTED_AT + 4.0),
+        lease.is_valid(STARTED_AT + 4.0),
         "discovery never answered and is presumed down"
     );
 }
@@ -105,7 +105,7 @@
 fn a_slow_failed_call_counts_as_several() {
     let mut lease = lease();
     fail(&mut lease, STARTED_AT + 0.1, STARTED_AT + 1.4);
-    assert!(!lease.is_in_force(STARTED_AT + 1.4) && lease.is_in_force(STARTED_AT + 1.5));
+    assert!(!lease.is_valid(STARTED_AT + 1.4) && lease.is_valid(STARTED_AT + 1.5));
 }
 
 /// A first call that stays unanswered counts as failed while it is still in flight. After the first answer, calls in flight do
@@ -114,11 +114,11 @@
 fn an_unanswered_first_call_counts_as_failed_after_the_slow_call_time() {
     let mut lease = lease();
     lease.call_made(STARTED_AT + 1.0);
-    assert!(!lease.is_in_force(STARTED_AT + 2.1) && lease.is_in_force(STARTED_AT + 2.2));
+    assert!(!lease.is_valid(STARTED_AT + 2.1) && lease.is_valid(STARTED_AT + 2.2));
     assert!((lease.next_check_at(STARTED_AT + 1.0) - (STARTED_AT + 2.2)).abs() < 1e-9);
     confirm(&mut lease, STARTED_AT + 2.3);
     lease.call_made(STARTED_AT + 8.0);
-    assert!(!lease.is_in_force(STARTED_AT + 9.5));
+    assert!(!lease.is_valid(STARTED_AT + 9.5));
 }
 
 /// The lease does not require calls before the first calls and retries, which jitter spreads over a fleet.
@@ -142,9 +142,9 @@
     let mut lease = lease();
     confirm(&mut lease, STARTED_AT);
     fail(&mut lease, STARTED_AT + 4.0, STARTED_AT + 4.0);
-    assert!(lease.is_in_force(STARTED_AT + 9.9) && !lease.is_in_force(STARTED_AT + 10.1));
+    assert!(lease.is_valid(STARTED_AT + 9.9) && !lease.is_valid(STARTED_AT + 10.1));
     confirm(&mut lease, STARTED_AT + 12.0);
-    assert!(lease.is_in_force(STARTED_AT + 12.0));
+    assert!(lease.is_valid(STARTED_AT + 12.0));
 }
 
 /// An answer that was read late confirms the list only as of the time at which it was written.
@@ -162,18 +162,18 @@
 fn a_new_discovery_has_to_send_its_list_within_four_seconds() {
     let mut lease = ListLease::new(false, GRACE_S, STARTED_AT);
     lease.discovery_changed(STARTED_AT + 50.0);
-    assert!(lease.is_in_force(STARTED_AT + 53.9) && !lease.is_in_force(STARTED_AT + 54.1));
+    assert!(lease.is_valid(STARTED_AT + 53.9) && !lease.is_valid(STARTED_AT + 54.1));
     fail(&mut lease, STARTED_AT + 52.0, STARTED_AT + 52.0);
     assert!(
-        lease.is_in_force(STARTED_AT + 57.9),
+        lease.is_valid(STARTED_AT + 57.9),
         "discovery is unreachable"
     );
     confirm(&mut lease, STARTED_AT + 60.0);
     lease.discovery_changed(STARTED_AT + 60.1);
-    assert!(lease.is_in_force(STARTED_AT + 64.0) && !lease.is_in_force(STARTED_AT + 64.2));
+    assert!(lease.is_valid(STARTED_AT + 64.0) && !lease.is_valid(STARTED_AT + 64.2));
     lease.discovery_changed(STARTED_AT + 100.0);
     assert!(
-        !lease.is_in_force(STARTED_AT + 100.0),
+        !lease.is_valid(STARTED_AT + 100.0),
         "a switch to another discovery does not renew the lease"
     );
 }
@@ -183,13 +183,13 @@
 fn a_long_watch_extends_the_lease_until_the_end_of_its_wait() {
     let mut lease = lease();
     lease.watch_opened(STARTED_AT + 60.0);
-    assert!(!lease.is_in_force(STARTED_AT), "a watch confirms nothing");
+    assert!(!lease.is_valid(STARTED_AT), "a watch confirms nothing");
     confirm(&mut lease, STARTED_AT);
     lease.watch_opened(STARTED_AT + 30.0);
-    assert!(lease.is_in_force(STARTED_AT + 31.4) && !lease.is_in_force(STARTED_AT + 31.6));
+    assert!(lease.is_valid(STARTED_AT + 31.4) && !lease.is_valid(STARTED_AT + 31.6));
     lease.watch_opened(STARTED_AT + 3.0);
     assert!(
-        lease.is_in_force(STARTED_AT + 5.9),
+        lease.is_valid(STARTED_AT + 5.9),
         "a short watch does not shorten the lease"
     );
 }
@@ -199,13 +199,10 @@
 fn a_list_that_cannot_be_read_suspends_calls_and_extends_the_lease() {
     let mut lease = lease();
     lease.suspend_calls(STARTED_AT + 60.0);
-    assert!(
-        !lease.is_in_force(STARTED_AT),
-        "the list was never confirmed"
-    );
+    assert!(!lease.is_valid(STARTED_AT), "the list was never confirmed");
     confirm(&mut lease, STARTED_AT);
     lease.suspend_calls(STARTED_AT + 60.0);
-    assert!(lease.is_in_force(STARTED_AT + 65.0) && !lease.is_in_force(STARTED_AT + 66.0));
+    assert!(lease.is_valid(STARTED_AT + 65.0) && !lease.is_valid(STARTED_AT + 66.0));
 }
 
 #[test]
@@ -229,7 +226,7 @@
 
 /// Effect of a discovery outage on a mixer.
 struct OutageResult {
-    /// Time for which the lease was not in force.
+    /// Time for which the lease was not valid (seconds).
     lapsed_s: f64,
     /// Time from the end of the outage to the call that was answered.
     notified_after_s: f64,
@@ -250,7 +247,7 @@
     for step in 0..((outage_s + 60.0) * 100.0) as u32 {
         let now = STARTED_AT + f64::from(step) / 100.0;
         lease.request_received(now);
-        if !lease.is_in_force(now) {
+        if !lease.is_valid(now) {
             lapsed_s += 0.01;
         }
         match call_made_at {
@@ -288,7 +285,7 @@
         } = simulate_outage(outage_s, call_takes_s, seed);
         assert!(
             lapsed_s < 0.005,
-            "seed {seed}: not in force for {lapsed_s} s"
+            "seed {seed}: lease not valid for {lapsed_s} s"
         );
         assert!(
             notified_after_s < 6.0,
@@ -307,21 +304,21 @@
     let handed = before.hand_over(STARTED_AT + 104.0);
     let mut after = ListLease::new(true, GRACE_S, 5.0); // on another clock
     after.inherit(5.0, handed);
-    assert!(after.is_in_force(5.2) && !after.is_in_force(5.31));
+    assert!(after.is_valid(5.2) && !after.is_valid(5.31));
     assert!(after.is_answer_missing(5.0));
     confirm_by_call(&mut after, 5.05, 5.1);
-    assert!(after.is_in_force(11.0) && !after.is_in_force(11.2));
+    assert!(after.is_valid(11.0) && !after.is_valid(11.2));
     let mut own = ListLease::new(true, GRACE_S, 5.0);
     confirm(&mut own, 5.1);
     own.inherit(5.2, handed);
-    assert!(own.is_in_force(11.0), "the successor's own answer is newer");
+    assert!(own.is_valid(11.0), "the successor's own answer is newer");
     let mut unreachable = lease();
     fail(&mut unreachable, STARTED_AT + 4.0, STARTED_AT + 6.0);
     fail(&mut unreachable, STARTED_AT + 6.0, STARTED_AT + 6.5);
     let mut after = ListLease::new(true, GRACE_S, 5.0);
     after.inherit(5.0, unreachable.hand_over(STARTED_AT + 7.0));
     assert!(
-        after.is_in_force(5.0) && !after.is_in_force(10.1),
+        after.is_valid(5.0) && !after.is_valid(10.1),
         "discovery was unreachable 1 s ago"
     );
 }
@@ -340,9 +337,9 @@
     assert_eq!(next, NextCall::Early);
     let mut after = ListLease::new(true, GRACE_S, 5.0);
     after.inherit(5.0, before.hand_over(STARTED_AT + 1.5));
-    assert!(!after.is_in_force(5.0));
+    assert!(!after.is_valid(5.0));
     confirm_by_call(&mut after, 5.2, 5.5);
-    assert!(after.is_in_force(5.5));
+    assert!(after.is_valid(5.5));
 }
 
 /// A call that times out stays open while another call is made in parallel. The time after which the list from before the start
@@ -359,6 +356,6 @@
     );
     assert_eq!(next, NextCall::AsScheduled);
     lease.call_made(STARTED_AT + 0.4);
-    assert!(!lease.is_in_force(STARTED_AT + 1.4));
-    assert!(lease.is_in_force(STARTED_AT + MIN_UNCONFIRMED_WAIT_S));
+    assert!(!lease.is_valid(STARTED_AT + 1.4));
+    assert!(lease.is_valid(STARTED_AT + MIN_UNCONFIRMED_WAIT_S));
 }
--- a/src/endpoints/list_format.rs
+++ b/src/endpoints/list_format.rs
@@ -130,7 +130,7 @@
     let lifecycle = match text(entry, "phase")? {
         "Ready" => Lifecycle::Ready,
         "Terminating" => Lifecycle::Draining,
-        // Nothing may be sent to a replica in an unknown phase.
+        // No part may be sent to a replica in an unknown phase.
         _ => Lifecycle::Removed,
     };
     let cell = match cell(entry) {
--- a/src/endpoints/missing_answers.rs
+++ b/src/endpoints/missing_answers.rs
@@ -1,6 +1,6 @@
 //! Tracking of answers that discovery wrote, or may have written, and that were not received completely.
 //!
-//! A change counts as notified from the moment at which discovery writes it, even if the answer is lost in transit. A call that
+//! A change counts as notified from the time at which discovery writes it, even if the answer is lost in transit. A call that
 //! ends without a complete answer is therefore no evidence that there was no change: from then on the list in use may be
 //! outdated and may be used only for the drain grace. The answer to any later call contains everything that the lost answer
 //! did. If discovery is presumed to be down, it cannot have written an answer.
@@ -83,7 +83,7 @@
 struct MissingAnswer {
     /// Earliest time at which the answer can have been written.
     since: f64,
-    /// Time from which a call has to be made for its answer to contain the missing one.
+    /// Earliest time of a call whose answer contains everything that the missing answer did.
     noticed_at: f64,
     /// Time at which a call last ended without a byte in another way than the one before it.
     suspected_at: f64,
@@ -119,7 +119,7 @@
     /// Whether a reset before a byte counts as evidence that discovery is down; applies until its next answer.
     reset_implies_down: bool,
     has_answered: bool,
-    /// Whether calls ended both by a close and by a reset, or one ended with a part of an answer.
+    /// Whether calls ended both by a close and by a reset, or a call ended with an incomplete answer.
     has_mixed_ends: bool,
     lost_count: u64,
 }
--- a/src/endpoints/watch_schedule/tests.rs
+++ b/src/endpoints/watch_schedule/tests.rs
@@ -149,7 +149,8 @@
     assert!(calls < 500, "{calls} calls");
 }
 
-/// As above, but discovery also spends time on calls that the mixers have closed, and fails no calls.
+/// Discovery is overloaded by the fleet's first calls, spends time also on calls that the mixers have closed, and fails no calls.
+/// The fleet backs off, and all mixers are notified in little more time than discovery needs to answer each of them once.
 #[test]
 fn all_mixers_are_notified_although_discovery_spends_time_on_closed_calls() {
     let (notified, calls) = simulate_with_open_calls(100, 0.15, 100.0);
--- a/src/main.rs
+++ b/src/main.rs
@@ -90,7 +90,7 @@
     Ok(())
 }
 
-/// Serves clients until the process has been told to exit.
+/// Serves clients until the event loop has shut down.
 fn serve(path: Option<String>) -> Result<(), CommandError> {
     // Signal handlers come first, so that an early signal does not kill the process.
     let (stop, stop_sender) = UnixStream::pair()?;
--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -224,7 +224,7 @@
         self.state == ClientState::Lingering && self.discarded_bytes <= MAX_DISCARDED_BYTES
     }
 
-    /// Returns whether the client has closed its side, as far as `peek` can tell. Unread input hides the end of the stream.
+    /// Returns whether the client has closed its side, as far as `peek` shows. Unread input hides the end of the stream.
     pub(super) fn is_closed_by_client(&self) -> bool {
         self.has_disconnected || matches!(self.stream.peek(&mut [0]), Ok(0))
     }
--- a/src/net/discovery/answers.rs
+++ b/src/net/discovery/answers.rs
@@ -371,7 +371,7 @@
             let at = runtime.now + IMMEDIATE_ANSWER_S;
             runtime.timers.add(at, Deadline::CallDiscovery);
             Step::Wait
-        } else if !self.lease.is_in_force(runtime.now) {
+        } else if !self.lease.is_valid(runtime.now) {
             // The process read this answer long after it was received, so the list may be outdated.
             self.call_for_changes(runtime, answered.key)
         } else if !waits && self.link.check.postpone_watch(runtime) {
@@ -415,8 +415,7 @@
         Step::Decide
     }
 
-    /// Closes a connection that can't be used any more. Returns the call that failed with it, or `None` if the connection
-    /// of the checks was idle.
+    /// Closes an unusable connection. Returns the call that failed with it, or `None` if the checks' connection was idle.
     pub(super) fn close_failed(
         &mut self,
         runtime: &mut Runtime,
@@ -516,8 +515,7 @@
         }
     }
 
-    /// Schedules an early retry in a small fleet while an overdue call is open, because discovery may have written the
-    /// answer to that call.
+    /// Schedules an early retry in a small fleet while an overdue call, whose answer may have been written, is open.
     fn retry_while_overdue(&mut self, runtime: &mut Runtime, failure: Failure) {
         let mixers = self.mixers_calling_again(runtime);
         if let Some(delay_s) = mixers.and_then(|mixers| self.link.retry_while_overdue_s(mixers)) {
@@ -558,8 +556,7 @@
         self.close_outdated_watch(runtime);
     }
 
-    /// Closes an open watch if an answer is missing: the watch only delivers changes after its start, so another call has
-    /// to replace it.
+    /// Closes an open watch if an answer is missing: a new call has to replace it, as a watch delivers only later changes.
     fn close_outdated_watch(&mut self, runtime: &mut Runtime) {
         if !self.lease.is_answer_missing(runtime.now) {
             return;
@@ -585,7 +582,7 @@
         }
     }
 
-    /// Passes the end of a call to the lease, and schedules an early retry if its answer may be missing; `was_prompt` tells
+    /// Passes the end of a call to the lease, and schedules an early retry if its answer may be missing; `was_prompt` indicates
     /// whether the call ended right after it was made.
     fn call_ended(&mut self, runtime: &mut Runtime, outcome: CallOutcome, was_prompt: bool) {
         let next_call = self.lease.call_ended(outcome, runtime.now);
--- a/src/net/discovery/calls.rs
+++ b/src/net/discovery/calls.rs
@@ -1,5 +1,5 @@
 //! Decides which call to discovery is made next and when: the watch, the calls that open it, its checks and retries. A
-//! [`Step`] tells the event loop what to do. A discovery that answers a watch without waiting must not be called again at
+//! [`Step`] is the next action of the event loop. A discovery that answers a watch without waiting must not be called again at
 //! once, because the calls would follow each other in a tight loop.
 
 use crate::net::connection_table::Connection;
@@ -249,7 +249,7 @@
         }
     }
 
-    /// Schedules an early retry; `was_prompt` tells whether the previous call ended right after it was made.
+    /// Schedules an early retry; `was_prompt` indicates whether the previous call ended right after it was made.
     pub(super) fn retry_early(&mut self, runtime: &mut Runtime, was_prompt: bool) {
         let sharers = fleet_of(&runtime.deployment.policy).sharers();
         let jitter = runtime.rng.rand_float();
--- a/src/net/discovery/client.rs
+++ b/src/net/discovery/client.rs
@@ -71,8 +71,8 @@
     }
 
     /// Returns whether the current list may be used now.
-    pub(super) fn is_list_in_force(&self, now: f64) -> bool {
-        self.lease.is_in_force(now)
+    pub(super) fn is_list_valid(&self, now: f64) -> bool {
+        self.lease.is_valid(now)
     }
 
     /// Returns the number of answers of discovery that were or may have been lost.
--- a/src/net/discovery/connection.rs
+++ b/src/net/discovery/connection.rs
@@ -129,7 +129,7 @@
     NoAnswer,
     #[error("list is not valid UTF-8")]
     NotUtf8,
-    #[error("list is not valid JSON")]
+    #[error("list is not valid JSON, or truncated")]
     NotJson,
     #[error("answer has no member list")]
     NoEndpoints,
--- a/src/net/discovery/lease.rs
+++ b/src/net/discovery/lease.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct LeaseState {
     basis: LeaseBasis,
-    is_in_force: bool,
+    is_valid: bool,
 }
 
 /// The state of the lease that was last published.
@@ -32,7 +32,7 @@
         LeasePublisher {
             logged: LeaseState {
                 basis: LeaseBasis::NoDiscovery,
-                is_in_force: true,
+                is_valid: true,
             },
             check_at: None,
         }
@@ -64,7 +64,7 @@
         let now = runtime.now;
         let state = LeaseState {
             basis: lease.basis(now),
-            is_in_force: lease.is_in_force(now),
+            is_valid: lease.is_valid(now),
         };
         if state == self.logged {
             return;
@@ -75,7 +75,7 @@
             None => "never confirmed".to_string(),
         };
         let basis = state.basis.label();
-        let validity = if state.is_in_force {
+        let validity = if state.is_valid {
             "valid"
         } else {
             "not valid, no calls are sent"
--- a/src/net/discovery/routing.rs
+++ b/src/net/discovery/routing.rs
@@ -277,7 +277,7 @@
     pub(in crate::net) fn check_readiness(&mut self) {
         let is_due =
             self.lifecycle.phase() == Phase::Starting && self.runtime.directory.has_ready();
-        if is_due && self.discovery.is_list_in_force(self.runtime.now) && self.may_serve() {
+        if is_due && self.discovery.is_list_valid(self.runtime.now) && self.may_serve() {
             self.lifecycle.begin_serving();
             self.runtime.log("ready: serving");
         }
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -104,8 +104,8 @@
         self.discovery.observe_lists(observer);
     }
 
-    /// Runs the event loop until the process has been told to exit and its open requests have been answered or their time is
-    /// over. Fails if polling fails.
+    /// Runs the event loop until shutdown was requested and the open requests have been answered or their
+    /// time is over. Fails if polling fails.
     pub fn run(&mut self) -> Result<(), NetError> {
         let mut events = PollEvents::with_capacity(MAX_EVENTS_PER_POLL);
         let mut stall_detector = StallDetector::default();
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -255,7 +255,7 @@
     /// Opens the rendezvous socket. An existing file at its path is replaced.
     pub(super) fn listen_for_successor(&mut self, runtime: &mut Runtime) {
         let fresh = self.path.with_extension("new");
-        let _ = std::fs::remove_file(&fresh); // left over if a process died before the rename
+        let _ = std::fs::remove_file(&fresh); // left over if a process terminated before the rename
         let bound = UnixListener::bind(&fresh).and_then(|mut rendezvous| {
             let registry = runtime.poll.registry();
             registry.register(&mut rendezvous, RENDEZVOUS, Interest::READABLE)?;
--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -162,7 +162,10 @@
         (1.25, 2.25)
     );
     assert_eq!(
-        (&statistics.first_try_timeouts_s, &statistics.tenant_queries),
+        (
+            &statistics.first_request_timeouts_s,
+            &statistics.tenant_queries
+        ),
         (
             &vec![5.25, 6.25],
             &vec![TenantQueries {
--- a/src/net/replica/pool.rs
+++ b/src/net/replica/pool.rs
@@ -236,8 +236,8 @@
         self.flush_or_close(runtime, key, list_until);
     }
 
-    /// Makes room for another connection among `max_connections` by closing, if necessary, the connection that has been
-    /// unused for the longest time. Returns whether a connection may be opened.
+    /// Closes the connection that has been unused for the longest time if `max_connections` are open. Returns
+    /// whether another connection may be opened.
     pub(in crate::net) fn ensure_capacity(
         &mut self,
         runtime: &mut Runtime,
--- a/src/requests/attempt.rs
+++ b/src/requests/attempt.rs
@@ -10,7 +10,7 @@
     pub struct AttemptKey;
 }
 
-/// One part in a call to a replica.
+/// Part in a call to a replica.
 #[derive(Clone, Debug)]
 pub struct CallPart {
     /// Key under which the coordinator records the attempt.
--- a/src/requests/invariants.rs
+++ b/src/requests/invariants.rs
@@ -1,8 +1,9 @@
-//! Safety invariants, checked where the action happens, whatever the decision module, a queue or a socket did before.
+//! Safety invariants, checked immediately before or after an action, independently of the decision module, the queues and
+//! the sockets.
 //!
-//! Nothing is sent by an endpoint list that may not be used, to a server that was removed or whose drain grace is over, or
-//! for a client that disconnected; nothing is repeated outside its window; no connection is closed while a request that was
-//! read from it has no answer; no client is served before there is a list. A `check_` method is called before an action and
+//! No part is sent based on an endpoint list without a valid lease, to a server that was removed or whose drain grace is
+//! over, or for a client that disconnected; no part is repeated outside its window; no connection is closed while a request
+//! that was read from it has no answer; no client is served before there is a list. A `check_` method is called before an action and
 //! counts a forbidden action as stopped. A `verify_` method is called after an action and counts a violation, or counts the
 //! action as undecided if the clock readings do not show whether the limit was kept.
 
@@ -22,12 +23,11 @@
 /// A safety rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
-    /// Nothing is sent by an endpoint list whose last confirmation by discovery is too old, and no client is served by such
-    /// a list.
+    /// No part is sent and no client is served based on an endpoint list whose last confirmation by discovery is too old.
     StaleList,
-    /// Nothing is sent to a server that was removed, or that is draining and whose drain grace is over.
+    /// No part is sent to a server that was removed, or that is draining and whose drain grace is over.
     Drain,
-    /// Nothing is sent for a client that has disconnected, or for a request that has its final answer.
+    /// No part is sent for a client that has disconnected, or for a request that has its final answer.
     ClientDisconnected,
     /// No part is repeated after the window of its class, with more than one hedged request, or at all where a second
     /// execution does harm.
--- a/src/requests/query_request.rs
+++ b/src/requests/query_request.rs
@@ -46,7 +46,7 @@
     pub parts: Vec<PartRequest>,
 }
 
-/// One part of a query.
+/// Part of a query.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PartRequest {
     /// Shard that the part reads.
--- a/src/requests/response.rs
+++ b/src/requests/response.rs
@@ -90,7 +90,7 @@
     }
 
     /// Returns a rejection with this reason, or a failure if an attempt with an effect may have been executed. Attempts
-    /// that ended are known to the request; `has_attempt_in_flight` tells whether there are others.
+    /// that ended are known to the request; `has_attempt_in_flight` indicates whether there are others.
     pub(super) fn rejection(
         &self,
         has_attempt_in_flight: bool,
--- a/src/simulator/pipe/error.rs
+++ b/src/simulator/pipe/error.rs
@@ -39,7 +39,7 @@
     UnknownCode {
         /// Index of the record in the frame.
         record: u32,
-        /// Unknown code.
+        /// Code as read from the frame.
         code: u8,
         /// Offset of the code in the frame (bytes).
         at: usize,
@@ -66,9 +66,9 @@
     /// The number of a list exceeds the maximum.
     #[error("list number {number} exceeds the maximum of {max}")]
     ListNumberTooLarge {
-        /// Number in the record.
+        /// List number in the record.
         number: usize,
-        /// Maximum number.
+        /// Largest list number that a record may use.
         max: usize,
     },
     /// The size of a list exceeds the address space.
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -355,7 +355,7 @@
     out.iter().flat_map(call).collect()
 }
 
-/// Where attempts can be cancelled, a cancellation also keeps an unsent attempt from being sent.
+/// In a deployment that allows cancellations, a cancellation also prevents an attempt that is still queued from being sent.
 #[test]
 fn a_request_that_has_ended_withdraws_its_unsent_attempts_where_none_can_be_cancelled() {
     for can_cancel in [false, true] {
--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -85,11 +85,11 @@
     driver.round_trip(1, 0, 0.05);
     assert!(
         rejected(&driver.query_of(0, 2, &[0], 1.9, true)),
-        "the first try is 1.1 s old and the objective 1 s"
+        "the first request is 1.1 s old and the objective 1 s"
     );
     assert!(
         !rejected(&driver.query_of(0, 3, &[0], 2.5, true)),
-        "the first try is 0.5 s old"
+        "the first request is 0.5 s old"
     );
 }
 
@@ -180,10 +180,10 @@
     assert_eq!(rejections(&mut driver, 200), 0);
 }
 
-/// Guards against a failure seen in retry storms: tries whose clients disconnect before an answer is likely only add to the
-/// load.
+/// Guards against a failure seen in retry storms: queries whose clients disconnect before an answer is likely only add
+/// to the load.
 #[test]
-fn a_try_whose_client_will_not_wait_long_enough_is_rejected() {
+fn a_query_whose_client_will_not_wait_long_enough_is_rejected() {
     let mut driver = Driver::new(settings(class()), &[replica(1)]);
     for id in 1..30 {
         driver.round_trip(id, 0, 0.3);
@@ -296,7 +296,7 @@
 }
 
 /// Guards against a failure seen in virtual time with congested replicas: a mixer relied on the last answers, which were some
-/// seconds old, and sent as much as before although calls had been in flight for longer than those answers had taken.
+/// seconds old, and did not reduce its sending rate although calls had been in flight for longer than those answers had taken.
 #[test]
 fn the_age_of_a_call_in_flight_counts_as_latency() {
     let warm = || {
--- a/tests/decisions/crash_detection.rs
+++ b/tests/decisions/crash_detection.rs
@@ -5,8 +5,8 @@
 
 const OK: Outcome = Outcome::Ok;
 
-/// Guards against a failure seen on days with crash-inducing queries: a query whose parts crash each replica that starts to
-/// execute one was sent to the next holders, and so were its repeats.
+/// Guards against a failure seen in scenarios with crash-inducing queries: a query whose parts crash each replica that
+/// starts to execute one was sent to the next holders, and so were its repeats.
 #[test]
 fn a_query_that_crashes_replicas_fails_and_its_repeat_is_rejected() {
     let mut driver = warm_fleet(settings(class()));
--- a/tests/decisions/hedging.rs
+++ b/tests/decisions/hedging.rs
@@ -26,8 +26,8 @@
     }));
 }
 
-/// Guards against a failure seen on calm days with 300 mixers: in a burst each mixer spent its saved hedging credit after 0.15 s
-/// of an objective of 0.4 s. The hedged requests went to the neighbours of a slow replica and were a third of all requests
+/// Guards against a failure seen in calm scenarios with 300 mixers: in a burst each mixer spent its saved hedging credit after
+/// 0.15 s of an objective of 0.4 s. The hedged requests went to the neighbours of a slow replica and were a third of all requests
 /// that these received, so the congestion spread and lasted for 7 s.
 #[test]
 fn in_a_fleet_a_part_is_not_hedged_before_half_of_the_objective() {
--- a/tests/decisions/idle_loss.rs
+++ b/tests/decisions/idle_loss.rs
@@ -55,8 +55,8 @@
     closed
 }
 
-/// Guards against a failure seen on days when idle connections are dropped without notice: a part that was sent on such a
-/// connection got no answer.
+/// Guards against a failure seen in scenarios in which idle connections are dropped without notice: a part that was sent
+/// on such a connection got no answer.
 #[test]
 fn idle_connections_on_which_parts_are_lost_are_closed_first() {
     let closed = count_closed_idle(|_, is_idle| is_idle);
--- a/tests/decisions/outliers.rs
+++ b/tests/decisions/outliers.rs
@@ -59,8 +59,8 @@
     }
 }
 
-/// Guards against a failure seen on days when replicas leave one class unanswered: their answers in the other class prevented
-/// the ejection.
+/// Guards against a failure seen in scenarios in which replicas leave one class unanswered: their answers in the other
+/// class prevented the ejection.
 #[test]
 fn a_replica_that_leaves_one_class_unanswered_is_ejected_for_that_class_only() {
     // Both replicas hold shard 0, which class 1 reads; only the faulty one holds shard 2, which class 0 reads.
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -11,7 +11,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use wharfhub::decisions::api::*;
 
-/// One element of a generated sequence.
+/// Element of a generated sequence.
 #[derive(Clone, Debug)]
 enum Input {
     Query {
