--- a/crates/wharfhub-testbed/src/site/queries.rs
+++ b/crates/wharfhub-testbed/src/site/queries.rs
@@ -40,7 +40,7 @@
     pub class: usize,
     /// Index of the tenant.
     pub tenant: usize,
-    /// Route key.
+    /// Routing key of the data that the query concerns.
     pub key: u64,
     /// Parts of the query.
     pub parts: Vec<Part>,
--- a/crates/wharfhub-testbed/src/soak/timeline.rs
+++ b/crates/wharfhub-testbed/src/soak/timeline.rs
@@ -9,7 +9,7 @@
 
 /// A mixer counts as notified of a change this long after discovery had the change and could be reached (seconds).
 const NOTIFIED_AFTER_S: f64 = 6.0;
-/// After a new configuration, a mixer counts as notified of what its agent has this much later (seconds).
+/// Minimum time from a new configuration to the time at which a mixer counts as notified of its agent's list (seconds).
 const NOTIFIED_AFTER_MOVE_S: f64 = 4.0;
 /// Time from the start of a process in which its first call is made: if discovery is unreachable at any time in it, the
 /// process counts as started during an outage (seconds).
--- a/crates/wharfhub-testbed/tests/compatibility.rs
+++ b/crates/wharfhub-testbed/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! Checks that emulated mixers decide the same as in release dade8db, by the digest of all their actions.
+//! Checks that emulated mixers make the same decisions as in release dade8db, by comparing a digest of all their actions.
 //!
 //! A change that alters decisions on purpose updates the digests and says so in its commit message.
 
--- a/crates/wharfhub-testbed/tests/soak.rs
+++ b/crates/wharfhub-testbed/tests/soak.rs
@@ -187,7 +187,7 @@
 }
 
 /// Where lists are pushed, a mixer counts as notified of the changes that its agent has, without any answer. An outage of
-/// discovery delays that until its end; a silent discovery delays it by another 6 s.
+/// discovery delays the notification until the outage ends; a silent discovery delays the notification by another 6 s.
 #[rstest]
 #[case::after_the_grace(None, 0.7, true)]
 #[case::within_the_grace(None, 0.5, false)]
@@ -392,7 +392,8 @@
     assert_eq!(violated_rules(&history), [Rule::SentTimeout]);
 }
 
-/// An event that a stand-in records right after a stall of its own happened earlier.
+/// An event that a stand-in records right after the stand-in itself was stalled may have happened up to the stall's length
+/// earlier.
 #[test]
 fn a_stall_of_the_stand_ins_does_not_count_as_a_delay_of_the_mixer() {
     let mut history = history();
--- a/src/decisions/aggregator.rs
+++ b/src/decisions/aggregator.rs
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Returns the number of listed replicas that receive nothing new except probe requests: those that drain or are
+    /// Returns the number of listed replicas that receive no new parts except probe requests: replicas that drain or are
     /// ejected for every class.
     pub fn unavailable_replicas(&self) -> usize {
         let is_ejected = |replica: &Replica| {
--- a/src/decisions/api.rs
+++ b/src/decisions/api.rs
@@ -304,7 +304,7 @@
     ListFailed,
     /// The endpoint list may be used until the given time. Before the first such event it may be used without limit.
     ListLease {
-        /// Time from which nothing may be sent according to the list.
+        /// Time from which no part may be sent based on the list.
         until: f64,
     },
     /// A query was accepted.
--- a/src/decisions/query.rs
+++ b/src/decisions/query.rs
@@ -103,7 +103,7 @@
     }
 }
 
-/// The properties of a query that its client's repeats of it share.
+/// Properties that a query shares with its client's retries.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RequestFingerprint {
     pub(crate) class: u16,
--- a/src/decisions/replica_table.rs
+++ b/src/decisions/replica_table.rs
@@ -8,7 +8,7 @@
 pub(crate) struct ReplicaTable {
     replicas: BTreeMap<ReplicaId, Replica>,
     by_cell: Vec<Vec<ReplicaId>>,
-    /// Time from which nothing may be sent according to the endpoint list.
+    /// Time from which no part may be sent based on the endpoint list.
     pub(crate) valid_until: f64,
     listed_count: usize,
 }
--- a/src/decisions/stragglers/tests.rs
+++ b/src/decisions/stragglers/tests.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// In whatever order attempts end, exactly those in flight that were sent by the latest limit are returned.
+    /// Regardless of the order in which attempts end, exactly those in flight that were sent by the latest limit are returned.
     #[test]
     fn old_attempts_in_flight_are_found(steps in prop::collection::vec((0_u32..4, 0_usize..40), 0..200)) {
         let mut stragglers = Stragglers::default();
--- a/src/decisions/time_window/tests.rs
+++ b/src/decisions/time_window/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// All times within the window are counted, in whatever order times are added and whichever old ones are dropped.
+/// All times within the window are counted, regardless of the order in which times are added and of the old times that are dropped.
 #[test]
 fn all_times_within_the_window_are_counted() {
     let (mut times, mut all) = (Vec::new(), Vec::new());
--- a/src/endpoints/lease.rs
+++ b/src/endpoints/lease.rs
@@ -147,7 +147,7 @@
 
 impl ListLease {
     /// Creates the lease on a list from before the start. `drain_grace_s` is the time after the notification that a server is
-    /// draining after which nothing may be sent to that server (seconds).
+    /// draining after which no part may be sent to that server (seconds).
     pub fn new(has_discovery: bool, drain_grace_s: f64, now: f64) -> ListLease {
         ListLease {
             has_discovery,
--- a/src/net/discovery/answers.rs
+++ b/src/net/discovery/answers.rs
@@ -62,7 +62,7 @@
     Changed,
     /// The answer confirmed the list in use.
     Unchanged,
-    /// The answer is older than the list in use and shows nothing.
+    /// The answer is older than the list in use and does not confirm it.
     Outdated,
 }
 
--- a/src/net/discovery/lease.rs
+++ b/src/net/discovery/lease.rs
@@ -5,8 +5,8 @@
 use crate::net::timer_queue::Deadline;
 use crate::net::timer_queue::TIMER_TOLERANCE_S;
 
-/// Maximum time between two polls of the event loop (seconds). After a longer delay the loop reads discovery before
-/// anything else, and sends nothing before that. The part of the drain grace that is used includes this delay.
+/// Maximum time between two polls of the event loop (seconds). After a longer delay the loop first reads the
+/// connections to discovery, and sends no part before that. The part of the drain grace that is used includes this delay.
 pub(in crate::net) const MAX_LOOP_DELAY_S: f64 = 0.05;
 /// Minimum time without a poll after which the process counts as paused (seconds). Shorter delays, of up to 0.15 s, are
 /// allowed for in the time limits.
--- a/src/net/discovery/list.rs
+++ b/src/net/discovery/list.rs
@@ -10,7 +10,7 @@
 const MEMORY_DIVISOR: usize = 16;
 /// Lower bound of the limit on a list: 10,000 replicas with indented lines of 220 bytes, and some 70% more.
 const MIN_LIST_LIMIT_BYTES: usize = 4 * 1024 * 1024;
-/// Upper bound of the limit on a list, whatever the memory limit.
+/// Upper bound of the limit on a list, regardless of the memory limit.
 const MAX_LIST_LIMIT_BYTES: usize = 64 * 1024 * 1024;
 
 /// Returns the maximum size of a list for a memory limit (bytes).
--- a/src/net/replica/pool.rs
+++ b/src/net/replica/pool.rs
@@ -194,8 +194,8 @@
         }
     }
 
-    /// Drops connections on which a part would be lost: silent ones that carry nothing any more, and ones that a delayed
-    /// event loop has left unused for so long that the leaf server may be closing them.
+    /// Drops connections on which a part would be lost: silent connections without a part in flight, and
+    /// connections that a delayed event loop has left unused for so long that the leaf server may be closing them.
     fn drop_unusable(
         &mut self,
         runtime: &mut Runtime,
--- a/src/requests/attempt.rs
+++ b/src/requests/attempt.rs
@@ -23,7 +23,7 @@
     pub timeout_s: f64,
     /// Time until which the client waits for the answer.
     pub client_deadline: f64,
-    /// Whether the replica is asked only if anything matches (pre-check).
+    /// Whether the part is a pre-check, which only asks whether anything in the shard matches.
     pub pre_check: bool,
     /// Latest time at which writing may start, for a retry in a class whose leaf servers discard duplicates only for a
     /// limited time; infinite for any other attempt.
--- a/src/requests/request.rs
+++ b/src/requests/request.rs
@@ -27,11 +27,11 @@
     pub(super) values: Vec<Option<Rc<str>>>,
     /// Outcome of each part's attempt that ended last.
     pub(super) outcomes: Vec<Option<Outcome>>,
-    /// Whether the part's value is the answer to a pre-check that nothing matches.
+    /// Whether each part was answered by a pre-check that found no match in the shard.
     pub(super) pruned: Vec<bool>,
     /// Class settings at the time of acceptance.
     pub(super) class_settings: ClassSettings,
-    /// Whether an attempt that may have been executed has ended, for any part.
+    /// Whether an attempt of any part has ended that may have been executed.
     pub(super) may_have_run: bool,
     /// Time of acceptance.
     pub(super) accepted_at: f64,
--- a/src/requests/response.rs
+++ b/src/requests/response.rs
@@ -41,7 +41,7 @@
         values: Vec<Option<Rc<str>>>,
         /// Latest outcome of each part; `None` if no attempt ended.
         outcomes: Vec<Option<Outcome>>,
-        /// Whether the part's value is the answer to a pre-check that nothing matches.
+        /// Whether each part was answered by a pre-check that found no match in the shard.
         pruned: Vec<bool>,
     },
     /// The request was rejected; the client may send it again without harm.
