--- a/src/requests/attempt.rs
+++ b/src/requests/attempt.rs
@@ -10,7 +10,7 @@
     pub struct AttemptKey;
 }
 
-/// One part in a call to a replica.
+/// Part in a call to a replica.
 #[derive(Clone, Debug)]
 pub struct CallPart {
     /// Key under which the coordinator records the attempt.
@@ -23,7 +23,7 @@
     pub timeout_s: f64,
     /// Time until which the client waits for the answer.
     pub client_deadline: f64,
-    /// Whether the replica is asked only if anything matches (pre-check).
+    /// Whether the part is a pre-check, which only asks whether anything in the shard matches.
     pub pre_check: bool,
     /// Latest time at which writing may start, for a retry in a class whose leaf servers discard duplicates only for a
     /// limited time; infinite for any other attempt.
--- a/src/requests/response.rs
+++ b/src/requests/response.rs
@@ -41,7 +41,7 @@
         values: Vec<Option<Rc<str>>>,
         /// Latest outcome of each part; `None` if no attempt ended.
         outcomes: Vec<Option<Outcome>>,
-        /// Whether the part's value is the answer to a pre-check that nothing matches.
+        /// Whether each part was answered by a pre-check that found no match in the shard.
         pruned: Vec<bool>,
     },
     /// The request was rejected; the client may send it again without harm.
@@ -90,7 +90,7 @@
     }
 
     /// Returns a rejection with this reason, or a failure if an attempt with an effect may have been executed. Attempts
-    /// that ended are known to the request; `has_attempt_in_flight` tells whether there are others.
+    /// that ended are known to the request; `has_attempt_in_flight` indicates whether there are others.
     pub(super) fn rejection(
         &self,
         has_attempt_in_flight: bool,
