--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,7 +9,7 @@
     pub now: f64,
     pub actions: Vec<Action>,
     /// When each of them was taken.
-    pub times: Vec<f64>,
+    pub action_times: Vec<f64>,
     next_check_at: f64,
 }
 
@@ -44,7 +44,7 @@
             aggregator,
             now: 100.0,
             actions: Vec::new(),
-            times: Vec::new(),
+            action_times: Vec::new(),
             next_check_at: 100.0,
         };
         driver.list(true, replicas);
@@ -61,7 +61,7 @@
         }
         out.retain(|action| !matches!(action, Action::SetTimer { .. }));
         self.actions.extend(out.iter().cloned());
-        self.times.resize(self.actions.len(), self.now);
+        self.action_times.resize(self.actions.len(), self.now);
         out
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// Lets time pass, with the periodic checks that the aggregator set timers for.
-    pub fn pass(&mut self, seconds: f64) -> Vec<Action> {
+    pub fn advance(&mut self, seconds: f64) -> Vec<Action> {
         let end = self.now + seconds;
         let mut out = Vec::new();
         while self.next_check_at <= end {
@@ -86,10 +86,10 @@
 
     /// A query with the given shards and even weights. Its parts have ids from `id * 100` on.
     pub fn query(&mut self, id: u32, shards: &[u32], timeout_s: f64) -> Vec<Action> {
-        self.query_of(0, id, shards, timeout_s, false)
+        self.query_with_class(0, id, shards, timeout_s, false)
     }
 
-    pub fn query_of(
+    pub fn query_with_class(
         &mut self,
         class: u16,
         id: u32,
@@ -127,7 +127,7 @@
         }))
     }
 
-    pub fn end(
+    pub fn end_attempt(
         &mut self,
         part: u32,
         attempt: u8,
@@ -148,8 +148,8 @@
     pub fn round_trip(&mut self, id: u32, shard: u32, took_s: f64) -> Vec<Action> {
         let out = self.query(id, &[shard], 3.0);
         if let Some((part, replica)) = sends(&out).first().copied() {
-            self.pass(took_s);
-            self.end(part, 0, replica, took_s, Outcome::Ok);
+            self.advance(took_s);
+            self.end_attempt(part, 0, replica, took_s, Outcome::Ok);
         }
         out
     }
@@ -165,14 +165,14 @@
 }
 
 /// Whether a query was rejected.
-pub fn rejected(actions: &[Action]) -> bool {
+pub fn is_rejected(actions: &[Action]) -> bool {
     actions
         .iter()
         .any(|action| matches!(action, Action::Reject { .. }))
 }
 
 /// Whether a query failed.
-pub fn failed(actions: &[Action]) -> bool {
+pub fn is_failed(actions: &[Action]) -> bool {
     actions
         .iter()
         .any(|action| matches!(action, Action::Fail { .. }))
--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -10,7 +10,7 @@
 fn an_idle_fleet_rejects_nothing() {
     let mut driver = Driver::new(settings(class()), &[replica(1), replica(2)]);
     for id in 1..200 {
-        assert!(!rejected(&driver.round_trip(id, 0, 0.05)));
+        assert!(!is_rejected(&driver.round_trip(id, 0, 0.05)));
     }
 }
 
@@ -25,16 +25,16 @@
     let mut rejections = 0;
     for id in 30..90 {
         let out = driver.round_trip(id, 0, 0.48);
-        if rejected(&out) {
+        if is_rejected(&out) {
             rejections += 1;
             assert!(sends(&out).is_empty(), "a rejected query was sent: {out:?}");
         }
     }
     assert!(rejections > 5, "{rejections} rejected");
-    driver.pass(45.0);
+    driver.advance(45.0);
     for id in 100..150 {
         assert!(
-            !rejected(&driver.round_trip(id, 0, 0.05)),
+            !is_rejected(&driver.round_trip(id, 0, 0.05)),
             "the price did not fall"
         );
     }
@@ -55,11 +55,11 @@
     let (mut cheap, mut expensive) = (0, 0);
     for id in 30..200 {
         driver.round_trip(id, 1, 0.48);
-        cheap += usize::from(rejected(&driver.round_trip(1000 + id, 0, 0.05)));
+        cheap += usize::from(is_rejected(&driver.round_trip(1000 + id, 0, 0.05)));
         let both = driver.query(2000 + id, &[0, 1], 3.0);
-        expensive += usize::from(rejected(&both));
+        expensive += usize::from(is_rejected(&both));
         for (part, replica) in sends(&both) {
-            driver.end(
+            driver.end_attempt(
                 part,
                 0,
                 replica,
@@ -81,11 +81,11 @@
     let mut driver = Driver::new(settings(strict), &[replica(1)]);
     driver.round_trip(1, 0, 0.05);
     assert!(
-        rejected(&driver.query_of(0, 2, &[0], 1.9, true)),
+        is_rejected(&driver.query_with_class(0, 2, &[0], 1.9, true)),
         "1.1 s old, objective 1 s"
     );
     assert!(
-        !rejected(&driver.query_of(0, 3, &[0], 2.5, true)),
+        !is_rejected(&driver.query_with_class(0, 3, &[0], 2.5, true)),
         "half a second old"
     );
 }
@@ -102,10 +102,10 @@
     let mut rejections = 0;
     for id in 200..500 {
         let out = driver.query(id, &[0], 3.0);
-        rejections += usize::from(rejected(&out));
-        driver.pass(0.1);
+        rejections += usize::from(is_rejected(&out));
+        driver.advance(0.1);
         for (part, at) in sends(&out) {
-            driver.end(part, 0, at, 0.6, OK);
+            driver.end_attempt(part, 0, at, 0.6, OK);
         }
     }
     assert!(rejections > 10, "{rejections} rejected");
@@ -119,17 +119,17 @@
         let mut driver = Driver::new(settings(class()), &[replica(1), replica(2)]);
         for id in 1..40 {
             for (part, at) in sends(&driver.query(id, &[0], 3.0)) {
-                driver.pass(0.9);
-                driver.end(part, 0, at, 0.9, OK);
+                driver.advance(0.9);
+                driver.end_attempt(part, 0, at, 0.9, OK);
             }
         }
         let ask = |id: u32| {
-            driver.pass(timeout_s);
+            driver.advance(timeout_s);
             let out = driver.query(1000 + id, &[0], 3.0);
             sends(&out)
                 .iter()
-                .for_each(|(part, at)| drop(driver.end(*part, 0, *at, 0.9, OK)));
-            rejected(&out)
+                .for_each(|(part, at)| drop(driver.end_attempt(*part, 0, *at, 0.9, OK)));
+            is_rejected(&out)
         };
         (0..60).map(ask).filter(|is_rejected| *is_rejected).count()
     };
@@ -153,17 +153,17 @@
     (1..21).for_each(|id| drop(driver.round_trip(id, id % 20, 0.05)));
     for id in 21..121 {
         let sent = sends(&driver.query(id, &[id % 20], 3.0));
-        driver.pass(0.05);
+        driver.advance(0.05);
         sent.iter()
-            .for_each(|(part, at)| drop(driver.end(*part, 0, *at, 0.9, OK)));
+            .for_each(|(part, at)| drop(driver.end_attempt(*part, 0, *at, 0.9, OK)));
     }
     let rejections = |driver: &mut Driver, from: u32| {
         let ask = |id: u32| {
             let out = driver.query(id, &[(id % 10) + 10], 3.0);
             sends(&out)
                 .iter()
-                .for_each(|(part, at)| drop(driver.end(*part, 0, *at, 0.05, OK)));
-            rejected(&out)
+                .for_each(|(part, at)| drop(driver.end_attempt(*part, 0, *at, 0.05, OK)));
+            is_rejected(&out)
         };
         (from..from + 10)
             .map(ask)
@@ -184,8 +184,8 @@
         driver.round_trip(id, 0, 0.3);
     }
     let hasty = driver.query(100, &[0], 0.25);
-    assert!(rejected(&hasty) && sends(&hasty).is_empty());
-    assert!(!rejected(&driver.query(101, &[0], 3.0)));
+    assert!(is_rejected(&hasty) && sends(&hasty).is_empty());
+    assert!(!is_rejected(&driver.query(101, &[0], 3.0)));
 }
 
 /// Found at Szeged as capacity was lost: an answer shows the queue that its part met, one latency ago. By then twice as much
@@ -202,14 +202,14 @@
     });
     for id in 100..130 {
         let sent = sends(&driver.query(id, &[0; 7], 3.0));
-        driver.pass(0.35);
+        driver.advance(0.35);
         for (part, at) in sent {
-            driver.pass(0.01);
-            driver.end(part, 0, at, 0.38, OK);
+            driver.advance(0.01);
+            driver.end_attempt(part, 0, at, 0.38, OK);
         }
     }
     let rejections = |ids: std::ops::Range<u32>, driver: &mut Driver| {
-        ids.filter(|id| rejected(&driver.query(*id, &[0], 1.0)))
+        ids.filter(|id| is_rejected(&driver.query(*id, &[0], 1.0)))
             .count()
     };
     assert_eq!(
@@ -242,7 +242,7 @@
         .collect();
     driver.list(true, &warming);
     let rejections = (200..215)
-        .filter(|id| rejected(&driver.query(*id, &[0], 3.0)))
+        .filter(|id| is_rejected(&driver.query(*id, &[0], 3.0)))
         .count();
     assert_eq!(rejections, 0);
 }
@@ -275,10 +275,10 @@
         driver.event(Event::Query(new));
         let out = driver.part(id * 100, id, 0, 1.0);
         rejections[tenant as usize] +=
-            usize::from(rejected(&out)) * if tenant == 1 { 9 } else { 1 };
-        driver.pass(0.05);
+            usize::from(is_rejected(&out)) * if tenant == 1 { 9 } else { 1 };
+        driver.advance(0.05);
         for (part, at) in sends(&out) {
-            driver.end(part, 0, at, 0.45, OK);
+            driver.end_attempt(part, 0, at, 0.45, OK);
         }
     }
     assert!(
@@ -300,10 +300,10 @@
     };
     let mut driver = warm();
     let under = sends(&driver.query(100, &[0], 3.0))[0].1;
-    driver.pass(0.1);
+    driver.advance(0.1);
     let to_under = (101..140).filter(|id| {
         let (part, replica) = sends(&driver.query(*id, &[0], 3.0))[0];
-        driver.end(part, 0, replica, 0.05, OK);
+        driver.end_attempt(part, 0, replica, 0.05, OK);
         replica == under
     });
     assert_eq!(
@@ -314,9 +314,9 @@
     // All replicas so: of what would hardly be answered in time, much is rejected before it is sent.
     let mut driver = warm();
     (100..110).for_each(|id| drop(driver.query(id, &[0], 3.0)));
-    driver.pass(0.7);
+    driver.advance(0.7);
     let rejections = (200..300)
-        .filter(|id| rejected(&driver.query(*id, &[0], 3.0)))
+        .filter(|id| is_rejected(&driver.query(*id, &[0], 3.0)))
         .count();
     assert!(rejections > 20, "{rejections} of 100");
 }
@@ -327,11 +327,11 @@
     let mut driver = Driver::new(settings(class()), &[replica(1)]);
     for id in 1..5 {
         driver.round_trip(id, 0, 0.05);
-        driver.pass(0.6);
+        driver.advance(0.6);
     }
     for id in 5..60 {
         driver.round_trip(id, 0, 0.55);
-        driver.pass(0.15);
+        driver.advance(0.15);
     }
     let price = driver.aggregator.learned_state().replicas[0]
         .statistics
@@ -364,11 +364,11 @@
     statistics.recent_delays[1] = late;
     statistics.recent_delays[2] = late;
     driver.aggregator.inherit(learned_state, &[Some(0)], &[]);
-    driver.pass(1.5);
+    driver.advance(1.5);
     let mut rejections = 0;
     for id in 100..300 {
-        rejections += usize::from(rejected(&driver.round_trip(id, 0, 0.01)));
-        driver.pass(0.005);
+        rejections += usize::from(is_rejected(&driver.round_trip(id, 0, 0.01)));
+        driver.advance(0.005);
     }
     assert!(rejections < 150, "{rejections} of 200 in 3 s");
 }
@@ -388,7 +388,7 @@
 ) {
     let rejections = |driver: &mut Driver, ids: std::ops::Range<u32>| {
         // Sent to a healthy server, and left open: only what was lost counts.
-        ids.filter(|id| rejected(&driver.query(*id, &[2], 3.0)))
+        ids.filter(|id| is_rejected(&driver.query(*id, &[2], 3.0)))
             .count()
     };
     let settings = Settings {
@@ -405,14 +405,14 @@
         } else {
             (0.05, OK)
         };
-        driver.end(part, 0, at, took_s, outcome);
+        driver.end_attempt(part, 0, at, took_s, outcome);
     }
     // Whatever retries there are end as the first one did, up to the end of the query's time.
     for _ in 0..300 {
-        for (part, at) in sends(&driver.pass(0.01)) {
+        for (part, at) in sends(&driver.advance(0.01)) {
             let sent = sends(&driver.actions);
             let attempts = sent.iter().filter(|(sent, _)| *sent == part).count();
-            driver.end(part, attempts as u8 - 1, at, 0.002, outcome);
+            driver.end_attempt(part, attempts as u8 - 1, at, 0.002, outcome);
         }
     }
     let count = rejections(&mut driver, 210..230);
@@ -424,7 +424,7 @@
         .into_iter()
         .filter(|(part, _)| *part >= 21_000);
     for (part, at) in open.collect::<Vec<_>>() {
-        driver.end(part, 0, at, 0.05, OK);
+        driver.end_attempt(part, 0, at, 0.05, OK);
     }
     (300..310).for_each(|id| drop(driver.round_trip(id, 2, 0.05)));
     assert_eq!(
--- a/tests/decisions/crash_detection.rs
+++ b/tests/decisions/crash_detection.rs
@@ -12,9 +12,9 @@
     let mut driver = warm_fleet(settings(class()));
     let sent = sends(&driver.query(500, &[0, 1, 2], 3.0));
     let mut again = Vec::new();
-    driver.pass(0.001);
+    driver.advance(0.001);
     for (part, replica) in &sent {
-        again.extend(sends(&driver.end(
+        again.extend(sends(&driver.end_attempt(
             *part,
             0,
             *replica,
@@ -27,20 +27,20 @@
         1,
         "a suspected query goes on by one part at a time"
     );
-    let out = driver.end(again[0].0, 1, again[0].1, 0.001, Outcome::Reset);
-    assert!(failed(&out), "known as crash-inducing: {out:?}");
-    assert!(sends(&driver.pass(1.0)).is_empty());
+    let out = driver.end_attempt(again[0].0, 1, again[0].1, 0.001, Outcome::Reset);
+    assert!(is_failed(&out), "known as crash-inducing: {out:?}");
+    assert!(sends(&driver.advance(1.0)).is_empty());
     assert!(
-        rejected(&driver.query_of(0, 501, &[0, 1, 2], 2.9, true)),
+        is_rejected(&driver.query_with_class(0, 501, &[0, 1, 2], 2.9, true)),
         "its repeat"
     );
     assert!(
-        !rejected(&driver.query_of(0, 502, &[2, 3, 4], 2.9, true)),
+        !is_rejected(&driver.query_with_class(0, 502, &[2, 3, 4], 2.9, true)),
         "another one's repeat"
     );
-    driver.pass(31.0);
+    driver.advance(31.0);
     assert!(
-        !rejected(&driver.query(503, &[0, 1, 2], 3.0)),
+        !is_rejected(&driver.query(503, &[0, 1, 2], 3.0)),
         "it is not remembered for ever"
     );
 }
@@ -48,8 +48,8 @@
 /// A query of one part becomes known as crash-inducing: its connection is reset, and again where it is retried.
 fn record_crash_inducing_query(driver: &mut Driver) {
     let (part, at) = sends(&driver.query(500, &[0], 3.0))[0];
-    let again = sends(&driver.end(part, 0, at, 0.001, Outcome::Reset));
-    assert!(failed(&driver.end(
+    let again = sends(&driver.end_attempt(part, 0, at, 0.001, Outcome::Reset));
+    assert!(is_failed(&driver.end_attempt(
         part,
         1,
         again[0].1,
@@ -64,7 +64,7 @@
 fn replicas_that_crash_hold_no_other_query_back() {
     let mut driver = warm_fleet(settings(class()));
     let sent = sends(&driver.query(500, &[0, 1, 2], 3.0));
-    driver.end(sent[0].0, 0, sent[0].1, 0.001, Outcome::Reset);
+    driver.end_attempt(sent[0].0, 0, sent[0].1, 0.001, Outcome::Reset);
     assert_eq!(sends(&driver.query(501, &[0, 1, 2], 3.0)).len(), 3);
     assert_eq!(
         sends(&driver.query(502, &[0; 8], 3.0)).len(),
@@ -80,7 +80,7 @@
     record_crash_inducing_query(&mut driver);
     let probe = sends(&driver.query(501, &[0, 1, 2], 3.0));
     assert_eq!(probe.len(), 1);
-    let rest = sends(&driver.end(probe[0].0, 0, probe[0].1, 0.05, OK));
+    let rest = sends(&driver.end_attempt(probe[0].0, 0, probe[0].1, 0.05, OK));
     assert_eq!(
         rest.len(),
         2,
@@ -88,11 +88,11 @@
     );
     let slow = sends(&driver.query(502, &[0, 1, 2], 3.0));
     assert_eq!(
-        sends(&driver.pass(0.3)).len(),
+        sends(&driver.advance(0.3)).len(),
         3 - slow.len(),
         "a slow probe does not hold the others up"
     );
-    driver.pass(31.0);
+    driver.advance(31.0);
     assert_eq!(
         sends(&driver.query(503, &[0, 1, 2], 3.0)).len(),
         3,
@@ -105,21 +105,27 @@
 fn a_mass_crash_makes_no_query_crash_inducing() {
     let mut driver = warm_fleet(settings(class()));
     let sent = sends(&driver.query(500, &[0, 1, 2, 3], 3.0));
-    driver.pass(0.03);
+    driver.advance(0.03);
     let mut again = Vec::new();
     for (part, replica) in &sent {
-        again.extend(sends(&driver.end(*part, 0, *replica, 0.03, Outcome::Reset)));
+        again.extend(sends(&driver.end_attempt(
+            *part,
+            0,
+            *replica,
+            0.03,
+            Outcome::Reset,
+        )));
     }
     assert_eq!(again.len(), 1, "one part goes ahead");
-    driver.pass(0.01);
-    for (part, replica) in sends(&driver.end(again[0].0, 1, again[0].1, 0.01, OK)) {
-        driver.end(part, 1, replica, 0.05, OK);
+    driver.advance(0.01);
+    for (part, replica) in sends(&driver.end_attempt(again[0].0, 1, again[0].1, 0.01, OK)) {
+        driver.end_attempt(part, 1, replica, 0.05, OK);
     }
     assert!(driver.actions.contains(&Action::Answer {
         query: QueryId(500),
         is_complete: true
     }));
-    assert!(!rejected(&driver.query_of(
+    assert!(!is_rejected(&driver.query_with_class(
         0,
         501,
         &[0, 1, 2, 3],
@@ -134,6 +140,6 @@
     let mut driver = warm_fleet(settings(class()));
     record_crash_inducing_query(&mut driver);
     assert_eq!(sends(&driver.query(501, &[0; 8], 3.0)).len(), 1);
-    let rest = sends(&driver.pass(0.06));
+    let rest = sends(&driver.advance(0.06));
     assert_eq!(rest.len(), 7, "{rest:?}");
 }
--- a/tests/decisions/hedging.rs
+++ b/tests/decisions/hedging.rs
@@ -12,10 +12,10 @@
         driver.round_trip(id, 0, 0.05);
     }
     let (part, first) = sends(&driver.query(500, &[0], 3.0))[0];
-    let hedged = sends(&driver.pass(0.5));
+    let hedged = sends(&driver.advance(0.5));
     assert_eq!(hedged.len(), 1);
     assert_ne!(hedged[0].1, first);
-    let out = driver.end(part, 1, hedged[0].1, 0.05, OK);
+    let out = driver.end_attempt(part, 1, hedged[0].1, 0.05, OK);
     assert!(out.contains(&Action::Cancel {
         part: PartId(part),
         attempt: 0
@@ -40,7 +40,7 @@
             driver.round_trip(id, 0, 0.05);
         }
         driver.query(500, &[0], 3.0);
-        let steps = (1..100).find(|_| !sends(&driver.pass(0.01)).is_empty());
+        let steps = (1..100).find(|_| !sends(&driver.advance(0.01)).is_empty());
         steps.expect("a hedged request is sent")
     };
     let (few, fleet) = (hedged_after(3), hedged_after(300));
@@ -61,15 +61,18 @@
     }
     let (part, first) = sends(&driver.query(500, &[0], 3.0))[0];
     // Found at full size: a part at a congested replica was cancelled at half the overdue time, and its work done twice.
-    assert!(driver.pass(0.6).is_empty(), "not while it may only be late");
+    assert!(
+        driver.advance(0.6).is_empty(),
+        "not while it may only be late"
+    );
     // Found at Szeged: it was left there for half as long again after its replica was ejected, and came late.
-    let out = driver.pass(0.2);
+    let out = driver.advance(0.2);
     assert!(sends(&out).is_empty());
     assert!(out.contains(&Action::Cancel {
         part: PartId(part),
         attempt: 0
     }));
-    let again = sends(&driver.end(part, 0, first, 1.2, Outcome::Cancelled));
+    let again = sends(&driver.end_attempt(part, 0, first, 1.2, Outcome::Cancelled));
     assert_eq!(again.len(), 1);
     assert_ne!(again[0].1, first);
 }
@@ -88,7 +91,7 @@
         driver.round_trip(id, 0, 0.05);
     }
     let (part, at) = sends(&driver.query(500, &[0], 3.0))[0];
-    let out = driver.pass(2.5);
+    let out = driver.advance(2.5);
     assert!(
         out.contains(&Action::Cancel {
             part: PartId(part),
@@ -96,7 +99,7 @@
         }) && sends(&out).is_empty()
     );
     assert_eq!(
-        sends(&driver.end(part, 0, at, 2.5, Outcome::Cancelled)).len(),
+        sends(&driver.end_attempt(part, 0, at, 2.5, Outcome::Cancelled)).len(),
         1
     );
 }
@@ -111,22 +114,22 @@
             driver.round_trip(id, 0, 0.1);
         }
         let under = sends(&driver.query(200, &[0], 3.0))[0].1;
-        driver.pass(0.02);
+        driver.advance(0.02);
         let mut others = Vec::new(); // answered, so that the other replica is worth a hedged request
         for id in 201..210 {
             let (part, replica) = sends(&driver.query(id, &[0], 3.0))[0];
             if is_ejected && replica == under {
-                let again = sends(&driver.end(part, 0, replica, 0.01, Outcome::Reset));
+                let again = sends(&driver.end_attempt(part, 0, replica, 0.01, Outcome::Reset));
                 others.extend(again.into_iter().map(|(part, replica)| (part, 1, replica)));
                 break;
             }
             others.extend((replica != under).then_some((part, 0, replica)));
         }
         for (part, attempt, replica) in others {
-            driver.end(part, attempt, replica, 0.02, OK);
+            driver.end_attempt(part, attempt, replica, 0.02, OK);
         }
         let steps = (0..300).find(|_| {
-            sends(&driver.pass(0.01))
+            sends(&driver.advance(0.01))
                 .iter()
                 .any(|(part, _)| *part == 20000)
         });
--- a/tests/decisions/idle_loss.rs
+++ b/tests/decisions/idle_loss.rs
@@ -38,17 +38,17 @@
                     .is_some_and(|at| driver.now - at > 1.5);
             if is_lost(replica.0, idle) {
                 silent = Some((part.0, replica));
-                work = driver.pass(0.9);
+                work = driver.advance(0.9);
             } else {
-                driver.pass(0.05);
+                driver.advance(0.05);
                 let attempt = u8::from(silent.is_some_and(|(lost, _)| lost == part.0));
-                work = driver.end(part.0, attempt, replica, 0.05, OK);
+                work = driver.end_attempt(part.0, attempt, replica, 0.05, OK);
             }
         }
         if let Some((part, replica)) = silent.take() {
-            driver.end(part, 0, replica, 0.95, Outcome::Cancelled);
+            driver.end_attempt(part, 0, replica, 0.95, Outcome::Cancelled);
         }
-        driver.pass(0.3);
+        driver.advance(0.3);
     }
     closed
 }
@@ -86,11 +86,11 @@
         } else {
             (0.2, OK)
         };
-        driver.pass(took);
-        for (part, other) in sends(&driver.end(part, 0, at, took, ends)) {
-            driver.end(part, 1, other, 0.2, OK);
+        driver.advance(took);
+        for (part, other) in sends(&driver.end_attempt(part, 0, at, took, ends)) {
+            driver.end_attempt(part, 1, other, 0.2, OK);
         }
-        driver.pass(0.1);
+        driver.advance(0.1);
     }
     assert!(tried > 4, "more often than it takes to be ejected: {tried}");
     assert_eq!(closed, 0);
--- a/tests/decisions/lifecycle.rs
+++ b/tests/decisions/lifecycle.rs
@@ -10,45 +10,50 @@
     let mut polling = settings(class());
     polling.must_poll = true;
     let mut driver = Driver::new(polling, &[replica(1)]);
-    assert!(driver.pass(0.1).contains(&Action::Watch));
+    assert!(driver.advance(0.1).contains(&Action::Watch));
     driver.actions.clear();
     for _ in 0..6 {
         assert!(
             !driver.event(Event::ListFailed).contains(&Action::Watch),
             "not without a wait"
         );
-        assert_eq!(driver.pass(6.1), [Action::Watch]);
+        assert_eq!(driver.advance(6.1), [Action::Watch]);
     }
 }
 
 #[test]
 fn odd_input_ends_in_one_final_answer_or_is_ignored() {
     let mut driver = Driver::new(settings(class()), &[]);
-    assert!(rejected(&driver.query(1, &[0], 3.0)), "no replica at all");
-    assert!(rejected(&driver.query(2, &[], 3.0)), "no parts");
-    assert!(rejected(&driver.query(3, &[0], 0.0)), "no time");
     assert!(
-        rejected(&driver.query_of(9, 4, &[0], 3.0, false)),
+        is_rejected(&driver.query(1, &[0], 3.0)),
+        "no replica at all"
+    );
+    assert!(is_rejected(&driver.query(2, &[], 3.0)), "no parts");
+    assert!(is_rejected(&driver.query(3, &[0], 0.0)), "no time");
+    assert!(
+        is_rejected(&driver.query_with_class(9, 4, &[0], 3.0, false)),
         "no such class"
     );
     assert!(
-        rejected(&driver.query(5, &[0], f64::NAN)),
+        is_rejected(&driver.query(5, &[0], f64::NAN)),
         "no plausible deadline"
     );
     driver.list(true, &[replica(1)]);
     assert!(driver
         .event(Event::ClientDisconnected(QueryId(77)))
         .is_empty());
-    assert!(driver.end(7777, 0, ReplicaId(5), f64::NAN, OK).is_empty());
+    assert!(driver
+        .end_attempt(7777, 0, ReplicaId(5), f64::NAN, OK)
+        .is_empty());
     assert!(driver.part(888, 888, 0, 1.0).is_empty());
     let (part, at) = sends(&driver.query(6, &[0], 3.0))[0];
     assert!(
-        driver.end(part, 9, at, 0.1, OK).is_empty(),
+        driver.end_attempt(part, 9, at, 0.1, OK).is_empty(),
         "no such attempt"
     );
-    assert_eq!(driver.end(part, 0, at, -1.0, OK).len(), 1);
+    assert_eq!(driver.end_attempt(part, 0, at, -1.0, OK).len(), 1);
     assert!(
-        driver.end(part, 0, at, 0.1, OK).is_empty(),
+        driver.end_attempt(part, 0, at, 0.1, OK).is_empty(),
         "a second outcome changes nothing"
     );
 }
@@ -65,7 +70,7 @@
         ..NewQuery::default()
     };
     driver.event(Event::Query(query));
-    assert!(rejected(&driver.pass(0.5)));
+    assert!(is_rejected(&driver.advance(0.5)));
 }
 
 /// Other settings may have more cells: which replicas hold a shard changes at once, and not with the next endpoint list only.
@@ -106,10 +111,10 @@
     };
     let mut driver = Driver::new(two, &[replica(1), replica(2)]);
     for (id, index) in [(1, 0), (2, 0), (3, 0), (4, 1), (5, 1), (6, 1)] {
-        for (part, to) in sends(&driver.query_of(index, id, &[0], 3.0, false)) {
+        for (part, to) in sends(&driver.query_with_class(index, id, &[0], 3.0, false)) {
             let is_reset = to == ReplicaId(1);
             let outcome = if is_reset { Outcome::Reset } else { OK };
-            driver.end(part, 0, to, 0.05, outcome);
+            driver.end_attempt(part, 0, to, 0.05, outcome);
         }
     }
     assert_eq!(
@@ -125,7 +130,7 @@
 #[test]
 fn other_settings_keep_statistics_and_open_queries() {
     let mut driver = driver_with_ejected_replica();
-    let open = sends(&driver.query_of(1, 7, &[0], 3.0, false));
+    let open = sends(&driver.query_with_class(1, 7, &[0], 3.0, false));
     assert_eq!(open.len(), 1);
     // The classes change places, and the one that was not idempotent is so from now on.
     let settings = Settings {
@@ -143,21 +148,21 @@
         1,
         "the ejection is forgotten"
     );
-    let out = driver.end(open[0].0, 0, open[0].1, 0.05, Outcome::Error);
+    let out = driver.end_attempt(open[0].0, 0, open[0].1, 0.05, Outcome::Error);
     assert!(
-        failed(&out) && sends(&out).is_empty(),
+        is_failed(&out) && sends(&out).is_empty(),
         "an open query lost its class: {out:?}"
     );
-    let new = sends(&driver.query_of(0, 8, &[0], 3.0, false));
-    let again = driver.end(new[0].0, 0, new[0].1, 0.05, Outcome::Error);
+    let new = sends(&driver.query_with_class(0, 8, &[0], 3.0, false));
+    let again = driver.end_attempt(new[0].0, 0, new[0].1, 0.05, Outcome::Error);
     assert_eq!(
         sends(&again).len(),
         1,
         "a new query does not have the new class: {again:?}"
     );
-    let over = driver.end(new[0].0, 1, sends(&again)[0].1, 0.05, Outcome::Error);
+    let over = driver.end_attempt(new[0].0, 1, sends(&again)[0].1, 0.05, Outcome::Error);
     assert!(
-        rejected(&over) && sends(&over).is_empty(),
+        is_rejected(&over) && sends(&over).is_empty(),
         "two attempts are allowed: {over:?}"
     );
 }
--- a/tests/decisions/outliers.rs
+++ b/tests/decisions/outliers.rs
@@ -12,14 +12,14 @@
         driver.round_trip(id, 0, 0.05);
     }
     let (part, silent) = sends(&driver.query(500, &[0], 3.0))[0];
-    let (_, other) = sends(&driver.pass(0.8))[0];
-    driver.end(part, 1, other, 0.4, OK);
+    let (_, other) = sends(&driver.advance(0.8))[0];
+    driver.end_attempt(part, 1, other, 0.4, OK);
     for id in 501..505 {
         assert_eq!(sends(&driver.round_trip(id, 0, 0.05))[0].1, other);
     }
-    driver.pass(3.0);
-    driver.end(part, 0, silent, 3.0, Outcome::Cancelled);
-    driver.pass(5.0);
+    driver.advance(3.0);
+    driver.end_attempt(part, 0, silent, 3.0, Outcome::Cancelled);
+    driver.advance(5.0);
     for id in 600..690 {
         driver.round_trip(id, 0, 0.05);
     }
@@ -28,9 +28,9 @@
         .filter(|(part, at)| *part >= 60_000 && *at == silent)
         .count();
     assert!((2..10).contains(&probes), "{probes} probe requests");
-    driver.pass(20.0);
+    driver.advance(20.0);
     (690..699).for_each(|id| drop(driver.round_trip(id, 0, 0.05)));
-    driver.pass(20.0);
+    driver.advance(20.0);
     let first = sends(&driver.query(700, &[0], 3.0))[0].1;
     assert_ne!(
         first,
@@ -51,11 +51,11 @@
         .collect();
     driver.now += 2.0;
     for (part, replica) in out {
-        driver.end(part, 0, replica, 2.0, OK);
+        driver.end_attempt(part, 0, replica, 2.0, OK);
     }
-    driver.pass(0.1);
+    driver.advance(0.1);
     for id in 200..230 {
-        assert!(!rejected(&driver.round_trip(id, 0, 0.05)));
+        assert!(!is_rejected(&driver.round_trip(id, 0, 0.05)));
     }
 }
 
@@ -85,7 +85,7 @@
     let mut new = Vec::new(); // what a query's end sends leaves with the next one: every attempt ends
     for id in 1..400 {
         let shard = if id % 2 == 1 { 0 } else { 2 };
-        new.extend(sends(&driver.query_of(
+        new.extend(sends(&driver.query_with_class(
             (id % 2) as u16,
             id,
             &[shard],
@@ -100,14 +100,14 @@
                 out.push((driver.now + took, part, *attempt, at, took));
                 *attempt += 1;
             }
-            new.extend(sends(&driver.pass(0.05)));
+            new.extend(sends(&driver.advance(0.05)));
             let now = driver.now;
             let (due, later): (Vec<_>, Vec<_>) =
                 out.into_iter().partition(|(due, ..)| *due <= now + 1e-9);
             out = later;
             for (_, part, attempt, at, took) in due {
                 let outcome = if took < 1.0 { OK } else { Outcome::TimedOut };
-                new.extend(sends(&driver.end(part, attempt, at, took, outcome)));
+                new.extend(sends(&driver.end_attempt(part, attempt, at, took, outcome)));
             }
         }
     }
@@ -127,16 +127,17 @@
         let (mut to_bad, mut count) = (0, 0);
         for id in 1..100 {
             for (part, at) in sends(&driver.query(id, &[0], 3.0)) {
-                driver.pass(0.05);
+                driver.advance(0.05);
                 count += u32::from(at == ReplicaId(1));
                 let fails = at == ReplicaId(1) && count % 2 == 1;
-                let again = driver.end(part, 0, at, 0.05, if fails { Outcome::Error } else { OK });
+                let again =
+                    driver.end_attempt(part, 0, at, 0.05, if fails { Outcome::Error } else { OK });
                 sends(&again)
                     .iter()
-                    .for_each(|(part, at)| drop(driver.end(*part, 1, *at, 0.05, OK)));
+                    .for_each(|(part, at)| drop(driver.end_attempt(*part, 1, *at, 0.05, OK)));
                 to_bad += usize::from(at == ReplicaId(1));
             }
-            driver.pass(0.05);
+            driver.advance(0.05);
         }
         assert!(
             (1..25).contains(&to_bad),
@@ -154,9 +155,9 @@
     };
     let mut driver = Driver::new(settings(class()), &[far]);
     let (part, dead) = sends(&driver.query(500, &[0], 3.0))[0];
-    driver.end(part, 0, dead, 0.001, Outcome::ConnectFailed);
+    driver.end_attempt(part, 0, dead, 0.001, Outcome::ConnectFailed);
     driver.list(false, &[replica(2), replica(3)]);
-    driver.pass(0.6);
+    driver.advance(0.6);
     let next: Vec<_> = (510..540)
         .map(|id| sends(&driver.round_trip(id, 0, 0.02))[0].1)
         .collect();
@@ -176,5 +177,5 @@
     (100..104).for_each(|id| drop(driver.query(id, &[0], 3.0)));
     driver.now += 2.0;
     driver.event(Event::Timer(1));
-    assert!(!rejected(&driver.query(200, &[0], 3.0)));
+    assert!(!is_rejected(&driver.query(200, &[0], 3.0)));
 }
--- a/tests/decisions/partial_answers.rs
+++ b/tests/decisions/partial_answers.rs
@@ -16,14 +16,14 @@
     let sent = sends(&driver.query(1, &[0; 9], 3.0));
     assert_eq!(sent.len(), 7);
     for (part, replica) in &sent[..6] {
-        driver.end(*part, 0, *replica, 0.05, OK);
+        driver.end_attempt(*part, 0, *replica, 0.05, OK);
     }
-    let spare = sends(&driver.pass(0.5));
+    let spare = sends(&driver.advance(0.5));
     assert!(
         !sent.iter().any(|(part, _)| *part == spare[0].0),
         "a spare, not a hedged request"
     );
-    let out = driver.end(spare[0].0, 0, spare[0].1, 0.05, OK);
+    let out = driver.end_attempt(spare[0].0, 0, spare[0].1, 0.05, OK);
     assert!(out.contains(&Action::Answer {
         query: QueryId(1),
         is_complete: true
@@ -38,9 +38,9 @@
     };
     let mut driver = Driver::new(settings(partial), &[replica(1)]);
     let sent = sends(&driver.query(1, &[0, 0], 3.0));
-    driver.end(sent[0].0, 0, sent[0].1, 0.05, OK);
-    assert!(driver.pass(0.9).is_empty());
-    assert!(driver.pass(0.1).contains(&Action::Answer {
+    driver.end_attempt(sent[0].0, 0, sent[0].1, 0.05, OK);
+    assert!(driver.advance(0.9).is_empty());
+    assert!(driver.advance(0.1).contains(&Action::Answer {
         query: QueryId(1),
         is_complete: false
     }));
@@ -55,7 +55,7 @@
     };
     let mut driver = Driver::new(settings(steps), &fleet(8));
     for (part, replica) in sends(&driver.query(1, &[0, 1, 2], 3.0)) {
-        driver.end(part, 0, replica, 0.05, OK);
+        driver.end_attempt(part, 0, replica, 0.05, OK);
     }
     let first = Action::Answer {
         query: QueryId(1),
@@ -73,7 +73,7 @@
     second.extend(sends(&driver.part(111, 1, 1, 0.5)));
     assert_eq!(second.len(), 2);
     for (part, replica) in second {
-        driver.end(part, 0, replica, 0.05, OK);
+        driver.end_attempt(part, 0, replica, 0.05, OK);
     }
     assert_eq!(
         driver
@@ -109,14 +109,14 @@
         let took = |at: &ReplicaId| if at.0 == 4 { 0.95 } else { 0.01 };
         let last = sent
             .iter()
-            .map(|(part, at)| driver.end(*part, 0, *at, took(at), OK))
+            .map(|(part, at)| driver.end_attempt(*part, 0, *at, took(at), OK))
             .last();
         let answer = [Action::Answer {
             query: QueryId(id),
             is_complete: false,
         }];
         in_part += usize::from(sent.len() == 4 && last.is_some_and(|last| last == answer));
-        whole_rejections += usize::from(rejected(&driver.query(200 + id, &[2, 3], 3.0)));
+        whole_rejections += usize::from(is_rejected(&driver.query(200 + id, &[2, 3], 3.0)));
     }
     assert!(
         in_part > 12,
@@ -143,13 +143,15 @@
         &fleet(10),
     );
     let sent = sends(&driver.query(1, &[0, 0, 0, 0], 3.0));
-    driver.end(sent[0].0, 0, sent[0].1, 0.05, Outcome::Error);
-    driver.end(sent[1].0, 0, sent[1].1, 0.05, OK);
+    driver.end_attempt(sent[0].0, 0, sent[0].1, 0.05, Outcome::Error);
+    driver.end_attempt(sent[1].0, 0, sent[1].1, 0.05, OK);
     assert!(
-        driver.end(sent[2].0, 0, sent[2].1, 0.05, OK).is_empty(),
+        driver
+            .end_attempt(sent[2].0, 0, sent[2].1, 0.05, OK)
+            .is_empty(),
         "one is still in flight"
     );
-    let out = driver.end(sent[3].0, 0, sent[3].1, 0.05, OK);
+    let out = driver.end_attempt(sent[3].0, 0, sent[3].1, 0.05, OK);
     assert_eq!(
         out,
         [Action::Answer {
--- a/tests/decisions/retry.rs
+++ b/tests/decisions/retry.rs
@@ -12,11 +12,11 @@
     }
     for id in 60..70 {
         for (part, replica) in sends(&driver.query(id, &[0], 3.0)) {
-            driver.end(part, 0, replica, 0.001, Outcome::Rejected);
+            driver.end_attempt(part, 0, replica, 0.001, Outcome::Rejected);
         }
     }
     driver.actions.clear();
-    driver.pass(0.1);
+    driver.advance(0.1);
     assert!(sends(&driver.actions).is_empty(), "{:?}", driver.actions);
 }
 
@@ -24,7 +24,7 @@
 fn a_part_lost_with_its_connection_is_retried_elsewhere_at_once() {
     let mut driver = Driver::new(settings(class()), &[replica(1), replica(2)]);
     let (part, first) = sends(&driver.query(1, &[0], 3.0))[0];
-    let again = sends(&driver.end(part, 0, first, 0.01, Outcome::Reset));
+    let again = sends(&driver.end_attempt(part, 0, first, 0.01, Outcome::Reset));
     assert_eq!(again.len(), 1);
     assert_ne!(again[0].1, first);
     for id in 2..12 {
@@ -48,7 +48,7 @@
         driver.round_trip(id, 0, 0.2); // four times as long as usual, and a fifth of the objective
     }
     let (part, first) = sends(&driver.query(500, &[0], 3.0))[0];
-    let next = sends(&driver.end(part, 0, first, 0.001, Outcome::Rejected));
+    let next = sends(&driver.end_attempt(part, 0, first, 0.001, Outcome::Rejected));
     assert!(next.len() == 1 && next[0].1 != first, "{next:?}");
 }
 
@@ -68,9 +68,9 @@
         };
         let mut driver = Driver::new(one, &fleet(3));
         let (part, at) = sends(&driver.query(1, &[0], 3.0))[0];
-        let out = driver.end(part, 0, at, 0.05, outcome);
+        let out = driver.end_attempt(part, 0, at, 0.05, outcome);
         assert_eq!(
-            (rejected(&out), failed(&out)),
+            (is_rejected(&out), is_failed(&out)),
             (harmless, !harmless),
             "{effect:?} {outcome:?}"
         );
@@ -95,10 +95,10 @@
         };
         let mut driver = Driver::new(settings(non_idempotent), &fleet(3));
         let (part, at) = sends(&driver.query(1, &[0], 3.0))[0];
-        assert!(sends(&driver.pass(0.9)).is_empty(), "no hedged request");
-        let out = driver.end(part, 0, at, 0.9, outcome);
+        assert!(sends(&driver.advance(0.9)).is_empty(), "no hedged request");
+        let out = driver.end_attempt(part, 0, at, 0.9, outcome);
         assert_eq!(
-            (sends(&out).len(), failed(&out)),
+            (sends(&out).len(), is_failed(&out)),
             (again, again == 0),
             "{outcome:?}"
         );
@@ -122,9 +122,9 @@
         let mut driver = Driver::new(settings(keyed.clone()), &fleet(4));
         let (part, at) = sends(&driver.query(1, &[0], 3.0))[0];
         driver.now += 0.2;
-        let second = sends(&driver.end(part, 0, at, 0.2, first))[0];
+        let second = sends(&driver.end_attempt(part, 0, at, 0.2, first))[0];
         driver.now += wait;
-        let third = driver.end(part, 1, second.1, wait, Outcome::Error);
+        let third = driver.end_attempt(part, 1, second.1, wait, Outcome::Error);
         assert_eq!(sends(&third).len(), again, "{first:?}, then {wait} s");
     }
 }
@@ -154,15 +154,21 @@
                 .entry(part)
                 .and_modify(|attempt| *attempt += 1)
                 .or_insert(0u8);
-            work.extend(sends(&driver.end(part, *attempt, at, 0.01, Outcome::Error)));
+            work.extend(sends(&driver.end_attempt(
+                part,
+                *attempt,
+                at,
+                0.01,
+                Outcome::Error,
+            )));
             if work.is_empty() {
-                work = sends(&driver.pass(0.1));
+                work = sends(&driver.advance(0.1));
             }
         }
-        driver.pass(0.6);
+        driver.advance(0.6);
     }
     let (mut seen, mut retries) = (std::collections::BTreeSet::new(), Vec::new());
-    for (action, at) in driver.actions.iter().zip(&driver.times) {
+    for (action, at) in driver.actions.iter().zip(&driver.action_times) {
         let Action::Send { part, .. } = action else {
             continue;
         };
--- a/tests/decisions/selection.rs
+++ b/tests/decisions/selection.rs
@@ -29,8 +29,8 @@
 fn the_last_holder_of_a_shard_stays_in_use() {
     let mut driver = Driver::new(settings(class()), &[replica(1)]);
     let (part, only) = sends(&driver.query(1, &[0], 3.0))[0];
-    driver.end(part, 0, only, 0.01, Outcome::Reset);
-    driver.pass(0.1);
+    driver.end_attempt(part, 0, only, 0.01, Outcome::Reset);
+    driver.advance(0.1);
     assert_eq!(sends(&driver.query(2, &[0], 3.0)).len(), 1);
 }
 
@@ -52,8 +52,8 @@
         let mut far = 0;
         for id in 1..40 {
             for (part, at) in sends(&driver.query(id, &[0], 3.0)) {
-                driver.pass(0.1);
-                driver.end(part, 0, at, if at == ReplicaId(2) { 0.15 } else { 0.1 }, OK);
+                driver.advance(0.1);
+                driver.end_attempt(part, 0, at, if at == ReplicaId(2) { 0.15 } else { 0.1 }, OK);
                 far += usize::from(at == ReplicaId(1));
             }
         }
@@ -109,13 +109,13 @@
 #[test]
 fn a_slow_replica_is_remembered_for_some_sends() {
     let mut driver = warm_fleet(settings(class()));
-    driver.pass(20.0);
+    driver.advance(20.0);
     let (part, slow) = sends(&driver.query(500, &[0], 3.0))[0];
-    driver.pass(0.3);
-    driver.end(part, 0, slow, 0.3, OK);
+    driver.advance(0.3);
+    driver.end_attempt(part, 0, slow, 0.3, OK);
     let mut again = 0;
     for id in 501..510 {
-        driver.pass(3.0);
+        driver.advance(3.0);
         again += usize::from(sends(&driver.round_trip(id, 0, 0.05))[0].1 == slow);
     }
     assert_eq!(again, 0, "one of ten replicas, a send every 3 s");
@@ -135,7 +135,7 @@
     );
     let mut taken = std::collections::BTreeMap::new();
     for id in 1..100 {
-        driver.pass(1.0);
+        driver.advance(1.0);
         *taken
             .entry(sends(&driver.round_trip(id, 0, 0.05))[0].1 .0)
             .or_insert(0) += 1;
@@ -157,8 +157,8 @@
     let mut driver = Driver::new(settings(class()), &[replica(1)]);
     driver.list(false, &[in_state(Lifecycle::Draining)]);
     assert_eq!(sends(&driver.query(1, &[0], 3.0)).len(), 1);
-    driver.pass(0.9 * drain_grace_s());
-    assert!(rejected(&driver.query(2, &[0], 3.0)));
+    driver.advance(0.9 * drain_grace_s());
+    assert!(is_rejected(&driver.query(2, &[0], 3.0)));
     driver.list(false, &[replica(2)]);
     assert_eq!(sends(&driver.query(3, &[0], 3.0))[0].1, ReplicaId(2));
     driver.list(
@@ -169,7 +169,7 @@
         }],
     );
     assert!(
-        rejected(&driver.query(4, &[0], 3.0)),
+        is_rejected(&driver.query(4, &[0], 3.0)),
         "nothing new to a replica that is gone"
     );
 }
@@ -203,7 +203,7 @@
             ..replica(id - 1)
         };
         driver.list(false, &[replica(id), gone]);
-        driver.pass(5.0);
+        driver.advance(5.0);
     }
     let remembered = driver.aggregator.learned_state().replicas.len();
     assert!(remembered < 10, "{remembered} remembered");
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -23,9 +23,9 @@
         let out = driver.query(id, &[0], 3.0);
         for (part, replica) in sends(&out) {
             to_warming += usize::from(replica == ReplicaId(2));
-            driver.end(part, 0, replica, 0.001, Outcome::Rejected);
+            driver.end_attempt(part, 0, replica, 0.001, Outcome::Rejected);
         }
-        driver.pass(0.01);
+        driver.advance(0.01);
     }
     let to_warming_late = sends(&driver.actions)
         .iter()
@@ -101,17 +101,17 @@
             if round as usize % (2 + number % 19) == 0 {
                 let shard = (round * 7 + number as u32) % CELLS;
                 let out = driver.query(round + 1, &[shard], 3.0);
-                self.rejections += usize::from(rejected(&out) && (round > START_ROUND));
+                self.rejections += usize::from(is_rejected(&out) && (round > START_ROUND));
                 for (part, at) in sends(&out) {
-                    driver.pass(0.01);
-                    driver.end(part, 0, at, 0.01, OK);
+                    driver.advance(0.01);
+                    driver.end_attempt(part, 0, at, 0.01, OK);
                     self.sent_before += usize::from(round < START_ROUND);
                     if at == ReplicaId(1) && round >= START_ROUND {
                         self.rounds_to_warming.push(round);
                     }
                 }
             }
-            driver.pass(110.0 + f64::from(round) * 0.1 - driver.now);
+            driver.advance(110.0 + f64::from(round) * 0.1 - driver.now);
         }
     }
 }
--- a/tests/decisions/two_phase.rs
+++ b/tests/decisions/two_phase.rs
@@ -87,10 +87,10 @@
     let mut driver = two_phase_driver(Effect::Idempotent, &[pre_checking(1), pre_checking(2)]);
     let first = query_with_pre_check(&mut driver, 100, &[0], 0.3);
     assert!(first.len() == 1 && first[0].is_pre_check, "{first:?}");
-    let out = driver.end(10000, 0, first[0].replica, 0.01, Outcome::Matches);
+    let out = driver.end_attempt(10000, 0, first[0].replica, 0.01, Outcome::Matches);
     let full = sent_parts(&out);
     assert!(full.len() == 1 && !full[0].is_pre_check, "{out:?}");
-    let out = driver.end(10000, 1, full[0].replica, 0.1, OK);
+    let out = driver.end_attempt(10000, 1, full[0].replica, 0.1, OK);
     assert_eq!(
         out,
         [Action::Answer {
@@ -99,7 +99,7 @@
         }]
     );
     let first = query_with_pre_check(&mut driver, 101, &[0], 0.3);
-    let out = driver.end(10100, 0, first[0].replica, 0.01, OK);
+    let out = driver.end_attempt(10100, 0, first[0].replica, 0.01, OK);
     assert_eq!(
         out,
         [Action::Answer {
@@ -122,11 +122,11 @@
     let mut driver = Driver::new(settings, &[pre_checking(1), pre_checking(2)]);
     let first = query_with_pre_check(&mut driver, 100, &[0], 0.3);
     assert_eq!(
-        sent_parts(&driver.end(10000, 0, first[0].replica, 0.01, Outcome::Matches)).len(),
+        sent_parts(&driver.end_attempt(10000, 0, first[0].replica, 0.01, Outcome::Matches)).len(),
         1
     );
     let first = query_with_pre_check(&mut driver, 101, &[0], 0.3);
-    let out = driver.end(10100, 0, first[0].replica, 0.01, Outcome::Error);
+    let out = driver.end_attempt(10100, 0, first[0].replica, 0.01, Outcome::Error);
     assert!(
         sent_parts(&out).is_empty(),
         "what comes after a failure is a retry: {out:?}"
@@ -167,9 +167,9 @@
             attempts == 0,
             "only the first attempt is a pre-check"
         );
-        let mut out = driver.end(first.part, attempts, first.replica, 0.02, outcome);
+        let mut out = driver.end_attempt(first.part, attempts, first.replica, 0.02, outcome);
         attempts += 1;
-        out.extend(driver.pass(0.1));
+        out.extend(driver.advance(0.1));
         sent = sent_parts(&out);
         if attempts > 1 && sent.is_empty() {
             break;
@@ -188,7 +188,7 @@
         ..pre_checking(first[0].replica.0)
     };
     driver.list(false, &[draining]);
-    let out = driver.end(10000, 0, first[0].replica, 0.01, Outcome::Matches);
+    let out = driver.end_attempt(10000, 0, first[0].replica, 0.01, Outcome::Matches);
     let full = sent_parts(&out);
     assert!(
         full.len() == 1 && full[0].replica != first[0].replica,
@@ -204,8 +204,8 @@
             ..pre_checking(1)
         }],
     );
-    driver.pass(0.3);
-    let out = driver.end(10000, 0, first[0].replica, 0.3, Outcome::Matches);
+    driver.advance(0.3);
+    let out = driver.end_attempt(10000, 0, first[0].replica, 0.3, Outcome::Matches);
     assert!(sent_parts(&out).is_empty(), "{out:?}");
 }
 
@@ -221,16 +221,16 @@
     let mut driver = two_phase_driver(Effect::Idempotent, &[pre_checking(1), pre_checking(2)]);
     for id in 100..140 {
         let first = query_with_pre_check(&mut driver, id, &[0], 2.0);
-        driver.pass(0.01);
-        driver.end(id * 100, 0, first[0].replica, 0.01, OK);
+        driver.advance(0.01);
+        driver.end_attempt(id * 100, 0, first[0].replica, 0.01, OK);
     }
     let first = query_with_pre_check(&mut driver, 200, &[0], 2.0);
-    let hedged = sent_parts(&driver.pass(0.5));
+    let hedged = sent_parts(&driver.advance(0.5));
     assert!(
         hedged.len() == 1 && !hedged[0].is_pre_check && hedged[0].replica != first[0].replica,
         "{hedged:?}"
     );
-    let out = driver.end(20000, 0, first[0].replica, 0.5, answer);
+    let out = driver.end_attempt(20000, 0, first[0].replica, 0.5, answer);
     assert!(sent_parts(&out).is_empty(), "{out:?}");
     assert_eq!(
         out.contains(&Action::Answer {
@@ -260,7 +260,7 @@
             let number = attempts.entry(part).or_insert(0u8);
             *number += 1;
             let number = *number - 1;
-            next.extend(sent_parts(&driver.end(
+            next.extend(sent_parts(&driver.end_attempt(
                 part,
                 number,
                 replica,
@@ -268,7 +268,7 @@
                 Outcome::Rejected,
             )));
         }
-        next.extend(sent_parts(&driver.pass(0.01)));
+        next.extend(sent_parts(&driver.advance(0.01)));
         sent = next;
     }
     let finals = |action: &&Action| {
@@ -299,9 +299,9 @@
     for id in 300..500 {
         for SentPart { part, replica, .. } in query_with_pre_check(&mut driver, id, &[0], 0.3) {
             to_warming += u32::from(replica == ReplicaId(2));
-            driver.end(part, 0, replica, 0.005, OK);
+            driver.end_attempt(part, 0, replica, 0.005, OK);
         }
-        driver.pass(0.005);
+        driver.advance(0.005);
     }
     // About ten queries a second in full over two replicas, a fifth of the capacity, multiple 2, window 2 s.
     assert!(
@@ -325,9 +325,9 @@
         classes,
         tenants,
     });
-    let full = sent_parts(&driver.end(10000, 0, first[0].replica, 0.01, Outcome::Matches));
+    let full = sent_parts(&driver.end_attempt(10000, 0, first[0].replica, 0.01, Outcome::Matches));
     assert!(full.len() == 1 && !full[0].is_pre_check, "{full:?}");
-    let out = driver.end(10000, 1, full[0].replica, 0.1, OK);
+    let out = driver.end_attempt(10000, 1, full[0].replica, 0.1, OK);
     assert_eq!(
         out,
         [Action::Answer {
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -118,14 +118,14 @@
     fn watch(&mut self) {
         for at in self.seen..self.driver.actions.len() {
             self.referee
-                .act(self.driver.times[at], &self.driver.actions[at]);
+                .act(self.driver.action_times[at], &self.driver.actions[at]);
         }
         self.seen = self.driver.actions.len();
     }
 
     fn pass(&mut self, seconds: f64) {
         for _ in 0..(seconds / 0.005) as u32 {
-            self.driver.pass(0.005);
+            self.driver.advance(0.005);
             self.watch();
             self.second_steps();
         }
@@ -188,7 +188,7 @@
             sent_at, replica, ..
         } = *ended;
         state.answered |= outcome == Outcome::Ok;
-        self.driver.end(
+        self.driver.end_attempt(
             part,
             attempt as u8,
             replica,
@@ -322,7 +322,8 @@
             return;
         }
         let part = answered[pick % answered.len()];
-        self.driver.end(part, 0, ReplicaId(1), 0.1, Outcome::Ok);
+        self.driver
+            .end_attempt(part, 0, ReplicaId(1), 0.1, Outcome::Ok);
         self.watch();
     }
 }
