--- a/tests/discovery_silence.rs
+++ b/tests/discovery_silence.rs
@@ -1,20 +1,21 @@
-//! The program on real connections with a discovery that falls silent, refuses calls, or answers with long lists.
+//! Tests the program on real connections with a discovery that stops answering, refuses calls, or answers with long lists.
 //!
-//! The one time that is asserted is the rule's own: what a silent watch misses has to be known 6 s after it fell silent.
+//! The only time that is asserted is the limit of the rules: a change that a silent watch misses has to be received within 6 s
+//! after the watch stopped answering.
 
 mod stand_ins;
 
 use rstest::rstest;
-use stand_ins::{discovery, list, Program, Reply, Setup, PATIENCE, UNREACHABLE_SERVER as MEMBERS};
+use stand_ins::{discovery, list, Program, Reply, Setup, MAX_WAIT, UNREACHABLE_SERVER as MEMBERS};
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What a silent watch misses counts as known so long after it fell silent.
-const TERM: Duration = Duration::from_secs(6);
+/// Time after the start of the silence at which a change that a silent watch missed counts as notified.
+const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(6);
 
-/// Starts the program; `known` is whether it has a last known list, and `mode` how lists come.
+/// Starts the program with or without a last known list (`known`) in the given discovery mode.
 fn start(mixers: u32, mode: &'static str, discovery: SocketAddr, known: bool) -> Program {
     let known = known.then(|| MEMBERS.to_string());
     Program::start(&Setup {
@@ -25,133 +26,134 @@
     })
 }
 
-/// When the watch falls silent, and a change is made in the same instant.
+/// Time at which the watch stops answering and a change is made.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Instants {
-    /// As soon as it is made.
-    WatchMade,
-    /// Right after a call beside it was answered, so that the next one is as far away as it can be.
-    CallAnswered,
+enum SilenceStart {
+    /// When the watch is opened.
+    WatchOpened,
+    /// Right after a heartbeat on another connection was answered, so that the time to the next one is longest.
+    HeartbeatAnswered,
 }
 
-/// How a call fails.
+/// Failure of a call.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     Silent,
     Refused,
-    Reset,
+    Closed,
 }
 
 #[derive(Default)]
-struct Silence {
+struct SilenceState {
     watches: u32,
     answered: u32,
-    since: Option<Instant>,
-    failed: usize,
+    silent_since: Option<Instant>,
+    failed_calls: usize,
 }
 
-/// A watch that falls silent in the worst instant, and then one or two calls that fail: what it missed is known within the
-/// term, however many mixers there are.
+/// The watch stops answering at the worst time, and then one or two calls fail: the change that the watch missed is received within
+/// the limit for fleets of any size.
 #[rstest]
-fn what_a_silent_watch_misses_is_known_within_the_term(
+fn a_change_that_a_silent_watch_misses_is_received_within_the_limit(
     #[values(30, 350, 1000)] mixers: u32,
     #[values(
-        (Instants::WatchMade, vec![Fault::Silent]),
-        (Instants::WatchMade, vec![Fault::Reset, Fault::Silent]),
-        (Instants::CallAnswered, vec![Fault::Refused, Fault::Silent]),
-        (Instants::CallAnswered, vec![Fault::Silent, Fault::Silent])
+        (SilenceStart::WatchOpened, vec![Fault::Silent]),
+        (SilenceStart::WatchOpened, vec![Fault::Closed, Fault::Silent]),
+        (SilenceStart::HeartbeatAnswered, vec![Fault::Refused, Fault::Silent]),
+        (SilenceStart::HeartbeatAnswered, vec![Fault::Silent, Fault::Silent])
     )]
-    case: (Instants, Vec<Fault>),
+    case: (SilenceStart, Vec<Fault>),
     #[values("subscribe", "automatic")] mode: &'static str,
 ) {
-    let (instant, faults) = case;
-    let silence = Arc::new(Mutex::new(Silence::default()));
-    let shared = silence.clone();
-    let address = discovery(move |asked| {
-        let mut silence = shared.lock().expect("a lock");
-        let waits = asked.is_some_and(|(_, wait)| wait > 0);
-        if silence.since.is_some() {
-            // Whatever is asked from now on is asked without what the watch missed.
-            let fault = faults.get(silence.failed);
-            silence.failed += 1;
+    let (start_of_silence, faults) = case;
+    let state = Arc::new(Mutex::new(SilenceState::default()));
+    let shared = state.clone();
+    let address = discovery(move |call| {
+        let mut state = shared.lock().expect("lock poisoned");
+        let waits = call.is_some_and(|(_, wait)| wait > 0);
+        if state.silent_since.is_some() {
+            // Every call from now on is made without the change that the watch missed.
+            let fault = faults.get(state.failed_calls);
+            state.failed_calls += 1;
             return match fault {
-                Some(Fault::Silent) => Reply::Nothing,
+                Some(Fault::Silent) => Reply::NoAnswer,
                 Some(Fault::Refused) => Reply::Status(503),
-                Some(Fault::Reset) => Reply::Reset,
+                Some(Fault::Closed) => Reply::Close,
                 None => list(2, false, &MEMBERS.replace("Ready", "Terminating")),
             };
         }
-        silence.watches += u32::from(waits);
-        let falls = match instant {
-            Instants::WatchMade => waits,
-            // The first such call opens the watch. Where the watch is put off, the calls go on without it.
-            Instants::CallAnswered => (silence.answered > 0 && !waits) || silence.watches > 1,
+        state.watches += u32::from(waits);
+        let falls_silent = match start_of_silence {
+            SilenceStart::WatchOpened => waits,
+            // The first call that does not wait opens the watch. If the watch is postponed, only heartbeats are made.
+            SilenceStart::HeartbeatAnswered => (state.answered > 0 && !waits) || state.watches > 1,
         };
-        silence.answered += u32::from(!waits);
-        silence.since = falls.then(Instant::now);
+        state.answered += u32::from(!waits);
+        state.silent_since = falls_silent.then(Instant::now);
         if waits {
-            Reply::Nothing
+            Reply::NoAnswer
         } else {
             list(1, false, "")
         }
     });
     let program = start(mixers, mode, address, true);
     let known_at = program.await_log("discovery: revision Some(2)");
-    let since = silence
+    let silent_since = state
         .lock()
-        .expect("a lock")
-        .since
-        .expect("it fell silent");
+        .expect("lock poisoned")
+        .silent_since
+        .expect("the watch did not fall silent");
     assert!(
-        known_at <= since + TERM,
-        "known after {:?}",
-        known_at - since
+        known_at <= silent_since + MAX_NOTIFICATION_DELAY,
+        "received after {:?}",
+        known_at - silent_since
     );
 }
 
-/// A discovery that answers calls for changes with a refusal, or waits all the same, is still watched.
+/// A discovery that supports only calls that wait, and refuses a call with `wait=0` or does not answer it at once, is still watched.
 #[rstest]
 #[case::refused(|| Reply::Status(400))]
-#[case::waits_all_the_same(|| Reply::Nothing)]
-fn a_discovery_that_only_knows_waits_is_watched(#[case] without_wait: fn() -> Reply) {
-    let address = discovery(move |asked| match asked {
+#[case::waits_anyway(|| Reply::NoAnswer)]
+fn a_discovery_that_supports_only_waiting_calls_is_watched(#[case] without_wait: fn() -> Reply) {
+    let address = discovery(move |call| match call {
         None => list(3, true, MEMBERS),
         Some((_, 0)) => without_wait(),
         Some((3, _)) => list(4, false, &MEMBERS.replace("Ready", "Terminating")),
-        Some(_) => Reply::Nothing,
+        Some(_) => Reply::NoAnswer,
     });
     start(2, "subscribe", address, true).await_log("discovery: revision Some(4)");
 }
 
-/// A discovery that was restarted counts its versions anew; one that refuses calls for changes answers whole lists.
+/// A restarted discovery starts its revisions again. The mixer, whose calls for changes are refused here, accepts the lower revision of
+/// the whole list.
 #[test]
-fn a_lower_version_of_a_restarted_discovery_is_taken() {
+fn a_lower_revision_of_a_restarted_discovery_is_accepted() {
     let lists = Arc::new(Mutex::new(0));
-    let address = discovery(move |asked| match asked {
+    let address = discovery(move |call| match call {
         None => {
-            let mut lists = lists.lock().expect("a lock");
+            let mut lists = lists.lock().expect("lock poisoned");
             *lists += 1;
             list(if *lists == 1 { 9 } else { 2 }, true, MEMBERS)
         }
         Some((_, 0)) => Reply::Status(400),
-        Some((9, _)) => Reply::Reset,
-        Some(_) => Reply::Nothing,
+        Some((9, _)) => Reply::Close,
+        Some(_) => Reply::NoAnswer,
     });
     let program = start(2, "subscribe", address, true);
     program.await_log("discovery: revision Some(9)");
     program.await_log("discovery: revision Some(2)");
 }
 
-/// A discovery that answers whole lists to all calls: the same list again is no news.
+/// Discovery answers every call with the whole list: a list of the same revision is not applied again.
 #[test]
-fn a_list_that_comes_again_is_read_once() {
+fn a_repeated_list_is_applied_once() {
     let heartbeats = Arc::new(Mutex::new(0));
     let count = heartbeats.clone();
-    let address = discovery(move |asked| {
-        let mut count = count.lock().expect("a lock");
-        match asked {
+    let address = discovery(move |call| {
+        let mut count = count.lock().expect("lock poisoned");
+        match call {
             Some((2, 0)) => *count += 1,
-            Some((2, _)) => return Reply::Nothing,
+            Some((2, _)) => return Reply::NoAnswer,
             _ => {}
         }
         list(if *count < 3 { 2 } else { 3 }, true, MEMBERS)
@@ -159,7 +161,7 @@
     let program = start(2, "automatic", address, true);
     program.await_log("discovery: revision Some(2)");
     let mut lines = 0;
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + MAX_WAIT;
     while let Ok((_, line)) = program
         .log
         .recv_timeout(end.saturating_duration_since(Instant::now()))
@@ -170,13 +172,13 @@
         lines += u32::from(line.contains("discovery: revision"));
     }
     assert_eq!(
-        (lines, *heartbeats.lock().expect("a lock")),
+        (lines, *heartbeats.lock().expect("lock poisoned")),
         (0, 3),
-        "two heartbeats brought what was known"
+        "(lists applied again, heartbeats)"
     );
 }
 
-/// 10,000 leaf servers with two spaces a level.
+/// The list has 10,000 leaf servers and an indentation of two spaces for each level.
 #[test]
 fn a_long_indented_list_is_read() {
     let mut endpoints = String::new();
@@ -191,20 +193,20 @@
             id % 250,
             id % 2
         )
-        .expect("room");
+        .expect("write to a string");
     }
     assert!(endpoints.len() > 2_000_000, "{}", endpoints.len());
-    let address = discovery(move |asked| match asked {
+    let address = discovery(move |call| match call {
         None => list(7, true, &endpoints),
-        Some(_) => Reply::Nothing,
+        Some(_) => Reply::NoAnswer,
     });
     start(860, "automatic", address, false)
         .await_log("discovery: revision Some(7), 10000 lines, full true");
 }
 
-/// A list over the limit is named with its size and the limit, and asked for ever more rarely.
+/// A list above the size limit is logged with its size and the limit, and calls for it are made at increasing intervals.
 #[test]
-fn a_list_over_the_limit_is_asked_for_ever_more_rarely() {
+fn a_list_above_the_size_limit_is_requested_at_increasing_intervals() {
     let long = " ".repeat(5_000_000);
     let address = discovery(move |_| Reply::List(long.clone()));
     let program = start(30, "subscribe", address, true);
@@ -216,22 +218,27 @@
     }
 }
 
-/// Found on a day with an outage of ten seconds just before most mixers restarted: after eight failures each of 300 mixers
-/// asked for the whole list, and discovery, back again, answered nobody for the rest of the day.
+/// Mixers must not call for whole lists because calls for changes failed. In a simulated day with an outage of 10 s just before
+/// most mixers restarted, each of 300 mixers called for the whole list after eight failures, and discovery, although it was up again,
+/// answered no mixer for the rest of the day.
 #[test]
-fn a_discovery_that_is_away_is_not_asked_for_whole_lists() {
+fn an_unavailable_discovery_is_not_called_for_whole_lists() {
     let calls = Arc::new(Mutex::new((0, 0)));
     let shared = calls.clone();
-    let address = discovery(move |asked| {
-        let mut calls = shared.lock().expect("a lock");
+    let address = discovery(move |call| {
+        let mut calls = shared.lock().expect("lock poisoned");
         calls.0 += 1;
-        calls.1 += u32::from(asked.is_none());
-        match asked {
-            Some((_, wait)) if calls.0 > 12 && wait > 0 => Reply::Nothing,
+        calls.1 += u32::from(call.is_none());
+        match call {
+            Some((_, wait)) if calls.0 > 12 && wait > 0 => Reply::NoAnswer,
             _ if calls.0 > 12 => list(2, false, MEMBERS),
             _ => Reply::Status(503),
         }
     });
     start(3, "subscribe", address, true).await_log("discovery: revision Some(2)");
-    assert_eq!(calls.lock().expect("a lock").1, 0, "whole lists");
+    assert_eq!(
+        calls.lock().expect("lock poisoned").1,
+        0,
+        "calls for whole lists"
+    );
 }
--- a/tests/lost_answers.rs
+++ b/tests/lost_answers.rs
@@ -1,52 +1,54 @@
-//! The program on real connections with a discovery whose answers are lost on the way: what discovery has written counts as
-//! told, so that nothing may go to a server that drains after its grace, whatever has arrived of that answer.
+//! Tests the program on real connections with a discovery whose answers are lost in transit. An answer that discovery has written
+//! counts as notified: nothing may be sent to a draining server after its grace, however much of the answer was received.
 
 mod stand_ins;
 
-use stand_ins::{ask_for, discovery, failures, list, Cut, LeafServer, Program, Reply, Setup};
+use stand_ins::{
+    discovery, failed_cases, list, query_for, LeafServer, Program, Reply, Setup, Truncation,
+};
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// The grace of the settings, the slack of the rules on sockets, and what a stand-in's note may be late.
-const GRACE: Duration = Duration::from_millis(500 + 50 + 50);
-/// Between the first answer to a client and the drain.
-const QUIET: Duration = Duration::from_millis(1500);
-/// How long clients ask after the drain; a discovery that is up is heard of again within it.
-const OBSERVED: Duration = Duration::from_secs(7);
-/// An outage before the drain.
-const OUTAGE: Duration = Duration::from_secs(4);
-/// Longest wait of a watch.
-const MAX_WAIT: Duration = Duration::from_secs(60);
-
-/// How discovery is away before the drain.
+/// Drain grace of the settings (500 ms), tolerance of the rules on sockets (50 ms), and delay of the stand-in's timestamp (50 ms).
+const DRAIN_GRACE_WITH_SLACK: Duration = Duration::from_millis(500 + 50 + 50);
+/// Time during which clients send queries before the outage or the drain.
+const WARM_UP: Duration = Duration::from_millis(1500);
+/// Time during which clients send queries after the drain; an available discovery answers the mixer again within this time.
+const OBSERVATION: Duration = Duration::from_secs(7);
+/// Length of an outage before the drain.
+const OUTAGE_LENGTH: Duration = Duration::from_secs(4);
+/// Maximum wait of a watch.
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
+
+/// Reaction of discovery to calls during the outage before the drain.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Outage {
     None,
-    /// It answers calls with 503.
+    /// Calls are answered with 503.
     Refuses,
-    /// It closes connections under calls.
-    Resets,
-    /// It does not answer.
-    Hangs,
+    /// Connections are closed without an answer.
+    Closes,
+    /// Calls are not answered.
+    Silent,
 }
 
-/// What befalls the answers that tell of the drain.
+/// Loss of the first answers that contain the drain.
 #[derive(Clone, Copy, Debug)]
 struct Case {
     mixers: u32,
     mode: &'static str,
-    cut: Cut,
-    cuts: usize,
+    truncation: Truncation,
+    truncated_answers: usize,
     outage: Outage,
 }
 
 impl Case {
-    const fn new(mixers: u32, cut: Cut, cuts: usize) -> Case {
+    const fn new(mixers: u32, truncation: Truncation, truncated_answers: usize) -> Case {
         Case {
             mixers,
             mode: "subscribe",
-            cut,
-            cuts,
+            truncation,
+            truncated_answers,
             outage: Outage::None,
         }
     }
@@ -65,13 +67,13 @@
 
 #[derive(Clone, Copy, Default)]
 struct State {
-    is_away: bool,
-    drains: bool,
-    lost: usize,
-    told_at: Option<Instant>,
+    is_in_outage: bool,
+    is_draining: bool,
+    truncated_answers: usize,
+    notified_at: Option<Instant>,
 }
 
-/// A discovery with one change: a server drains, and the first answers that say so are lost.
+/// A discovery with one change: a server drains, and the first answers that contain the change are lost.
 #[derive(Default)]
 struct Registry {
     state: Mutex<State>,
@@ -80,162 +82,171 @@
 
 impl Registry {
     fn update(&self, change: impl FnOnce(&mut State)) {
-        change(&mut self.state.lock().expect("a lock"));
+        change(&mut self.state.lock().expect("lock poisoned"));
         self.changed.notify_all();
     }
 
-    /// The state once there is something to say to a call that waits so long.
+    /// Waits for an outage or a drain for at most `wait`, and returns the state.
     fn wait(&self, wait: Duration) -> State {
-        let state = self.state.lock().expect("a lock");
-        let idle = |state: &mut State| !state.is_away && !state.drains;
+        let state = self.state.lock().expect("lock poisoned");
+        let idle = |state: &mut State| !state.is_in_outage && !state.is_draining;
         *self
             .changed
             .wait_timeout_while(state, wait, idle)
-            .expect("a lock")
+            .expect("lock poisoned")
             .0
     }
 
-    fn reply(&self, case: &Case, asked: stand_ins::Asked, before: &str, after: &str) -> Reply {
-        let wait = asked
+    fn reply(
+        &self,
+        case: &Case,
+        call: stand_ins::DiscoveryCall,
+        before: &str,
+        after: &str,
+    ) -> Reply {
+        let wait = call
             .filter(|(since, _)| *since == 1)
             .map_or(0, |(_, wait)| wait);
-        let state = match asked {
-            Some((2, wait)) if wait > 0 => return Reply::Nothing,
-            _ => self.wait(Duration::from_millis(wait).min(MAX_WAIT)),
+        let state = match call {
+            Some((2, wait)) if wait > 0 => return Reply::NoAnswer,
+            _ => self.wait(Duration::from_millis(wait).min(MAX_WATCH_WAIT)),
         };
-        match (state.is_away, case.outage) {
+        match (state.is_in_outage, case.outage) {
             (true, Outage::Refuses) => return Reply::Status(503),
-            (true, Outage::Hangs) => return Reply::Nothing,
-            (true, _) => return Reply::Reset,
+            (true, Outage::Silent) => return Reply::NoAnswer,
+            (true, _) => return Reply::Close,
             (false, _) => {}
         }
-        if !state.drains {
-            return list(
-                1,
-                asked.is_none(),
-                if asked.is_none() { before } else { "" },
-            );
+        if !state.is_draining {
+            return list(1, call.is_none(), if call.is_none() { before } else { "" });
         }
         let Reply::List(text) = list(2, true, after) else {
-            unreachable!("a list")
+            unreachable!("list() always returns a list")
         };
-        if state.lost < case.cuts {
+        if state.truncated_answers < case.truncated_answers {
             self.update(|state| {
-                state.lost += 1;
-                state.told_at = state.told_at.or_else(|| Some(Instant::now()));
+                state.truncated_answers += 1;
+                state.notified_at = state.notified_at.or_else(|| Some(Instant::now()));
             });
-            return Reply::Lost(text, case.cut);
+            return Reply::Truncated(text, case.truncation);
         }
-        self.update(|state| state.told_at = state.told_at.or_else(|| Some(Instant::now())));
+        self.update(|state| state.notified_at = state.notified_at.or_else(|| Some(Instant::now())));
         Reply::List(text)
     }
 }
 
-struct Play {
-    /// Calls at the server that drains, after it was told and its grace was over: how late.
+struct Outcome {
+    /// Delays, after the end of the grace, of the calls that reached the draining server.
     late: Vec<Duration>,
-    /// Whether the program served again by the end.
+    /// Whether the last query of the test was served.
     serves: bool,
 }
 
-fn play(case: Case) -> Play {
+fn run(case: Case) -> Outcome {
     let (drained, kept) = (LeafServer::start(), LeafServer::start());
     let before = format!(
         "{},{}",
-        drained.line("drained", "Ready"),
-        kept.line("kept", "Ready")
+        drained.list_entry("drained", "Ready"),
+        kept.list_entry("kept", "Ready")
     );
     let after = format!(
         "{},{}",
-        drained.line("drained", "Terminating"),
-        kept.line("kept", "Ready")
+        drained.list_entry("drained", "Terminating"),
+        kept.list_entry("kept", "Ready")
     );
     let registry = Arc::new(Registry::default());
     let (shared, known) = (registry.clone(), Some(before.clone()));
-    let address = discovery(move |asked| shared.reply(&case, asked, &before, &after));
+    let address = discovery(move |call| shared.reply(&case, call, &before, &after));
     let (_program, clients_at) = Program::start_serving(&Setup {
         mixers: case.mixers,
         mode: case.mode,
         discovery: address,
         known,
     });
-    let quiet = ask_for(clients_at, QUIET);
-    assert_eq!(quiet.served, quiet.asked, "{case:?}: nothing is wrong yet");
+    let warm_up = query_for(clients_at, WARM_UP);
+    assert_eq!(
+        warm_up.served, warm_up.sent,
+        "{case:?}: not served before the drain"
+    );
     if case.outage != Outage::None {
-        registry.update(|state| state.is_away = true);
-        ask_for(clients_at, OUTAGE);
+        registry.update(|state| state.is_in_outage = true);
+        query_for(clients_at, OUTAGE_LENGTH);
     }
-    registry.update(|state| (state.is_away, state.drains) = (false, true));
-    let serves = ask_for(clients_at, OBSERVED).served_last;
-    let told_at = registry.state.lock().expect("a lock").told_at;
-    let late_s = |at: Instant| {
-        at.saturating_duration_since(told_at.expect("it was asked"))
-            .checked_sub(GRACE)
+    registry.update(|state| (state.is_in_outage, state.is_draining) = (false, true));
+    let serves = query_for(clients_at, OBSERVATION).is_last_served;
+    let notified_at = registry.state.lock().expect("lock poisoned").notified_at;
+    let delay = |at: Instant| {
+        at.saturating_duration_since(notified_at.expect("no call after the drain"))
+            .checked_sub(DRAIN_GRACE_WITH_SLACK)
     };
-    Play {
-        late: drained.calls().into_iter().filter_map(late_s).collect(),
+    Outcome {
+        late: drained.calls().into_iter().filter_map(delay).collect(),
         serves,
     }
 }
 
-/// What went wrong with a case, in words.
+/// Runs a case and describes its failure, if any.
 fn failure(case: Case) -> Option<String> {
-    let Play { late, serves } = play(case);
+    let Outcome { late, serves } = run(case);
     (!late.is_empty() || !serves).then(|| {
         format!(
-            "{} late calls, up to {:?}, serves {serves}",
+            "{} late calls, up to {:?}, serves: {serves}",
             late.len(),
             late.iter().max()
         )
     })
 }
 
-/// Incident 2: the answer that tells of the drain is cut off, once or some times in a row, at any place; its connection ends,
-/// or stays open and silent.
+/// Guards against incident 2: the answer that contains the drain is truncated, once or several times in a row, after any number of
+/// bytes, and its connection is closed or stays open without further data.
 #[test]
-fn an_answer_that_was_cut_off_counts_as_told() {
+fn a_truncated_answer_counts_as_notified() {
     let cases = [
-        Case::new(4, Cut::NoByte, 1),
-        Case::new(4, Cut::NoByte, 2),
-        Case::new(4, Cut::NoByte, 3),
-        Case::new(4, Cut::Half, 2),
-        Case::new(4, Cut::Half, 6),
-        Case::new(4, Cut::AllButLast, 2),
-        Case::new(4, Cut::NoByte, 2).pushed(),
-        Case::new(4, Cut::Half, 3).pushed(),
-        Case::new(300, Cut::NoByte, 2),
-        Case::new(300, Cut::Half, 2),
-        Case::new(300, Cut::AllButLast, 3),
-        Case::new(300, Cut::NoByte, 1),
-        Case::new(860, Cut::Half, 2),
-        Case::new(300, Cut::Half, 3).pushed(),
-        Case::new(4, Cut::HalfThenSilence, 1),
-        Case::new(4, Cut::HalfThenSilence, 2),
-        Case::new(300, Cut::HalfThenSilence, 1),
-        Case::new(300, Cut::HalfThenSilence, 2),
-        Case::new(4, Cut::HalfThenSilence, 1).pushed(),
+        Case::new(4, Truncation::NoBytes, 1),
+        Case::new(4, Truncation::NoBytes, 2),
+        Case::new(4, Truncation::NoBytes, 3),
+        Case::new(4, Truncation::Half, 2),
+        Case::new(4, Truncation::Half, 6),
+        Case::new(4, Truncation::AllButLast, 2),
+        Case::new(4, Truncation::NoBytes, 2).pushed(),
+        Case::new(4, Truncation::Half, 3).pushed(),
+        Case::new(300, Truncation::NoBytes, 2),
+        Case::new(300, Truncation::Half, 2),
+        Case::new(300, Truncation::AllButLast, 3),
+        Case::new(300, Truncation::NoBytes, 1),
+        Case::new(860, Truncation::Half, 2),
+        Case::new(300, Truncation::Half, 3).pushed(),
+        Case::new(4, Truncation::HalfThenSilent, 1),
+        Case::new(4, Truncation::HalfThenSilent, 2),
+        Case::new(300, Truncation::HalfThenSilent, 1),
+        Case::new(300, Truncation::HalfThenSilent, 2),
+        Case::new(4, Truncation::HalfThenSilent, 1).pushed(),
     ];
-    let failed = failures(cases, failure);
+    let failed = failed_cases(cases, failure);
     assert!(failed.is_empty(), "{failed:#?}");
 }
 
-/// The same right after an outage, when calls have failed for some time.
+/// The answer that contains the drain is truncated right after an outage, when calls have failed for some time.
 #[test]
-fn an_answer_that_was_cut_off_after_an_outage_counts_as_told() {
+fn a_truncated_answer_after_an_outage_counts_as_notified() {
     let cases = [
-        Case::new(4, Cut::NoByte, 1).after(Outage::Refuses),
-        Case::new(4, Cut::Half, 1).after(Outage::Refuses),
-        Case::new(4, Cut::Half, 2).after(Outage::Resets),
-        Case::new(4, Cut::NoByte, 1).after(Outage::Resets),
-        Case::new(4, Cut::NoByte, 2).after(Outage::Hangs),
-        Case::new(4, Cut::AllButLast, 1).after(Outage::Hangs),
-        Case::new(300, Cut::NoByte, 1).after(Outage::Refuses),
-        Case::new(300, Cut::Half, 2).after(Outage::Refuses),
-        Case::new(300, Cut::NoByte, 1).after(Outage::Resets),
-        Case::new(4, Cut::Half, 1).after(Outage::Refuses).pushed(),
-        Case::new(4, Cut::NoByte, 2).after(Outage::Resets).pushed(),
-        Case::new(4, Cut::HalfThenSilence, 1).after(Outage::Refuses),
+        Case::new(4, Truncation::NoBytes, 1).after(Outage::Refuses),
+        Case::new(4, Truncation::Half, 1).after(Outage::Refuses),
+        Case::new(4, Truncation::Half, 2).after(Outage::Closes),
+        Case::new(4, Truncation::NoBytes, 1).after(Outage::Closes),
+        Case::new(4, Truncation::NoBytes, 2).after(Outage::Silent),
+        Case::new(4, Truncation::AllButLast, 1).after(Outage::Silent),
+        Case::new(300, Truncation::NoBytes, 1).after(Outage::Refuses),
+        Case::new(300, Truncation::Half, 2).after(Outage::Refuses),
+        Case::new(300, Truncation::NoBytes, 1).after(Outage::Closes),
+        Case::new(4, Truncation::Half, 1)
+            .after(Outage::Refuses)
+            .pushed(),
+        Case::new(4, Truncation::NoBytes, 2)
+            .after(Outage::Closes)
+            .pushed(),
+        Case::new(4, Truncation::HalfThenSilent, 1).after(Outage::Refuses),
     ];
-    let failed = failures(cases, failure);
+    let failed = failed_cases(cases, failure);
     assert!(failed.is_empty(), "{failed:#?}");
 }
--- a/tests/stale_list.rs
+++ b/tests/stale_list.rs
@@ -1,5 +1,5 @@
-//! The program on real connections with a list of servers that is no longer true: nothing may be sent by it once
-//! discovery could have told so.
+//! Tests the program on real connections with an outdated list of servers: nothing may be sent according to that list once discovery
+//! could have notified the mixer of the change.
 
 mod stand_ins;
 
@@ -7,39 +7,41 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Longer than the longest wait before a first call to discovery, and than two calls of it that fail.
-const OBSERVED: Duration = Duration::from_secs(8);
-/// A mixer that restarts has to be ready within this time, also where discovery is away.
-const READY_WITHIN: Duration = Duration::from_secs(6);
-/// Longer than a change may stay untold.
-const STOOD_STILL: Duration = Duration::from_millis(7500);
+/// Time during which a client sends queries. It is longer than the maximum delay before the first call to discovery, and than two
+/// failed calls.
+const OBSERVATION: Duration = Duration::from_secs(8);
+/// Time within which a restarted or resumed mixer has to be ready, even if discovery is unavailable.
+const MAX_READY_TIME: Duration = Duration::from_secs(6);
+/// Length of a process pause; longer than the 6 s after which a change counts as notified.
+const PAUSE_LENGTH: Duration = Duration::from_millis(7500);
 const QUERY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What discovery does with the first calls.
+/// Reaction of discovery to the first calls.
 #[derive(Clone, Copy, Debug)]
 enum FirstCalls {
     Answered,
     AnsweredLate,
-    FirstIsReset,
+    FirstIsClosed,
     FirstIsRefused,
     TwoFail,
 }
 
-/// The reply to the call of that number, from 0 on, once the first calls are over: the removal of a server.
+/// Returns the reply to the call with this number (from 0), or `None` if the call is answered with the current list. The first answer
+/// may be delayed.
 fn first_reply(first_calls: FirstCalls, number: u32) -> Option<Reply> {
     match (first_calls, number) {
         (FirstCalls::AnsweredLate, 0) => {
             std::thread::sleep(Duration::from_millis(800));
             None
         }
-        (FirstCalls::FirstIsReset, 0) | (FirstCalls::TwoFail, 0) => Some(Reply::Reset),
+        (FirstCalls::FirstIsClosed, 0) | (FirstCalls::TwoFail, 0) => Some(Reply::Close),
         (FirstCalls::FirstIsRefused, 0) | (FirstCalls::TwoFail, 1) => Some(Reply::Status(503)),
         _ => None,
     }
 }
 
-/// Calls that a removed server got from a mixer that restarts on the list from before the removal, each as the time
-/// since the start.
+/// Starts a mixer with a list from before the removal of a server. Returns the times, since the start, of the calls that the removed
+/// server received.
 fn calls_at_removed_server(
     mixers: u32,
     mode: &'static str,
@@ -48,22 +50,22 @@
     let (removed, kept) = (LeafServer::start(), LeafServer::start());
     let known = format!(
         "{},{}",
-        removed.line("removed", "Ready"),
-        kept.line("kept", "Ready")
+        removed.list_entry("removed", "Ready"),
+        kept.list_entry("kept", "Ready")
     );
-    let now = kept.line("kept", "Ready");
+    let now = kept.list_entry("kept", "Ready");
     let calls = Arc::new(Mutex::new(0));
-    let address = discovery(move |asked| {
+    let address = discovery(move |call| {
         let number = {
-            let mut calls = calls.lock().expect("a lock");
+            let mut calls = calls.lock().expect("lock poisoned");
             *calls += 1;
             *calls - 1
         };
         if let Some(reply) = first_reply(first_calls, number) {
             return reply;
         }
-        match asked {
-            Some((2, wait)) if wait > 0 => Reply::Nothing,
+        match call {
+            Some((2, wait)) if wait > 0 => Reply::NoAnswer,
             _ => list(2, true, &now),
         }
     });
@@ -75,16 +77,13 @@
     });
     let mut client = Client::connect(program.await_address());
     let mut served = 0;
-    while program.started_at.elapsed() < OBSERVED {
+    while program.started_at.elapsed() < OBSERVATION {
         if client.is_ready() {
             served += u32::from(client.query() == 200);
         }
         std::thread::sleep(QUERY_INTERVAL);
     }
-    assert!(
-        served > 0,
-        "{mixers} {mode} {first_calls:?}: it never served"
-    );
+    assert!(served > 0, "{mixers} {mode} {first_calls:?}: never served");
     assert!(!kept.calls().is_empty());
     removed
         .calls()
@@ -93,32 +92,32 @@
         .collect()
 }
 
-/// Incident 1: a mixer that restarted among 300 served on its list from before the kill, and called discovery up to 5 s
-/// later; it sent to servers that were gone, while discovery could be reached all the time.
+/// Guards against incident 1: a restarted mixer, one of 300, served with its list from before the restart and called discovery up to
+/// 5 s later. It sent calls to removed servers, although discovery was reachable all the time.
 #[test]
-fn a_restarted_mixer_sends_nothing_by_an_old_list() {
+fn a_restarted_mixer_sends_nothing_according_to_an_old_list() {
     let cases = [
         (3, "subscribe", FirstCalls::Answered),
         (30, "subscribe", FirstCalls::Answered),
         (300, "subscribe", FirstCalls::Answered),
         (860, "subscribe", FirstCalls::Answered),
         (300, "subscribe", FirstCalls::AnsweredLate),
-        (300, "subscribe", FirstCalls::FirstIsReset),
+        (300, "subscribe", FirstCalls::FirstIsClosed),
         (300, "subscribe", FirstCalls::FirstIsRefused),
         (300, "subscribe", FirstCalls::TwoFail),
         (300, "automatic", FirstCalls::Answered),
         (300, "automatic", FirstCalls::AnsweredLate),
         (300, "automatic", FirstCalls::TwoFail),
     ];
-    let plays = cases.map(|case| {
+    let threads = cases.map(|case| {
         (
             case,
             std::thread::spawn(move || calls_at_removed_server(case.0, case.1, case.2)),
         )
     });
-    let sent = plays.map(|(case, play)| (case, play.join().expect("a play that ends")));
+    let sent = threads.map(|(case, thread)| (case, thread.join().expect("case panicked")));
     let stale: Vec<_> = sent.iter().filter(|(_, calls)| !calls.is_empty()).collect();
-    let told = |(case, calls): &&((u32, &str, FirstCalls), Vec<Duration>)| {
+    let describe = |(case, calls): &&((u32, &str, FirstCalls), Vec<Duration>)| {
         format!(
             "{case:?}: {} calls, {:?} to {:?}",
             calls.len(),
@@ -129,39 +128,39 @@
     assert!(
         stale.is_empty(),
         "{:#?}",
-        stale.iter().map(told).collect::<Vec<_>>()
+        stale.iter().map(describe).collect::<Vec<_>>()
     );
 }
 
-/// Where discovery is away, the last known list is all there is: a mixer that restarts serves by it.
+/// While discovery is unreachable, a restarted mixer serves with its last known list, since there is no newer one.
 #[test]
-fn a_restarted_mixer_serves_by_its_list_while_discovery_is_away() {
+fn a_restarted_mixer_serves_with_its_list_while_discovery_is_unreachable() {
     let server = LeafServer::start();
-    let nobody = std::net::TcpListener::bind("127.0.0.1:0")
-        .and_then(|it| it.local_addr())
-        .expect("a port");
+    let unreachable = std::net::TcpListener::bind("127.0.0.1:0")
+        .and_then(|listener| listener.local_addr())
+        .expect("bind a port");
     for mode in ["subscribe", "automatic"] {
-        let known = Some(server.line("s0", "Ready"));
+        let known = Some(server.list_entry("s0", "Ready"));
         let program = Program::start(&Setup {
             mixers: 300,
             mode,
-            discovery: nobody,
+            discovery: unreachable,
             known,
         });
         let mut client = Client::connect(program.await_address());
         while !client.is_ready() {
             assert!(
-                program.started_at.elapsed() < READY_WITHIN,
+                program.started_at.elapsed() < MAX_READY_TIME,
                 "{mode}: not ready"
             );
             std::thread::sleep(QUERY_INTERVAL);
         }
-        let until = Instant::now() + OBSERVED;
+        let until = Instant::now() + OBSERVATION;
         while Instant::now() < until {
             assert_eq!(
                 client.query(),
                 200,
-                "{mode}: {:?} after its start",
+                "{mode}: {:?} after the start",
                 program.started_at.elapsed()
             );
             std::thread::sleep(QUERY_INTERVAL);
@@ -169,22 +168,22 @@
     }
 }
 
-/// A process that stood still, for a paused machine or a debugger, goes on with a list that may long be outdated, and its
-/// watch may have been cut meanwhile: requests that wait for it are not sent by that list.
+/// After a process pause (of the machine, or by a debugger) the list may be outdated, and the watch may have been lost during the
+/// pause. The requests that arrived during the pause must not be sent according to that list.
 #[test]
-fn a_mixer_that_stood_still_sends_nothing_by_its_old_list() {
+fn a_paused_mixer_sends_nothing_according_to_its_old_list() {
     let (removed, kept) = (LeafServer::start(), LeafServer::start());
     let known = format!(
         "{},{}",
-        removed.line("removed", "Ready"),
-        kept.line("kept", "Ready")
+        removed.list_entry("removed", "Ready"),
+        kept.list_entry("kept", "Ready")
     );
-    let (before, after) = (known.clone(), kept.line("kept", "Ready"));
+    let (before, after) = (known.clone(), kept.list_entry("kept", "Ready"));
     let is_removed = Arc::new(Mutex::new(false));
     let shared = is_removed.clone();
     let address = discovery(
-        move |asked| match (asked, *shared.lock().expect("a lock")) {
-            (Some((_, wait)), _) if wait > 0 => Reply::Nothing, // what it would tell is lost
+        move |call| match (call, *shared.lock().expect("lock poisoned")) {
+            (Some((_, wait)), _) if wait > 0 => Reply::NoAnswer, // the watch has been lost
             (_, false) => list(1, true, &before),
             (_, true) => list(2, true, &after),
         },
@@ -200,27 +199,27 @@
     for client in &mut clients {
         client.send_query();
     }
-    assert!(clients.iter_mut().all(|client| client.answer() == 200));
+    assert!(clients.iter_mut().all(|client| client.read_status() == 200));
     program.signal("STOP");
     let calls_before = removed.calls().len();
-    *is_removed.lock().expect("a lock") = true;
-    std::thread::sleep(STOOD_STILL);
+    *is_removed.lock().expect("lock poisoned") = true;
+    std::thread::sleep(PAUSE_LENGTH);
     clients.iter_mut().for_each(Client::send_query);
     program.signal("CONT");
-    let goes_on_at = Instant::now();
+    let continued_at = Instant::now();
     for client in &mut clients {
-        client.answer(); // served, or refused
+        client.read_status(); // the query may be served or rejected
     }
     while clients[0].query() != 200 {
         assert!(
-            goes_on_at.elapsed() < READY_WITHIN,
-            "it does not serve again"
+            continued_at.elapsed() < MAX_READY_TIME,
+            "not served after the pause"
         );
         std::thread::sleep(QUERY_INTERVAL);
     }
     assert_eq!(
         removed.calls().len(),
         calls_before,
-        "sent by a list that was {STOOD_STILL:?} old"
+        "sent according to a list that was {PAUSE_LENGTH:?} old"
     );
 }
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -1,6 +1,6 @@
-//! The program as a real process, and stand-ins for discovery, leaf servers and clients on loopback sockets.
+//! Starts the program as a real process, and implements stand-ins for discovery, leaf servers and clients on loopback sockets.
 //!
-//! A stand-in ends with the process of its test.
+//! The threads of a stand-in run until the process of its test exits.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -12,66 +12,68 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Longer than anything here takes on a busy machine.
-pub const PATIENCE: Duration = Duration::from_secs(60);
-/// Draws the times that are random: with this one a watch among 1,000 mixers is put off for some seconds only.
+/// Timeout of every wait; longer than any awaited event takes on a busy machine.
+pub const MAX_WAIT: Duration = Duration::from_secs(60);
+/// Seed of the program's random delays. With this seed, a mixer among 1,000 delays its watch by only a few seconds.
 const SEED: u32 = 7;
 const SETTINGS: &str = include_str!("../exchanges/settings.json");
-/// How often a stand-in that may end looks for connections.
+/// Interval at which a stand-in that can be stopped checks for new connections.
 const ACCEPT_INTERVAL: Duration = Duration::from_millis(2);
-/// How long a client that asks one thing after the other rests between two.
+/// Time that a client waits between an answer and its next query.
 pub const QUERY_INTERVAL: Duration = Duration::from_millis(10);
-/// The line of a list for a server that nobody listens for.
+/// List entry of a server at an address where nothing listens.
 pub const UNREACHABLE_SERVER: &str =
     r#"{"id":"s0","host_port":"127.0.0.1:1","cell":0,"phase":"Ready","up_since_ms":0}"#;
 
-/// A call as the stand-in reads it: the version it asks from and how long it waits (ms); none for the whole list.
-pub type Asked = Option<(u64, u64)>;
+/// A call to discovery. A call for changes gives the revision from which it asks and the longest time that discovery may wait for
+/// a change (ms); a call for the whole list is `None`.
+pub type DiscoveryCall = Option<(u64, u64)>;
 
+/// Reaction of the discovery stand-in to a call.
 pub enum Reply {
     List(String),
-    /// A list of which not all arrives.
-    Lost(String, Cut),
+    /// A list of which only a part is sent.
+    Truncated(String, Truncation),
     Status(u16),
-    Nothing,
-    /// The connection is closed.
+    NoAnswer,
+    /// The connection is closed without an answer, after the request was read.
+    Close,
+    /// The connection is closed before the request's headers are read, so that the system resets it.
     Reset,
-    /// The connection is reset, because the rest of the request is not read.
-    ResetUnread,
 }
 
-/// What arrives of an answer, before its connection is closed.
+/// The part of an answer that is sent before the stand-in closes the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cut {
-    NoByte,
+pub enum Truncation {
+    NoBytes,
     Half,
     AllButLast,
-    /// The connection stays open and nothing more comes.
-    HalfThenSilence,
+    /// The first half is sent; the connection stays open, and the rest is never sent.
+    HalfThenSilent,
 }
 
-impl Cut {
-    /// Of so many bytes.
-    fn arriving(self, length: usize) -> usize {
+impl Truncation {
+    /// Returns the number of bytes that are sent of an answer of `length` bytes.
+    fn sent_bytes(self, length: usize) -> usize {
         match self {
-            Cut::NoByte => 0,
-            Cut::Half | Cut::HalfThenSilence => length / 2,
-            Cut::AllButLast => length - 1,
+            Truncation::NoBytes => 0,
+            Truncation::Half | Truncation::HalfThenSilent => length / 2,
+            Truncation::AllButLast => length - 1,
         }
     }
 }
 
-/// A list, or the changes of one.
+/// Returns an answer with a complete list, or with the entries that changed.
 pub fn list(revision: u64, complete: bool, endpoints: &str) -> Reply {
     Reply::List(format!(
         "{{\"revision\":{revision},\"complete\":{complete},\"members\":[{endpoints}]}}"
     ))
 }
 
-/// A discovery that answers each call with what `reply` says. It ends with the test's process.
-pub fn discovery(reply: impl Fn(Asked) -> Reply + Send + Sync + 'static) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+/// Starts a discovery stand-in that answers each call with the result of `reply`, and returns its address.
+pub fn discovery(reply: impl Fn(DiscoveryCall) -> Reply + Send + Sync + 'static) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
+    let address = listener.local_addr().expect("read the local address");
     let reply = Arc::new(reply);
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
@@ -82,22 +84,22 @@
     address
 }
 
-/// The same, until the flag is set: from then on nobody listens there.
+/// Starts a discovery stand-in like [`discovery`] that stops listening once `is_stopped` is set.
 pub fn discovery_until(
-    is_over: Arc<AtomicBool>,
-    reply: impl Fn(Asked) -> Reply + Send + Sync + 'static,
+    is_stopped: Arc<AtomicBool>,
+    reply: impl Fn(DiscoveryCall) -> Reply + Send + Sync + 'static,
 ) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    listener.set_nonblocking(true).expect("a socket");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
+    listener.set_nonblocking(true).expect("set non-blocking");
+    let address = listener.local_addr().expect("read the local address");
     let reply = Arc::new(reply);
     std::thread::spawn(move || {
-        while !is_over.load(Ordering::Relaxed) {
+        while !is_stopped.load(Ordering::Relaxed) {
             let Ok((stream, _)) = listener.accept() else {
                 std::thread::sleep(ACCEPT_INTERVAL);
                 continue;
             };
-            stream.set_nonblocking(false).expect("a socket");
+            stream.set_nonblocking(false).expect("set blocking");
             let reply = reply.clone();
             std::thread::spawn(move || answer_calls(stream, reply.as_ref()));
         }
@@ -112,11 +114,12 @@
     )
 }
 
-fn answer_calls(mut stream: TcpStream, reply: &dyn Fn(Asked) -> Reply) {
-    // One byte at a time, so that the rest of a request stays unread until it is asked for.
-    let mut lines = BufReader::with_capacity(1, stream.try_clone().expect("a descriptor"))
-        .lines()
-        .map_while(Result::ok);
+fn answer_calls(mut stream: TcpStream, reply: &dyn Fn(DiscoveryCall) -> Reply) {
+    // The capacity of one byte leaves the headers unread in the socket until the reply is chosen, as `Reply::Reset` needs.
+    let mut lines =
+        BufReader::with_capacity(1, stream.try_clone().expect("duplicate the descriptor"))
+            .lines()
+            .map_while(Result::ok);
     while let Some(line) = lines.next() {
         let number = |key: &str| {
             let rest = line.split_once(key)?.1;
@@ -125,9 +128,9 @@
                 .parse()
                 .ok()
         };
-        let asked = number("index=").zip(number("wait="));
-        let reply = reply(asked);
-        if matches!(reply, Reply::ResetUnread) {
+        let call = number("index=").zip(number("wait="));
+        let reply = reply(call);
+        if matches!(reply, Reply::Reset) {
             return;
         }
         lines
@@ -135,12 +138,13 @@
             .take_while(|header| !header.is_empty())
             .for_each(drop);
         let sent = match reply {
-            Reply::Nothing => continue,
-            Reply::Reset | Reply::ResetUnread => return,
-            Reply::Lost(body, cut) => {
-                let complete = answer_text(&body);
-                let sent = stream.write_all(&complete.as_bytes()[..cut.arriving(complete.len())]);
-                if cut == Cut::HalfThenSilence && sent.is_ok() {
+            Reply::NoAnswer => continue,
+            Reply::Close | Reply::Reset => return,
+            Reply::Truncated(body, truncation) => {
+                let answer = answer_text(&body);
+                let sent =
+                    stream.write_all(&answer.as_bytes()[..truncation.sent_bytes(answer.len())]);
+                if truncation == Truncation::HalfThenSilent && sent.is_ok() {
                     continue;
                 }
                 return;
@@ -156,23 +160,24 @@
     }
 }
 
-/// How the program is started.
+/// Configuration of a program under test.
 pub struct Setup {
-    /// How many mixers its settings tell of.
+    /// Number of mixers in the settings.
     pub mixers: u32,
-    /// How lists come: `subscribe` or `automatic`.
+    /// Discovery mode in the settings: `subscribe` (lists arrive only as answers to the mixer's calls) or `automatic` (lists are pushed
+    /// to an agent, which the mixer calls).
     pub mode: &'static str,
-    /// Where discovery is.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// The lines of its last known list, of revision 1, where it has one.
+    /// Entries of the last known list (revision 1), if the configuration has one.
     pub known: Option<String>,
 }
 
-/// The program. It ends with this value.
+/// A running program. It is killed when this value is dropped.
 pub struct Program {
     pub child: Child,
     pub log: Receiver<(Instant, String)>,
-    /// When it was started.
+    /// Time at which the program was started.
     pub started_at: Instant,
     path: PathBuf,
 }
@@ -186,7 +191,7 @@
 }
 
 impl Program {
-    /// Starts it.
+    /// Starts the program.
     pub fn start(setup: &Setup) -> Program {
         let Setup {
             mixers,
@@ -212,7 +217,7 @@
             discovery.port()
         );
         let path = std::env::temp_dir().join(name);
-        std::fs::write(&path, config).expect("a file for the configuration");
+        std::fs::write(&path, config).expect("write the configuration file");
         let mut command = Command::new(env!("CARGO_BIN_EXE_wharfhub"));
         let started_at = Instant::now();
         let mut child = command
@@ -220,7 +225,7 @@
             .arg(&path)
             .stderr(Stdio::piped())
             .spawn()
-            .expect("a program");
+            .expect("start the program");
         let (lines, log) = channel();
         let errors = BufReader::new(child.stderr.take().expect("piped"));
         std::thread::spawn(move || {
@@ -237,7 +242,7 @@
         }
     }
 
-    /// Starts it, and waits until it serves. Gives where it listens for clients, too.
+    /// Starts the program and waits until it is ready. Returns the address of its listener for clients, too.
     pub fn start_serving(setup: &Setup) -> (Program, SocketAddr) {
         let program = Program::start(setup);
         let address = program.await_address();
@@ -245,41 +250,41 @@
         (program, address)
     }
 
-    /// Sends it a signal, by its name without SIG.
+    /// Sends the program a signal, by its name without `SIG`.
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill")
             .args([&format!("-{name}"), &self.child.id().to_string()])
             .status();
         assert!(
             sent.is_ok_and(|status| status.success()),
-            "no signal {name}"
+            "send SIG{name}: kill failed"
         );
     }
 
-    /// Where it listens for clients.
+    /// Waits for the address at which the program listens for clients.
     pub fn await_address(&self) -> SocketAddr {
         let (_, line) = self.await_line("start: ");
         let address = line
             .split(" on ")
             .nth(1)
-            .expect("a line that names the address");
-        address.trim().parse().expect("an address")
+            .expect("log line without an address");
+        address.trim().parse().expect("parse the address")
     }
 
-    /// Waits until it has logged that; gives when.
+    /// Waits until the program has logged a line with `text`, and returns the time of that line.
     pub fn await_log(&self, text: &str) -> Instant {
         self.await_line(text).0
     }
 
-    /// The same, with the line.
+    /// Waits until the program has logged a line with `text`, and returns the time and the line.
     pub fn await_line(&self, text: &str) -> (Instant, String) {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + MAX_WAIT;
         loop {
             let left = end.saturating_duration_since(Instant::now());
             let (at, line) = self
                 .log
                 .recv_timeout(left)
-                .unwrap_or_else(|_| panic!("never logged: {text}"));
+                .unwrap_or_else(|_| panic!("not logged in time: {text}"));
             if line.contains(text) {
                 return (at, line);
             }
@@ -287,41 +292,41 @@
     }
 }
 
-/// A leaf server that serves all it is asked, and remembers when each call came.
+/// A leaf server that serves every part, and records the time of each call.
 pub struct LeafServer {
-    /// Where it listens.
+    /// Address at which the leaf server listens.
     pub address: SocketAddr,
     calls: Arc<Mutex<Vec<Instant>>>,
 }
 
 impl LeafServer {
-    /// Starts it.
+    /// Starts a leaf server that answers without delay.
     pub fn start() -> LeafServer {
         LeafServer::start_slow(Duration::ZERO)
     }
 
-    /// Starts one that takes so long for each call of a connection.
-    pub fn start_slow(work: Duration) -> LeafServer {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+    /// Starts a leaf server that handles the calls of a connection one after the other and answers each after `answer_delay`.
+    pub fn start_slow(answer_delay: Duration) -> LeafServer {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
+        let address = listener.local_addr().expect("read the local address");
         let calls = Arc::new(Mutex::new(Vec::new()));
-        let shared = calls.clone();
+        let shared_calls = calls.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let calls = shared.clone();
-                std::thread::spawn(move || serve_parts(stream, &calls, work));
+                let calls = shared_calls.clone();
+                std::thread::spawn(move || serve_parts(stream, &calls, answer_delay));
             }
         });
         LeafServer { address, calls }
     }
 
-    /// When each call came.
+    /// Returns the times at which calls were received.
     pub fn calls(&self) -> Vec<Instant> {
-        self.calls.lock().expect("a lock").clone()
+        self.calls.lock().expect("lock poisoned").clone()
     }
 
-    /// Its line in a list.
-    pub fn line(&self, name: &str, phase: &str) -> String {
+    /// Returns the entry of this server in a list of discovery.
+    pub fn list_entry(&self, name: &str, phase: &str) -> String {
         let address = self.address;
         format!(
             "{{\"id\":\"{name}\",\"host_port\":\"{address}\",\"cell\":0,\"phase\":\"{phase}\",\"up_since_ms\":0}}"
@@ -329,8 +334,8 @@
     }
 }
 
-/// Answers calls of one part each until the connection ends.
-fn serve_parts(mut stream: TcpStream, calls: &Mutex<Vec<Instant>>, work: Duration) {
+/// Answers calls, each with a single part, until the connection is closed.
+fn serve_parts(mut stream: TcpStream, calls: &Mutex<Vec<Instant>>, answer_delay: Duration) {
     let _ = stream.set_nodelay(true);
     let mut length = [0; 4];
     while stream.read_exact(&mut length).is_ok() {
@@ -338,8 +343,8 @@
         if stream.read_exact(&mut frame).is_err() || frame[0] != b'q' {
             continue;
         }
-        calls.lock().expect("a lock").push(Instant::now());
-        std::thread::sleep(work);
+        calls.lock().expect("lock poisoned").push(Instant::now());
+        std::thread::sleep(answer_delay);
         let text = String::from_utf8_lossy(&frame[1..]).into_owned();
         let id = text.split(' ').next().unwrap_or_default();
         let rest = format!("a{id} served 1 -\nvalue");
@@ -351,102 +356,104 @@
     }
 }
 
-/// A client that asks one thing after the other on one connection.
+/// A client that sends requests on one connection.
 pub struct Client {
     stream: BufReader<TcpStream>,
-    asked: u32,
+    requests: u32,
     timeout_ms: u32,
 }
 
 impl Client {
-    /// Connects.
+    /// Connects with a timeout of 5 s for each query.
     pub fn connect(address: SocketAddr) -> Client {
-        let stream = TcpStream::connect(address).expect("a connection");
-        stream.set_nodelay(true).expect("a socket");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+        let stream = TcpStream::connect(address).expect("connect");
+        stream.set_nodelay(true).expect("set TCP_NODELAY");
+        stream
+            .set_read_timeout(Some(MAX_WAIT))
+            .expect("set the read timeout");
         Client {
             stream: BufReader::new(stream),
-            asked: 0,
+            requests: 0,
             timeout_ms: 5000,
         }
     }
 
-    /// Connects; it tells that timeout, and waits so long for each answer.
-    pub fn connect_hurried(
+    /// Connects with the given timeout for each query and for reading each answer.
+    pub fn connect_with_timeouts(
         address: SocketAddr,
         timeout_ms: u32,
-        leaves_after: Duration,
+        read_timeout: Duration,
     ) -> std::io::Result<Client> {
         let stream = TcpStream::connect(address)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(leaves_after))?;
+        stream.set_read_timeout(Some(read_timeout))?;
         Ok(Client {
             stream: BufReader::new(stream),
-            asked: 0,
+            requests: 0,
             timeout_ms,
         })
     }
 
-    /// The text of one of the pages.
-    pub fn page(&mut self, path: &str) -> String {
+    /// Requests one of the operators' pages and returns its text.
+    pub fn get_page(&mut self, path: &str) -> String {
         self.send(&format!("GET {path} HTTP/1.1\r\nHost: s\r\n\r\n"));
-        let (_, body) = self.try_answer().expect("an answer");
-        String::from_utf8(body).expect("text")
+        let (_, body) = self.try_read_answer().expect("read an answer");
+        String::from_utf8(body).expect("page is not UTF-8")
     }
 
-    /// Whether the program says that it is ready.
+    /// Returns whether the program reports that it is ready.
     pub fn is_ready(&mut self) -> bool {
         self.exchange("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n") == 200
     }
 
-    /// Asks one part of the first shard; gives the answer's status.
+    /// Sends a query of one part, for shard 0, and returns the status of the answer.
     pub fn query(&mut self) -> u16 {
         self.send_query();
-        self.answer()
+        self.read_status()
     }
 
-    /// Asks the same, and does not wait for the answer.
+    /// Sends a query of one part, for shard 0, without waiting for the answer.
     pub fn send_query(&mut self) {
-        self.asked += 1;
+        self.requests += 1;
         let body = r#"{"tablets":[{"tablet":0,"fraction":1}],"statement":"s"}"#;
-        let id = self.asked;
-        let name = self.name();
+        let id = self.requests;
+        let port = self.port();
         self.send(&format!(
-            "POST /slot HTTP/1.1\r\nHost: s\r\nX-Request-ID: {name}-{id}\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: {}\r\n\
+            "POST /slot HTTP/1.1\r\nHost: s\r\nX-Request-ID: {port}-{id}\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: {}\r\n\
              Content-Length: {}\r\n\r\n{body}",
             self.timeout_ms,
             body.len()
         ))
     }
 
-    /// Different for each client: its port.
-    fn name(&self) -> u16 {
+    /// Returns the client's port, which makes its request ids unique.
+    fn port(&self) -> u16 {
         self.stream
             .get_ref()
             .local_addr()
-            .expect("connected")
+            .expect("read the local address")
             .port()
     }
 
     fn exchange(&mut self, request: &str) -> u16 {
         self.send(request);
-        self.answer()
+        self.read_status()
     }
 
     fn send(&mut self, request: &str) {
         self.stream
             .get_mut()
             .write_all(request.as_bytes())
-            .expect("it takes the request");
+            .expect("send the request");
     }
 
-    /// The next answer's status.
-    pub fn answer(&mut self) -> u16 {
-        self.try_answer().expect("an answer").0
+    /// Reads the next answer and returns its status.
+    pub fn read_status(&mut self) -> u16 {
+        self.try_read_answer().expect("read an answer").0
     }
 
-    /// The next answer's status and body.
-    pub fn try_answer(&mut self) -> std::io::Result<(u16, Vec<u8>)> {
+    /// Reads the next answer and returns its status and body.
+    pub fn try_read_answer(&mut self) -> std::io::Result<(u16, Vec<u8>)> {
         let mut line = String::new();
         if self.stream.read_line(&mut line)? == 0 {
             return Err(std::io::ErrorKind::UnexpectedEof.into());
@@ -455,7 +462,7 @@
             .split(' ')
             .nth(1)
             .and_then(|text| text.parse().ok())
-            .expect("a status");
+            .expect("answer without a status");
         let mut length = 0;
         loop {
             line.clear();
@@ -464,7 +471,7 @@
                 break;
             };
             if name.eq_ignore_ascii_case("content-length") {
-                length = value.trim().parse().expect("a length");
+                length = value.trim().parse().expect("parse the content length");
             }
         }
         let mut body = vec![0; length];
@@ -473,50 +480,50 @@
     }
 }
 
-/// What became of the requests of a client that asks one thing after the other.
+/// Results of the queries of one client.
 #[derive(Default)]
-pub struct Served {
-    pub asked: u32,
+pub struct QueryResults {
+    pub sent: u32,
     pub served: u32,
-    /// When each of these was.
+    /// Times at which the answers of the served queries were read.
     pub served_at: Vec<Instant>,
-    /// Whether the last one was.
-    pub served_last: bool,
+    /// Whether the last query was served.
+    pub is_last_served: bool,
 }
 
-/// A client asks one thing after the other.
-pub fn ask_for(address: SocketAddr, time: Duration) -> Served {
+/// Connects a client that sends one query after the other for `duration`.
+pub fn query_for(address: SocketAddr, duration: Duration) -> QueryResults {
     let mut client = Client::connect(address);
-    let until = Instant::now() + time;
-    let mut served = Served::default();
+    let until = Instant::now() + duration;
+    let mut results = QueryResults::default();
     while Instant::now() < until {
-        served.served_last = client.query() == 200;
-        served.asked += 1;
-        if served.served_last {
-            served.served += 1;
-            served.served_at.push(Instant::now());
+        results.is_last_served = client.query() == 200;
+        results.sent += 1;
+        if results.is_last_served {
+            results.served += 1;
+            results.served_at.push(Instant::now());
         }
         std::thread::sleep(QUERY_INTERVAL);
     }
-    served
+    results
 }
 
-/// Plays all cases side by side; those that went wrong, with what `play` says of them.
-pub fn failures<C: Copy + Send + std::fmt::Debug + 'static>(
+/// Runs all cases in parallel and returns the descriptions of those that failed; `run` returns a description if its case fails.
+pub fn failed_cases<C: Copy + Send + std::fmt::Debug + 'static>(
     cases: impl IntoIterator<Item = C>,
-    play: impl Fn(C) -> Option<String> + Copy + Send + 'static,
+    run: impl Fn(C) -> Option<String> + Copy + Send + 'static,
 ) -> Vec<String> {
-    let start = |case: C| (case, std::thread::spawn(move || play(case)));
-    let plays: Vec<_> = cases.into_iter().map(start).collect();
-    // All have ended before one that panicked ends the test: a program ends with its play.
-    let ended: Vec<_> = plays
+    let start = |case: C| (case, std::thread::spawn(move || run(case)));
+    let threads: Vec<_> = cases.into_iter().map(start).collect();
+    // All threads are joined before a panic of one is passed on, so that each run kills its program first.
+    let results: Vec<_> = threads
         .into_iter()
-        .map(|(case, play)| (case, play.join()))
+        .map(|(case, run)| (case, run.join()))
         .collect();
-    ended
+    results
         .into_iter()
         .filter_map(|(case, result)| {
-            let failure = result.expect("a play that ends")?;
+            let failure = result.expect("case panicked")?;
             Some(format!("{case:?}: {failure}"))
         })
         .collect()
--- a/tests/standstill.rs
+++ b/tests/standstill.rs
@@ -1,5 +1,5 @@
-//! The program on real connections, stopped again and again at moments of chance: what came meanwhile is handled before it
-//! acts by a clock that has gone on.
+//! Tests the program on real connections while its process is paused repeatedly at arbitrary times. After a pause, the program has
+//! to handle the events that arrived during the pause before it acts on the time that has passed.
 
 mod stand_ins;
 
@@ -9,44 +9,48 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const STOPS: u32 = 20;
-/// Longer than a client's timeout and the time in which a final answer still counts.
-const STOPPED: Duration = Duration::from_millis(750);
-const BETWEEN_STOPS: Duration = Duration::from_millis(137);
+const PAUSES: u32 = 20;
+/// Length of a pause; longer than a client's timeout plus the time during which a final answer still counts.
+const PAUSE_LENGTH: Duration = Duration::from_millis(750);
+const PAUSE_INTERVAL: Duration = Duration::from_millis(137);
 const CLIENTS: usize = 8;
 const TIMEOUT_MS: u32 = 150;
-const LEAVES_AFTER: Duration = Duration::from_millis(200);
-/// What a leaf server takes for a call, so that requests are in flight at each stop.
-const WORK: Duration = Duration::from_millis(20);
+const READ_TIMEOUT: Duration = Duration::from_millis(200);
+/// Delay of a leaf server's answers, so that requests are in flight at each pause.
+const ANSWER_DELAY: Duration = Duration::from_millis(20);
 
-/// A client that closes its connection once it has waited too long, and connects again.
-fn ask_in_a_hurry(address: SocketAddr, is_over: &AtomicBool) {
-    while !is_over.load(Ordering::Relaxed) {
-        let Ok(mut client) = Client::connect_hurried(address, TIMEOUT_MS, LEAVES_AFTER) else {
+/// Sends queries, and closes the connection and connects again whenever no answer is received in time.
+fn query_with_short_timeouts(address: SocketAddr, is_stopped: &AtomicBool) {
+    while !is_stopped.load(Ordering::Relaxed) {
+        let Ok(mut client) = Client::connect_with_timeouts(address, TIMEOUT_MS, READ_TIMEOUT)
+        else {
             continue;
         };
         loop {
             client.send_query();
-            if client.try_answer().is_err() || is_over.load(Ordering::Relaxed) {
+            if client.try_read_answer().is_err() || is_stopped.load(Ordering::Relaxed) {
                 break;
             }
         }
     }
 }
 
-/// Soak seed 3 beside other load: a process that was stopped within a turn of its loop answered clients that had gone
-/// meanwhile, and counted that as a violation.
+/// A process that was paused within an iteration of its event loop answered clients that had disconnected during the pause, and
+/// counted each such answer as a violation (found by the soak test with seed 3, in parallel with other load).
 #[test]
-fn a_process_that_was_stopped_sees_first_which_clients_have_gone() {
-    let servers = [LeafServer::start_slow(WORK), LeafServer::start_slow(WORK)];
+fn a_resumed_process_first_detects_which_clients_have_disconnected() {
+    let servers = [
+        LeafServer::start_slow(ANSWER_DELAY),
+        LeafServer::start_slow(ANSWER_DELAY),
+    ];
     let known = format!(
         "{},{}",
-        servers[0].line("first", "Ready"),
-        servers[1].line("second", "Ready")
+        servers[0].list_entry("first", "Ready"),
+        servers[1].list_entry("second", "Ready")
     );
     let lines = known.clone();
-    let address = discovery(move |asked| match asked {
-        Some((_, wait)) if wait > 0 => Reply::Nothing,
+    let address = discovery(move |call| match call {
+        Some((_, wait)) if wait > 0 => Reply::NoAnswer,
         _ => list(1, true, &lines),
     });
     let (program, clients_at) = Program::start_serving(&Setup {
@@ -55,34 +59,30 @@
         discovery: address,
         known: Some(known),
     });
-    let is_over = Arc::new(AtomicBool::new(false));
+    let is_stopped = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..CLIENTS)
         .map(|_| {
-            let is_over = is_over.clone();
-            std::thread::spawn(move || ask_in_a_hurry(clients_at, &is_over))
+            let is_stopped = is_stopped.clone();
+            std::thread::spawn(move || query_with_short_timeouts(clients_at, &is_stopped))
         })
         .collect();
-    for _ in 0..STOPS {
-        std::thread::sleep(BETWEEN_STOPS);
+    for _ in 0..PAUSES {
+        std::thread::sleep(PAUSE_INTERVAL);
         program.signal("STOP");
-        std::thread::sleep(STOPPED);
+        std::thread::sleep(PAUSE_LENGTH);
         program.signal("CONT");
     }
-    std::thread::sleep(BETWEEN_STOPS);
-    is_over.store(true, Ordering::Relaxed);
+    std::thread::sleep(PAUSE_INTERVAL);
+    is_stopped.store(true, Ordering::Relaxed);
     for client in clients {
-        client.join().expect("a client that ends");
+        client.join().expect("client panicked");
     }
-    let figures = Client::connect(clients_at).page("/-/figures");
-    let violations: Vec<&str> = figures
+    let metrics = Client::connect(clients_at).get_page("/-/figures");
+    let violations: Vec<&str> = metrics
         .lines()
         .filter(|line| line.starts_with("svc_violations_total") && !line.ends_with(" 0"))
         .collect();
-    let notes: Vec<String> = program.log.try_iter().map(|(_, line)| line).collect();
-    assert!(
-        violations.is_empty(),
-        "{violations:?}\n{}",
-        notes.join("\n")
-    );
+    let log: Vec<String> = program.log.try_iter().map(|(_, line)| line).collect();
+    assert!(violations.is_empty(), "{violations:?}\n{}", log.join("\n"));
     assert!(servers.iter().all(|server| !server.calls().is_empty()));
 }
