--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,17 +1,17 @@
-//! A toy stock box: it listens on each address given, takes calls in frames, and answers every part with its
-//! shard and text. It owns no stock and must never stand in for a real box.
+//! A leaf server for trying the mixer out: it listens on each given address, speaks the platform's frames, and answers every part
+//! with the part's shard and text. It holds no data.
 
 use std::io::{self, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::thread;
 
 fn serve(mut stream: TcpStream) -> io::Result<()> {
-    // An answer must not wait for the acknowledgement of the one before.
+    // Without TCP_NODELAY, an answer would wait for the acknowledgement of the previous answer.
     stream.set_nodelay(true)?;
     loop {
-        let mut head = [0; 4];
-        stream.read_exact(&mut head)?;
-        let length = u32::from_be_bytes(head) as usize;
+        let mut length = [0; 4];
+        stream.read_exact(&mut length)?;
+        let length = u32::from_be_bytes(length) as usize;
         if length == 0 || length > 1 << 20 {
             return Err(io::ErrorKind::InvalidData.into());
         }
@@ -19,21 +19,21 @@
         stream.read_exact(&mut frame)?;
         let Some((b'q', mut rest)) = frame.split_first().map(|(letter, rest)| (*letter, rest))
         else {
-            continue; // a part given up: it was answered long ago
+            continue; // the cancellation of a part, which was already answered
         };
         while let Some(line_end) = rest.iter().position(|byte| *byte == b'\n') {
             let line = String::from_utf8_lossy(&rest[..line_end]).into_owned();
-            let [id, shard, list, length] = line.split(' ').collect::<Vec<_>>()[..] else {
+            let [id, shard, options, length] = line.split(' ').collect::<Vec<_>>()[..] else {
                 return Err(io::ErrorKind::InvalidData.into());
             };
             let length: usize = length.parse().map_err(|_| io::ErrorKind::InvalidData)?;
             let text = rest
                 .get(line_end + 1..line_end + 1 + length)
                 .ok_or(io::ErrorKind::InvalidData)?;
-            // Asked ahead, it says that nothing matches where the text asks for what no shard of this box has.
-            let pre_check = list.split(',').any(|word| word == "p=1");
-            let nothing = text.windows(7).any(|word| word == b"nowhere");
-            let (end, what) = match (pre_check, nothing) {
+            // A pre-check reports no match for a text that contains `nowhere`.
+            let is_pre_check = options.split(',').any(|word| word == "p=1");
+            let has_no_match = text.windows(7).any(|word| word == b"nowhere");
+            let (outcome, value) = match (is_pre_check, has_no_match) {
                 (true, false) => ("match", String::new()),
                 (true, true) => ("none", format!("shard {shard}: nothing")),
                 (false, _) => (
@@ -41,9 +41,9 @@
                     format!("shard {shard}: {}", String::from_utf8_lossy(text)),
                 ),
             };
-            let answer = format!("a{id} {end} 0 inflight=1\n{what}");
-            let complete = answer.len() as u32;
-            stream.write_all(&[&complete.to_be_bytes()[..], answer.as_bytes()].concat())?;
+            let answer = format!("a{id} {outcome} 0 inflight=1\n{value}");
+            let answer_length = answer.len() as u32;
+            stream.write_all(&[&answer_length.to_be_bytes()[..], answer.as_bytes()].concat())?;
             rest = &rest[line_end + 1 + length..];
         }
     }
@@ -55,18 +55,18 @@
         .map(TcpListener::bind)
         .collect::<io::Result<Vec<_>>>()?;
     if listeners.is_empty() {
-        eprintln!("give one or more addresses, such as 127.0.0.1:7101");
+        eprintln!("usage: toy ADDRESS..., for example 127.0.0.1:7101");
     }
-    let boxes = listeners.into_iter().map(|listener| {
+    let servers = listeners.into_iter().map(|listener| {
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 thread::spawn(move || serve(stream));
             }
         })
     });
-    boxes
+    servers
         .collect::<Vec<_>>()
         .into_iter()
-        .for_each(|each| drop(each.join()));
+        .for_each(|server| drop(server.join()));
     Ok(())
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,15 +1,20 @@
-//! A driver that feeds events to an aggregator and collects its actions, and common settings and replicas.
+//! Support for tests of the decision module: a driver that passes events to an aggregator and collects its actions, and default
+//! settings and replicas.
 #![allow(dead_code)]
 
 use wharfhub::decisions::api::*;
 use wharfhub::Aggregator;
 
+/// An aggregator on a simulated clock.
 pub struct Driver {
     pub aggregator: Aggregator,
+    /// Simulated time (seconds).
     pub now: f64,
+    /// All actions so far, except timers.
     pub actions: Vec<Action>,
-    /// When each of them was taken.
+    /// Time of each action.
     pub action_times: Vec<f64>,
+    /// Time of the next periodic check, for which the aggregator has set a timer.
     next_check_at: f64,
 }
 
@@ -51,6 +56,7 @@
         driver
     }
 
+    /// Passes an event to the aggregator, and returns its actions except timers.
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.aggregator.handle(self.now, event, &mut out);
@@ -72,7 +78,7 @@
         })
     }
 
-    /// Lets time pass, with the periodic checks that the aggregator set timers for.
+    /// Advances the time, and runs the periodic checks for which the aggregator has set timers.
     pub fn advance(&mut self, seconds: f64) -> Vec<Action> {
         let end = self.now + seconds;
         let mut out = Vec::new();
@@ -84,7 +90,7 @@
         out
     }
 
-    /// A query with the given shards and even weights. Its parts have ids from `id * 100` on.
+    /// Starts a query with one part of equal weight for each shard. The parts have ids from `id * 100` on.
     pub fn query(&mut self, id: u32, shards: &[u32], timeout_s: f64) -> Vec<Action> {
         self.query_with_class(0, id, shards, timeout_s, false)
     }
@@ -95,7 +101,7 @@
         id: u32,
         shards: &[u32],
         timeout_s: f64,
-        repeat: bool,
+        is_repeat: bool,
     ) -> Vec<Action> {
         let parts = shards.len() as u32;
         let new = NewQuery {
@@ -104,7 +110,7 @@
             class,
             deadline: self.now + timeout_s,
             parts,
-            is_repeat: repeat,
+            is_repeat,
             key: u64::from(parts),
             tenant: 0,
             pre_check: None,
@@ -144,7 +150,7 @@
         }))
     }
 
-    /// Sends a one-part query and lets it be answered after `took_s`; gives what was done at its arrival.
+    /// Starts a query of one part, which is answered after `took_s` if it is sent. Returns the actions on its arrival.
     pub fn round_trip(&mut self, id: u32, shard: u32, took_s: f64) -> Vec<Action> {
         let out = self.query(id, &[shard], 3.0);
         if let Some((part, replica)) = sends(&out).first().copied() {
@@ -155,7 +161,7 @@
     }
 }
 
-/// The parts sent, each with its replica.
+/// Returns the parts that were sent, each with its replica.
 pub fn sends(actions: &[Action]) -> Vec<(u32, ReplicaId)> {
     let sent = actions.iter().filter_map(|action| match action {
         Action::Send { part, replica, .. } => Some((part.0, *replica)),
@@ -164,26 +170,26 @@
     sent.collect()
 }
 
-/// Whether a query was rejected.
+/// Returns whether a query was rejected.
 pub fn is_rejected(actions: &[Action]) -> bool {
     actions
         .iter()
         .any(|action| matches!(action, Action::Reject { .. }))
 }
 
-/// Whether a query failed.
+/// Returns whether a query failed.
 pub fn is_failed(actions: &[Action]) -> bool {
     actions
         .iter()
         .any(|action| matches!(action, Action::Fail { .. }))
 }
 
-/// Replicas with the ids from 1 on.
+/// Returns `size` replicas with ids from 1 on.
 pub fn fleet(size: u32) -> Vec<ReplicaEntry> {
     (1..=size).map(replica).collect()
 }
 
-/// A driver of ten replicas that have answered for a while.
+/// Returns a driver with ten replicas, after 99 answered queries.
 pub fn warm_fleet(settings: Settings) -> Driver {
     let mut driver = Driver::new(settings, &fleet(10));
     for id in 1..100 {
@@ -192,7 +198,7 @@
     driver
 }
 
-/// One replica for each cell, with the ids from 1 on.
+/// Returns one replica for each cell, with ids from 1 on.
 pub fn one_replica_per_cell(cells: u32) -> Vec<ReplicaEntry> {
     let in_cell = |cell| ReplicaEntry {
         cell,
--- a/tests/compatibility/peer_messages.rs
+++ b/tests/compatibility/peer_messages.rs
@@ -1,4 +1,4 @@
-//! The messages between the store's nodes.
+//! The encoding of the messages between the store's nodes.
 
 use wharfhub::store::{Message, Version};
 
@@ -32,16 +32,16 @@
 }
 
 #[test]
-fn messages_are_encoded_as_the_former_release_encoded_them() {
+fn messages_are_encoded_as_by_release_dade8db() {
     let encoded: Vec<u8> = messages().iter().flat_map(Message::encode).collect();
     assert_eq!(encoded, WRITTEN_BY_DADE8DB);
 }
 
 #[test]
-fn messages_of_the_former_release_are_decoded() {
+fn messages_encoded_by_release_dade8db_are_decoded() {
     let mut buffer = WRITTEN_BY_DADE8DB.to_vec();
     for expected in messages() {
-        let decoded = Message::decode(&mut buffer).expect("a message that can be read");
+        let decoded = Message::decode(&mut buffer).expect("decode a message");
         assert_eq!(decoded, Some(expected));
     }
     assert!(buffer.is_empty());
--- a/tests/compatibility/settings_keys.rs
+++ b/tests/compatibility/settings_keys.rs
@@ -1,4 +1,4 @@
-//! The keys of the settings and of the configuration around them: each is still read under its name.
+//! The keys of the settings and of the configuration that contains them: each is read under its name of release dade8db.
 
 use miniserde::json::{self, Array, Value};
 use rstest::rstest;
@@ -18,15 +18,15 @@
     "phases": {"classes": [], "leastParts": 4, "mostShare": 0.4, "tryAgainEvery": 100}
 }"#;
 
-/// The same settings with a value of a wrong type at a key, which a decoder that reads this key turns down.
+/// Returns the JSON with a value of a wrong type at the key `path`, which a decoder that reads this key rejects.
 fn with_wrong_value(settings: &str, path: &[&str]) -> String {
     let mut complete: Value = json::from_str(settings).expect("JSON");
     let mut value = &mut complete;
     for step in path {
         value = match value {
-            Value::Object(object) => object.get_mut(*step).expect("the key is there"),
+            Value::Object(object) => object.get_mut(*step).expect("key not in the JSON"),
             Value::Array(entries) => &mut entries[0],
-            _ => panic!("{path:?} ends early"),
+            _ => panic!("{path:?} continues below a plain value"),
         };
     }
     *value = Value::Array([Value::Array(Array::new())].into_iter().collect());
@@ -35,7 +35,7 @@
 
 #[test]
 fn the_settings_with_every_key_are_accepted() {
-    decode(SETTINGS.as_bytes()).expect("settings that can be served");
+    decode(SETTINGS.as_bytes()).expect("settings rejected");
 }
 
 #[rstest]
@@ -60,7 +60,7 @@
     }
 }
 
-/// The configuration that carries them, as `LB_CONFIG` names it.
+/// The configuration file, to which `LB_CONFIG` or `--config` refers, contains the settings.
 #[rstest]
 #[case("name")]
 #[case("listen")]
@@ -96,11 +96,11 @@
             "vrrp": {{"router": 1, "priority": 100, "interval_cs": 100, "preempt": true, "listen": "127.0.0.1:0",
                 "addresses": ["127.0.0.9"], "peers": []}}}}"#
     );
-    Config::decode(config.as_bytes()).expect("a configuration that can be read");
+    Config::decode(config.as_bytes()).expect("configuration rejected");
     let path: Vec<&str> = key.split('.').collect();
     let Err(error) = Config::decode(with_wrong_value(&config, &path).as_bytes()) else {
         panic!("{key} is not read")
     };
-    let last = path.last().expect("a key");
+    let last = path.last().expect("empty path");
     assert!(error.to_string().contains(last), "{key}: {error}");
 }
--- a/tests/compatibility/stored_registers.rs
+++ b/tests/compatibility/stored_registers.rs
@@ -1,4 +1,4 @@
-//! The file of a store's registers.
+//! The file in which a node of the store keeps its registers.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -37,29 +37,29 @@
 fn empty_folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("wharfhub-{name}-{}", std::process::id()));
     let _ = fs::remove_dir_all(&folder);
-    fs::create_dir_all(&folder).expect("a folder");
+    fs::create_dir_all(&folder).expect("create the folder");
     folder
 }
 
 #[test]
-fn registers_written_by_the_former_release_are_read() {
+fn registers_written_by_release_dade8db_are_read() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/compatibility/data/store");
-    let registers = Registers::open(&folder).expect("registers that can be read");
+    let registers = Registers::open(&folder).expect("open the registers");
     for (key, version, value) in REGISTERS {
         assert_eq!(registers.get(key), (version, Some(value)));
     }
 }
 
 #[test]
-fn registers_are_written_as_the_former_release_wrote_them() {
+fn registers_are_written_as_by_release_dade8db() {
     let folder = empty_folder("registers");
-    let mut registers = Registers::open(&folder).expect("an empty folder");
+    let mut registers = Registers::open(&folder).expect("open an empty folder");
     for (key, version, value) in REGISTERS {
         registers
             .put(key, version, value)
-            .expect("a register within the limits");
+            .expect("store a register");
     }
-    let written = fs::read_to_string(folder.join("registers.json")).expect("a file");
+    let written = fs::read_to_string(folder.join("registers.json")).expect("read the written file");
     assert_eq!(written, WRITTEN_BY_DADE8DB);
-    fs::remove_dir_all(folder).expect("the folder is there");
+    fs::remove_dir_all(folder).expect("remove the folder");
 }
--- a/tests/discovery_outages.rs
+++ b/tests/discovery_outages.rs
@@ -191,8 +191,8 @@
         .collect()
 }
 
-/// A call that ended without a byte used to stop the service until the next answer, for up to 25 s (since commit a191bf8). If
-/// different failures alternated, the service was stopped until discovery recovered.
+/// Guards against a fault since commit a191bf8: a call that ended without a byte stopped the service until the next answer, for up
+/// to 25 s. If different failures alternated, the service was stopped until discovery recovered.
 #[test]
 fn an_outage_by_resets_without_news_stops_no_service() {
     let failed = failed_cases(
--- a/tests/exchanges/main.rs
+++ b/tests/exchanges/main.rs
@@ -1,71 +1,82 @@
-//! Plays the recorded byte exchanges of `tests/exchanges/*.txt` against the program and compares.
+//! Plays the recorded byte exchanges of `tests/exchanges/*.txt` against the program and compares the results.
 //!
-//! A script is read line by line; `\r`, `\n`, `\\` and `\xHH` stand for bytes, `{x*900}` for 900 times x, and
-//! in what is expected `*` stands for anything. The words:
+//! A script is executed line by line; empty lines and lines that begin with `#` are skipped. In texts, `\r`, `\n`, `\\` and `\xHH`
+//! stand for bytes, and `{x*900}` stands for 900 times `x`. In awaited text, `*` matches any bytes. Steps:
 //!
-//! - `leaf NAME CELL [opensearch] [prefilter]`: a stock box that listens, and may announce that it knows phases; `box NAME CELL` one that nobody listens for.
-//! - `discovery`: a discovery that the script plays under that name, `another NAME`: one more. `set KEY JSON`: a key of the configuration,
-//!   in which `@NAME` stands for the address of `peer NAME` (a node of the store) or `udp NAME` (a VRRP router).
-//!   `edit OLD => NEW`: another value in the settings. `unlisted`: the configuration has no list of servers (`known`).
-//! - `start`: the program starts, knowing the boxes so far. `log TEXT`: waits until it has logged that.
-//! - `WHO > TEXT`, `WHO < TEXT`: bytes sent, bytes awaited (all that came since the last match). A box that
-//!   speaks frames names the frame's letter first. A name that is no box is a client and connects, to the
-//!   search API if it begins with `os`, to the admin interface if with `op`, to the store's listener if with `node`.
-//!   `{id}` in what is awaited keeps what stands there, and `{id}` in what is sent puts it back.
-//! - `WHO sent`: waits until all that WHO has sent has arrived at the program's socket: what others send from then on comes later.
-//! - `WHO raw TEXT`: bytes sent as they are, by a box too. `WHO finds`: waits until something has come, and leaves it unread.
-//! - `NAME fills`: no connection comes up there any more, and none is refused: the queue of those that wait to be accepted is
-//!   full. `NAME empties`: it is empty again.
-//! - `WHO takes`: the next connection, in place of the present one. `WHO shut`: half-close. `WHO close`.
-//!   `WHO ends`: the program closes its side. `WHO parts`: so it does, and no reset destroys what it said before. `WHO floods`: sends until the program has had enough. `NAME refuses`: nobody listens there any more.
-//! - `NAME tells HEX`, `NAME hears HEX`: a message of a VRRP router. `active`: the program listens for clients.
-//! - `hold`: the script holds the clients' listener, and programs inherit it. `beside`: another program starts beside
-//!   the present one, which is `old` from then on: `old log TEXT`, `old term`, `old exits`, and a name that begins
-//!   with `oop` connects to its admin interface. `ends now`: the newest is killed, and the old one is the present one again.
-//!   `NAME meets`: connects where a successor would; `NAME awaits`: listens where a predecessor would.
-//! - `stop`: the program stands still from here on, and finds all that comes meanwhile at once at `cont`.
-//! - `rewrite`: the configuration's file anew, with what was `set` since. `spoil`: the file is no JSON any more.
-//! - `hup`: SIGHUP. `term`: SIGTERM. `exits`: the program ends with 0.
+//! - `leaf NAME CELL [opensearch] [prefilter]`: a leaf server that listens and is in the configured list, and may announce that it
+//!   supports two-phase queries.
+//! - `discovery`: a discovery, played by the script under that name. `another NAME`: another listener of this kind.
+//! - `peer NAME`: a node of the store. `udp NAME`: a VRRP router.
+//! - `set KEY JSON`: sets a key of the configuration; `@NAME` stands for the address of a party such as `peer NAME` or `udp NAME`.
+//!   `edit OLD => NEW`: replaces text in the settings. `unlisted`: the configuration has no list of servers (`known`).
+//! - `start`: starts the program, with the leaf servers so far as its known list. `log TEXT`: waits until the program has logged a
+//!   line with that text.
+//! - `WHO > TEXT`, `WHO < TEXT`: sends bytes; waits until all bytes since the last match are as in the text. For a party that
+//!   speaks frames, the text begins with the frame's letter. A name that is not yet a party is a client, and connects on first use:
+//!   to the search API if the name begins with `os`, to the admin interface if with `op`, to the store's listener if with `node`,
+//!   and otherwise to the platform's front. `{id}` in awaited text captures the text at this place, and `{id}` in text that is sent
+//!   inserts it.
+//! - `WHO sent`: waits until everything that WHO has sent has arrived at the program's socket, so that what others send later
+//!   arrives later.
+//! - `WHO raw TEXT`: sends bytes without a frame header. `WHO finds`: waits until bytes are received, and leaves them unread.
+//! - `NAME fills`: fills the queue of connections to be accepted, so that no connection to NAME is established and none is refused.
+//!   `NAME empties`: empties that queue.
+//! - `WHO takes`: accepts the next connection, in place of the present one. `WHO shut`: closes the sending side. `WHO close`: closes
+//!   the connection.
+//! - `WHO ends`: waits until the program closes the connection, in order or by a reset. `WHO parts`: waits until the program closes
+//!   it in order, without a reset. `WHO floods`: sends until the program closes the connection. `NAME refuses`: stops listening.
+//! - `NAME tells HEX`, `NAME hears HEX`: sends or awaits a message of a VRRP router. `active`: waits until the program listens for
+//!   clients.
+//! - `hold`: the script opens the listener for clients, and programs inherit it. `beside`: starts another program in parallel with
+//!   the present one. The earlier program is `old` from then on: `old log TEXT`, `old term` and `old exits` apply to it, and a client
+//!   whose name begins with `oop` connects to its admin interface. `ends now`: kills the newer program, and the old one is the
+//!   present one again.
+//! - `NAME meets`: connects to the handover socket as a successor does. `NAME awaits`: listens at the handover socket as a
+//!   predecessor does.
+//! - `stop`: pauses the process. `cont`: resumes it; it then finds everything that arrived during the pause at once.
+//! - `rewrite`: writes the configuration file again, with the keys `set` since. `spoil`: writes a file that is not valid JSON.
+//! - `hup`: SIGHUP. `term`: SIGTERM. `exits`: waits until the program exits with status 0.
 //!
-//! Nothing here sleeps, and no time is asserted: a wait that goes beyond `PATIENCE` is a failure.
+//! The scripts contain no sleeps and assert no times; a wait that takes longer than `MAX_WAIT` is a failure.
 
 mod peer;
 mod program;
-mod stage;
+mod state;
 mod steps;
 mod text;
 
 use rstest::rstest;
-use stage::Stage;
+use state::ScriptState;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// No wait of a script takes longer.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// A connection to this machine that is not there after this time will not come up: its queue is full.
-const FULL_AFTER: Duration = Duration::from_millis(300);
+/// Timeout of every wait of a script.
+const MAX_WAIT: Duration = Duration::from_secs(20);
+/// Timeout after which a connection on this machine counts as impossible, because the listener's queue is full.
+const QUEUE_FULL_TIMEOUT: Duration = Duration::from_millis(300);
+/// Settings of a script that sets no others.
 const SETTINGS: &str = include_str!("settings.json");
 
 #[rstest]
 fn exchange(#[files("tests/exchanges/*.txt")] path: PathBuf) {
-    let script = std::fs::read_to_string(&path).expect("the script");
+    let script = std::fs::read_to_string(&path).expect("read the script");
     let name = path
         .file_stem()
-        .expect("a name")
+        .expect("script without a file name")
         .to_string_lossy()
         .into_owned();
     let folder = std::env::temp_dir().join(format!("wharfhub-{}-{name}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let (peers, set) = (BTreeMap::new(), BTreeMap::new());
-    let mut stage = Stage {
+    std::fs::create_dir_all(&folder).expect("create the folder");
+    let (peers, config_keys) = (BTreeMap::new(), BTreeMap::new());
+    let mut state = ScriptState {
         peers,
         program: None,
         old: None,
-        held: None,
+        held_listener: None,
         folder,
-        unlisted: false,
-        set,
+        has_no_known_list: false,
+        config_keys,
     };
     let lines = script
         .lines()
@@ -73,12 +84,12 @@
         .filter(|(_, line)| !line.is_empty() && !line.starts_with('#'));
     for (number, line) in lines {
         let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
-            steps::step(&mut stage, &name, line)
+            steps::step(&mut state, &name, line)
         }));
         if let Err(cause) = result {
             let text = cause.downcast_ref::<String>().cloned();
             let text = text.or_else(|| cause.downcast_ref::<&str>().map(|text| text.to_string()));
-            let log = stage
+            let log = state
                 .program
                 .iter()
                 .flat_map(|program| program.log.try_iter())
--- a/tests/exchanges/steps.rs
+++ b/tests/exchanges/steps.rs
@@ -1,66 +1,70 @@
-//! The steps of scripts. `main.rs` lists their words.
+//! Executes the steps of scripts. `main.rs` describes them.
 
 use crate::peer::Peer;
-use crate::stage::Stage;
+use crate::state::ScriptState;
 use crate::text::bytes;
-use crate::{PATIENCE, SETTINGS};
+use crate::{MAX_WAIT, SETTINGS};
 use std::io::Write;
 use std::net::{Shutdown, TcpListener, TcpStream, UdpSocket};
 use std::os::fd::OwnedFd;
 use std::os::unix::net::{UnixListener, UnixStream};
 
-/// Carries out one line of the script `name`; panics where something else comes than is awaited.
-pub fn step(stage: &mut Stage, name: &str, line: &str) {
+/// Executes one line of the script `name`. Panics if a result differs from the awaited one.
+pub fn step(state: &mut ScriptState, name: &str, line: &str) {
     let words: Vec<&str> = line.splitn(3, ' ').collect();
     if let ["old", ..] = words[..] {
-        std::mem::swap(&mut stage.old, &mut stage.program);
-        step(stage, name, &line["old ".len()..]);
-        std::mem::swap(&mut stage.old, &mut stage.program);
+        std::mem::swap(&mut state.old, &mut state.program);
+        step(state, name, &line["old ".len()..]);
+        std::mem::swap(&mut state.old, &mut state.program);
         return;
     }
-    let is_known = set_up(stage, &words, line)
-        || drive_program(stage, name, &words, line)
-        || exchange_messages(stage, &words)
-        || drive_connection(stage, &words);
-    assert!(is_known, "no such step");
+    let is_known = set_up(state, &words, line)
+        || drive_program(state, name, &words, line)
+        || exchange_messages(state, &words)
+        || drive_connection(state, &words);
+    assert!(is_known, "unknown step");
 }
 
-/// Parties and configuration; says whether the step is one of these.
-fn set_up(stage: &mut Stage, words: &[&str], line: &str) -> bool {
+/// Executes a step that adds a party or changes the configuration. Returns whether the step is of this kind.
+fn set_up(state: &mut ScriptState, words: &[&str], line: &str) -> bool {
     match *words {
-        ["discovery"] => drop(stage.listen("discovery", false)),
-        ["another", name] => drop(stage.listen(name, false)),
-        ["peer", name] => drop(stage.listen(name, true)),
-        ["leaf", name, rest] => listen_as_leaf_server(stage, name, rest),
+        ["discovery"] => drop(state.listen("discovery", false)),
+        ["another", name] => drop(state.listen(name, false)),
+        ["peer", name] => drop(state.listen(name, true)),
+        ["leaf", name, rest] => listen_as_leaf_server(state, name, rest),
         ["udp", name] => {
-            stage.peers.insert(name.into(), vrrp_router());
+            state.peers.insert(name.into(), vrrp_router());
         }
         ["set", key, value] => {
-            let value = with_addresses(stage, value);
-            stage.set.insert(key.into(), value);
+            let value = with_addresses(state, value);
+            state.config_keys.insert(key.into(), value);
+        }
+        ["edit", _, _] => edit_settings(state, &line["edit ".len()..]),
+        ["unlisted"] => state.has_no_known_list = true,
+        ["hold"] => {
+            state.held_listener = Some(TcpListener::bind("127.0.0.1:0").expect("bind a port"))
         }
-        ["edit", _, _] => edit_settings(stage, &line["edit ".len()..]),
-        ["unlisted"] => stage.unlisted = true,
-        ["hold"] => stage.held = Some(TcpListener::bind("127.0.0.1:0").expect("a port")),
         _ => return false,
     }
     true
 }
 
-fn listen_as_leaf_server(stage: &mut Stage, name: &str, rest: &str) {
+fn listen_as_leaf_server(state: &mut ScriptState, name: &str, rest: &str) {
     let mut words = rest.split(' ');
-    let cell = words.next().expect("a cell");
+    let cell = words.next().expect("leaf server without a cell");
     let words: Vec<&str> = words.collect();
     let is_search = words.contains(&"opensearch");
-    let peer = stage.listen(name, !is_search);
+    let peer = state.listen(name, !is_search);
     peer.cell = cell.into();
-    peer.search = is_search;
-    peer.prefilter = words.contains(&"prefilter");
+    peer.speaks_search_api = is_search;
+    peer.supports_prefilter = words.contains(&"prefilter");
 }
 
 fn vrrp_router() -> Peer {
-    let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    let socket = UdpSocket::bind("127.0.0.1:0").expect("bind a port");
+    socket
+        .set_read_timeout(Some(MAX_WAIT))
+        .expect("set the read timeout");
     Peer {
         address: socket.local_addr().ok(),
         udp: Some(socket),
@@ -68,10 +72,10 @@
     }
 }
 
-/// A value in which `@NAME` stands for the address of a party.
-fn with_addresses(stage: &Stage, value: &str) -> String {
+/// Returns `value` with each `@NAME` replaced by the address of that party.
+fn with_addresses(state: &ScriptState, value: &str) -> String {
     let mut value = value.to_string();
-    for (name, peer) in &stage.peers {
+    for (name, peer) in &state.peers {
         if let Some(address) = peer.address {
             value = value.replace(&format!("@{name}"), &address.to_string());
         }
@@ -79,135 +83,148 @@
     value
 }
 
-fn edit_settings(stage: &mut Stage, change: &str) {
-    let (old, new) = change.split_once(" => ").expect("an arrow");
-    let settings = stage
-        .set
+fn edit_settings(state: &mut ScriptState, change: &str) {
+    let (old, new) = change.split_once(" => ").expect("edit without =>");
+    let settings = state
+        .config_keys
         .entry("settings".into())
         .or_insert_with(|| SETTINGS.into());
-    assert!(settings.contains(old), "nothing to edit");
+    assert!(settings.contains(old), "text to edit not in the settings");
     *settings = settings.replace(old, new);
 }
 
-/// Processes, signals, the log and the configuration's file; says whether the step is one of these.
-fn drive_program(stage: &mut Stage, name: &str, words: &[&str], line: &str) -> bool {
+/// Executes a step that concerns a process, its log or its configuration file. Returns whether the step is of this kind.
+fn drive_program(state: &mut ScriptState, name: &str, words: &[&str], line: &str) -> bool {
     match *words {
-        ["start"] => stage.start(name),
+        ["start"] => state.start(name),
         ["beside"] => {
-            stage.old = stage.program.take();
-            stage.start(name);
+            state.old = state.program.take();
+            state.start(name);
         }
         ["ends", "now"] => {
-            stage.program = None;
-            stage.program = stage.old.take();
+            state.program = None;
+            state.program = state.old.take();
         }
         ["active"] => {
-            let has_search = stage.set.contains_key("search");
-            stage.program().active(has_search);
+            let has_search = state.config_keys.contains_key("search");
+            state.program().await_client_addresses(has_search);
         }
-        ["log", ..] => drop(stage.program().await_log(&line["log ".len()..])),
+        ["log", ..] => drop(state.program().await_log(&line["log ".len()..])),
         ["rewrite"] => {
-            let text = stage.config();
-            std::fs::write(&stage.program().path, text).expect("written");
+            let text = state.config();
+            std::fs::write(&state.program().config_path, text)
+                .expect("write the configuration file");
+        }
+        ["spoil"] => {
+            std::fs::write(&state.program().config_path, "{").expect("write the configuration file")
         }
-        ["spoil"] => std::fs::write(&stage.program().path, "{").expect("written"),
-        ["stop"] => stage.program().stop(),
-        ["term" | "hup" | "cont"] => stage.program().signal(&words[0].to_uppercase()),
-        ["exits"] => stage.program().await_exit(),
+        ["stop"] => state.program().stop(),
+        ["term" | "hup" | "cont"] => state.program().signal(&words[0].to_uppercase()),
+        ["exits"] => state.program().await_exit(),
         _ => return false,
     }
     true
 }
 
-/// Bytes and datagrams; says whether the step is one of these.
-fn exchange_messages(stage: &mut Stage, words: &[&str]) -> bool {
+/// Executes a step that sends or awaits bytes. Returns whether the step is of this kind.
+fn exchange_messages(state: &mut ScriptState, words: &[&str]) -> bool {
     match *words {
-        [who, ">", text] => stage.peer(who).say(text),
-        [who, "<", text] => stage.peer(who).hear(text),
-        [who, "raw", text] => stage
+        [who, ">", text] => state.peer(who).send(text),
+        [who, "<", text] => state.peer(who).await_text(text),
+        [who, "raw", text] => state
             .peer(who)
             .stream()
             .write_all(&bytes(text))
-            .expect("it takes them"),
+            .expect("send the bytes"),
         [who, "tells", text] => {
-            let address = stage.program().vrrp.expect("set up");
-            let socket = stage.peers[who].udp.as_ref().expect("a router");
-            socket.send_to(&bytes(text), address).expect("it leaves");
+            let address = state.program().vrrp_address.expect("VRRP not configured");
+            let socket = state.peers[who]
+                .udp
+                .as_ref()
+                .expect("party is not a VRRP router");
+            socket
+                .send_to(&bytes(text), address)
+                .expect("send the datagram");
         }
         [who, "hears", text] => {
-            let socket = stage.peers[who].udp.as_ref().expect("a router");
+            let socket = state.peers[who]
+                .udp
+                .as_ref()
+                .expect("party is not a VRRP router");
             await_datagram(socket, &bytes(text));
         }
-        [who, "sent"] => stage.peer(who).await_arrival(),
+        [who, "sent"] => state.peer(who).await_arrival(),
         [who, "finds"] => {
-            let found = stage.peer(who).stream().peek(&mut [0]);
-            assert!(found.expect("something comes") > 0, "it is closed");
+            let found = state.peer(who).stream().peek(&mut [0]);
+            assert!(found.expect("wait for bytes") > 0, "connection closed");
         }
         [who, "floods"] => {
-            let stream = stage.peer(who).stream();
+            let stream = state.peer(who).stream();
             let chunk = [b'x'; 1 << 16];
             let ended = (0..1 << 12).any(|_| stream.write_all(&chunk).is_err());
-            assert!(ended, "it took 256 MiB");
+            assert!(ended, "256 MiB accepted");
         }
         _ => return false,
     }
     true
 }
 
-/// Waits for a datagram; repeated advertisements before it are nothing new.
+/// Waits for a datagram, and ignores others, such as repeated advertisements, before it.
 fn await_datagram(socket: &UdpSocket, awaited: &[u8]) {
     let mut buffer = [0; 2048];
     loop {
-        let count = socket.recv(&mut buffer).expect("it comes");
+        let count = socket.recv(&mut buffer).expect("receive a datagram");
         if buffer[..count] == *awaited {
             return;
         }
     }
 }
 
-/// Connections and their ends; says whether the step is one of these.
-fn drive_connection(stage: &mut Stage, words: &[&str]) -> bool {
+/// Executes a step that concerns a connection or a listener. Returns whether the step is of this kind.
+fn drive_connection(state: &mut ScriptState, words: &[&str]) -> bool {
     match *words {
         [who, "meets"] => {
-            let stream = UnixStream::connect(stage.handover_socket()).expect("somebody there");
+            let stream = UnixStream::connect(state.handover_socket())
+                .expect("connect to the handover socket");
             let peer = Peer {
                 stream: Some(TcpStream::from(OwnedFd::from(stream))),
                 ..Peer::default()
             };
-            stage.peers.insert(who.into(), peer);
+            state.peers.insert(who.into(), peer);
         }
         [who, "awaits"] => {
-            let listener = UnixListener::bind(stage.handover_socket()).expect("a place");
+            let listener =
+                UnixListener::bind(state.handover_socket()).expect("bind the handover socket");
             let peer = Peer {
-                meeting: Some(listener),
+                handover_listener: Some(listener),
                 ..Peer::default()
             };
-            stage.peers.insert(who.into(), peer);
+            state.peers.insert(who.into(), peer);
         }
-        [who, "takes"] => stage.peer(who).accept(),
-        [who, "fills"] => stage.peer(who).fill(),
-        [who, "empties"] => stage.peer(who).empty(),
-        [who, "shut"] => stage
+        [who, "takes"] => state.peer(who).accept(),
+        [who, "fills"] => state.peer(who).fill_queue(),
+        [who, "empties"] => state.peer(who).empty_queue(),
+        [who, "shut"] => state
             .peer(who)
             .stream()
             .shutdown(Shutdown::Write)
-            .expect("half-closed"),
+            .expect("shut down the sending side"),
         [who, "close"] => {
-            stage.peer(who).stream = None;
-            stage.forget(who);
+            state.peer(who).stream = None;
+            state.remove_client(who);
         }
         [who, "parts"] => {
-            stage.peer(who).parts();
-            stage.forget(who);
+            state.peer(who).await_orderly_close();
+            state.remove_client(who);
         }
         [who, "ends"] => {
-            stage.peer(who).ends();
-            stage.forget(who);
+            state.peer(who).await_close();
+            state.remove_client(who);
         }
         [who, "refuses"] => {
-            let peer = stage.peer(who);
+            let peer = state.peer(who);
             peer.listener = None;
-            peer.meeting = None;
+            peer.handover_listener = None;
         }
         _ => return false,
     }
--- a/tests/exchanges/text.rs
+++ b/tests/exchanges/text.rs
@@ -1,16 +1,19 @@
-//! The text of scripts: escapes, and patterns in what is awaited.
+//! The escapes in texts of scripts, and the patterns in awaited text.
 
-/// The bytes that a text of a script stands for: `\r`, `\n`, `\\`, `\xHH`, and `{x*900}` for 900 times x.
+/// Returns the bytes that a text of a script stands for, with the escapes `\r`, `\n`, `\\`, `\xHH`, and `{x*900}` for 900 times `x`.
 pub fn bytes(text: &str) -> Vec<u8> {
     let (mut out, mut rest) = (Vec::new(), text);
     while let Some(c) = rest.chars().next() {
-        if let Some((run, after)) = rest.strip_prefix('{').and_then(|run| run.split_once('}')) {
-            if let Some((what, count)) = run
+        if let Some((repetition, after)) = rest
+            .strip_prefix('{')
+            .and_then(|group| group.split_once('}'))
+        {
+            if let Some((repeated, count)) = repetition
                 .split_once('*')
-                .filter(|(what, _)| what.chars().count() == 1)
+                .filter(|(repeated, _)| repeated.chars().count() == 1)
             {
                 if let Ok(count) = count.parse() {
-                    out.extend(what.repeat(count).into_bytes());
+                    out.extend(repeated.repeat(count).into_bytes());
                     rest = after;
                     continue;
                 }
@@ -41,7 +44,7 @@
     out
 }
 
-/// Whether `text` is what the pattern says; `*` stands for anything.
+/// Returns whether `text` matches the pattern; `*` matches any bytes.
 pub fn matches(pattern: &[u8], text: &[u8]) -> bool {
     let pieces: Vec<&[u8]> = pattern.split(|byte| *byte == b'*').collect();
     let (Some(first), Some(last)) = (pieces.first(), pieces.last()) else {
