--- a/tests/discovery_outages.rs
+++ b/tests/discovery_outages.rs
@@ -1,6 +1,6 @@
 //! Tests the program on real connections during outages in which discovery closes or resets connections. While no server
-//! changes, clients must be served as before. After the outage, an answer that discovery has written counts as notified even if
-//! it is lost.
+//! changes, clients must be served as before. A change that discovery has written after the outage counts as notified, even if the
+//! answer is lost.
 
 mod stand_ins;
 
@@ -19,7 +19,7 @@
 const RECOVERY: Duration = Duration::from_secs(2);
 /// Interval at which an open call checks for an outage or a drain.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Maximum share of the queries during and after an outage that may not be served.
+/// Maximum share of unserved queries, of those during and after an outage.
 const MAX_UNSERVED_SHARE: f64 = 0.01;
 /// Time within which a process that starts during an outage has to serve with its last known list.
 const MAX_START_TIME: Duration = Duration::from_secs(4);
@@ -169,9 +169,9 @@
     assert!(!deployment.server.calls().is_empty());
     let sent = in_outage.sent + recovered.sent;
     let unserved = sent - in_outage.served - recovered.served;
-    let is_too_much = f64::from(unserved) > MAX_UNSERVED_SHARE * f64::from(sent);
+    let has_too_many = f64::from(unserved) > MAX_UNSERVED_SHARE * f64::from(sent);
     let gap = longest_gap(&[in_outage.served_at, recovered.served_at].concat());
-    (is_too_much || gap >= Duration::from_secs(1))
+    (has_too_many || gap >= Duration::from_secs(1))
         .then(|| format!("{unserved} of {sent} not served, {gap:?} without service"))
 }
 
@@ -275,10 +275,10 @@
         .then(|| format!("{} late, up to {latest:?}, serves: {serves}", late.len()))
 }
 
-/// The handling of outages must not hide a drain: an answer that is lost at the end of an outage, or before the mixer detects one,
-/// counts as notified, and nothing is sent to the draining server after its grace.
+/// The handling of outages must not hide a drain: a change in an answer that is lost at the end of an outage, or before the
+/// mixer detects one, counts as notified, and nothing is sent to the draining server after its grace.
 #[test]
-fn an_answer_lost_at_an_outage_counts_as_notified() {
+fn a_drain_in_an_answer_lost_at_an_outage_counts_as_notified() {
     let notice = |outage_s, outage, mixers, truncation, count| LostNotice {
         case: Case {
             outage,
--- a/tests/discovery_silence.rs
+++ b/tests/discovery_silence.rs
@@ -97,16 +97,16 @@
         }
     });
     let program = start(mixers, mode, address, true);
-    let known_at = program.await_log("discovery: revision Some(2)");
+    let received_at = program.await_log("discovery: revision Some(2)");
     let silent_since = state
         .lock()
         .expect("lock poisoned")
         .silent_since
-        .expect("the watch did not fall silent");
+        .expect("the watch did not stop answering");
     assert!(
-        known_at <= silent_since + MAX_NOTIFICATION_DELAY,
+        received_at <= silent_since + MAX_NOTIFICATION_DELAY,
         "received after {:?}",
-        known_at - silent_since
+        received_at - silent_since
     );
 }
 
@@ -124,8 +124,8 @@
     start(2, "subscribe", address, true).await_log("discovery: revision Some(4)");
 }
 
-/// A restarted discovery starts its revisions again. The mixer, whose calls for changes are refused here, accepts the lower revision of
-/// the whole list.
+/// A restarted discovery counts its revisions from the start. The mixer, whose calls for changes are refused here, accepts the
+/// lower revision of the whole list.
 #[test]
 fn a_lower_revision_of_a_restarted_discovery_is_accepted() {
     let lists = Arc::new(Mutex::new(0));
--- a/tests/lost_answers.rs
+++ b/tests/lost_answers.rs
@@ -1,4 +1,4 @@
-//! Tests the program on real connections with a discovery whose answers are lost in transit. An answer that discovery has written
+//! Tests the program on real connections with a discovery whose answers are lost in transit. A change that discovery has written
 //! counts as notified: nothing may be sent to a draining server after its grace, however much of the answer was received.
 
 mod stand_ins;
@@ -157,23 +157,23 @@
     let registry = Arc::new(Registry::default());
     let (shared, known) = (registry.clone(), Some(before.clone()));
     let address = discovery(move |call| shared.reply(&case, call, &before, &after));
-    let (_program, clients_at) = Program::start_serving(&Setup {
+    let (_program, client_address) = Program::start_serving(&Setup {
         mixers: case.mixers,
         mode: case.mode,
         discovery: address,
         known,
     });
-    let warm_up = query_for(clients_at, WARM_UP);
+    let warm_up = query_for(client_address, WARM_UP);
     assert_eq!(
         warm_up.served, warm_up.sent,
         "{case:?}: not served before the drain"
     );
     if case.outage != Outage::None {
         registry.update(|state| state.is_in_outage = true);
-        query_for(clients_at, OUTAGE_LENGTH);
+        query_for(client_address, OUTAGE_LENGTH);
     }
     registry.update(|state| (state.is_in_outage, state.is_draining) = (false, true));
-    let serves = query_for(clients_at, OBSERVATION).is_last_served;
+    let serves = query_for(client_address, OBSERVATION).is_last_served;
     let notified_at = registry.state.lock().expect("lock poisoned").notified_at;
     let delay = |at: Instant| {
         at.saturating_duration_since(notified_at.expect("no call after the drain"))
@@ -200,7 +200,7 @@
 /// Guards against incident 2: the answer that contains the drain is truncated, once or several times in a row, after any number of
 /// bytes, and its connection is closed or stays open without further data.
 #[test]
-fn a_truncated_answer_counts_as_notified() {
+fn a_drain_in_a_truncated_answer_counts_as_notified() {
     let cases = [
         Case::new(4, Truncation::NoBytes, 1),
         Case::new(4, Truncation::NoBytes, 2),
@@ -228,7 +228,7 @@
 
 /// The answer that contains the drain is truncated right after an outage, when calls have failed for some time.
 #[test]
-fn a_truncated_answer_after_an_outage_counts_as_notified() {
+fn a_drain_in_a_truncated_answer_after_an_outage_counts_as_notified() {
     let cases = [
         Case::new(4, Truncation::NoBytes, 1).after(Outage::Refuses),
         Case::new(4, Truncation::Half, 1).after(Outage::Refuses),
--- a/tests/overdue_calls.rs
+++ b/tests/overdue_calls.rs
@@ -175,13 +175,13 @@
     let registry = Registry::new(other_calls, written_after);
     let (shared, known) = (registry.clone(), before.clone());
     let address = discovery(move |call| shared.reply(call, &before, &after));
-    let (_program, clients_at) = start(mixers, mode, address, known);
-    let warm_up = query_for(clients_at, WARM_UP);
+    let (_program, client_address) = start(mixers, mode, address, known);
+    let warm_up = query_for(client_address, WARM_UP);
     assert_eq!(warm_up.served, warm_up.sent, "not served before the outage");
     registry.start_outage();
     let observed = Duration::from_secs(10) + written_after;
     assert!(
-        query_for(clients_at, observed).is_last_served,
+        query_for(client_address, observed).is_last_served,
         "the last query was not served"
     );
     let notified_at = registry.notified_at().expect("no call was left unanswered");
@@ -249,11 +249,11 @@
             }
         }
     });
-    let (_program, clients_at) = start(mixers, "subscribe", address, known);
-    query_for(clients_at, WARM_UP);
+    let (_program, client_address) = start(mixers, "subscribe", address, known);
+    query_for(client_address, WARM_UP);
     let since = Instant::now();
     *overloaded_at.lock().expect("lock poisoned") = Some(since);
-    assert!(query_for(clients_at, Duration::from_secs(12)).is_last_served);
+    assert!(query_for(client_address, Duration::from_secs(12)).is_last_served);
     let late = |at: Instant| {
         at.saturating_duration_since(since)
             .checked_sub(MAX_NOTIFICATION_DELAY + DRAIN_GRACE_WITH_SLACK)
@@ -283,8 +283,8 @@
             Reply::List(queued.clone())
         }
     });
-    let (_program, clients_at) = start(mixers, "subscribe", address, known);
-    query_for(clients_at, QUEUE_DELAY + MARGIN);
+    let (_program, client_address) = start(mixers, "subscribe", address, known);
+    query_for(client_address, QUEUE_DELAY + MARGIN);
     assert!(!second.calls().is_empty());
 }
 
@@ -326,11 +326,11 @@
     let address = discovery_until(is_unreachable.clone(), move |call| {
         shared.reply(call, &before, &before)
     });
-    let (program, clients_at) = start(mixers, "subscribe", address, known);
-    query_for(clients_at, WARM_UP);
+    let (program, client_address) = start(mixers, "subscribe", address, known);
+    query_for(client_address, WARM_UP);
     is_unreachable.store(outage == Outage::Unreachable, Ordering::Relaxed);
     registry.start_outage();
-    let results = query_for(clients_at, LENGTH);
+    let results = query_for(client_address, LENGTH);
     let log: Vec<String> = program.log.try_iter().map(|(_, line)| line).collect();
     let unserved = results.sent - results.served;
     (unserved > 0).then(|| format!("{unserved} of {} not served: {log:#?}", results.sent))
--- a/tests/stale_list.rs
+++ b/tests/stale_list.rs
@@ -53,7 +53,7 @@
         removed.list_entry("removed", "Ready"),
         kept.list_entry("kept", "Ready")
     );
-    let now = kept.list_entry("kept", "Ready");
+    let current = kept.list_entry("kept", "Ready");
     let calls = Arc::new(Mutex::new(0));
     let address = discovery(move |call| {
         let number = {
@@ -66,7 +66,7 @@
         }
         match call {
             Some((2, wait)) if wait > 0 => Reply::NoAnswer,
-            _ => list(2, true, &now),
+            _ => list(2, true, &current),
         }
     });
     let program = Program::start(&Setup {
--- a/tests/standstill.rs
+++ b/tests/standstill.rs
@@ -53,7 +53,7 @@
         Some((_, wait)) if wait > 0 => Reply::NoAnswer,
         _ => list(1, true, &lines),
     });
-    let (program, clients_at) = Program::start_serving(&Setup {
+    let (program, client_address) = Program::start_serving(&Setup {
         mixers: 1,
         mode: "subscribe",
         discovery: address,
@@ -63,7 +63,7 @@
     let clients: Vec<_> = (0..CLIENTS)
         .map(|_| {
             let is_stopped = is_stopped.clone();
-            std::thread::spawn(move || query_with_short_timeouts(clients_at, &is_stopped))
+            std::thread::spawn(move || query_with_short_timeouts(client_address, &is_stopped))
         })
         .collect();
     for _ in 0..PAUSES {
@@ -77,7 +77,7 @@
     for client in clients {
         client.join().expect("client panicked");
     }
-    let metrics = Client::connect(clients_at).get_page("/-/figures");
+    let metrics = Client::connect(client_address).get_page("/-/figures");
     let violations: Vec<&str> = metrics
         .lines()
         .filter(|line| line.starts_with("svc_violations_total") && !line.ends_with(" 0"))
