--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,15 +1,20 @@
-//! A driver that feeds events to an aggregator and collects its actions, and common settings and replicas.
+//! Support for tests of the decision module: a driver that passes events to an aggregator and collects its actions, and default
+//! settings and replicas.
 #![allow(dead_code)]
 
 use wharfhub::decisions::api::*;
 use wharfhub::Aggregator;
 
+/// An aggregator on a simulated clock.
 pub struct Driver {
     pub aggregator: Aggregator,
+    /// Simulated time (seconds).
     pub now: f64,
+    /// All actions so far, except timers.
     pub actions: Vec<Action>,
-    /// When each of them was taken.
-    pub times: Vec<f64>,
+    /// Time of each action.
+    pub action_times: Vec<f64>,
+    /// Time of the next periodic check, for which the aggregator has set a timer.
     next_check_at: f64,
 }
 
@@ -44,13 +49,14 @@
             aggregator,
             now: 100.0,
             actions: Vec::new(),
-            times: Vec::new(),
+            action_times: Vec::new(),
             next_check_at: 100.0,
         };
         driver.list(true, replicas);
         driver
     }
 
+    /// Passes an event to the aggregator, and returns its actions except timers.
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.aggregator.handle(self.now, event, &mut out);
@@ -61,7 +67,7 @@
         }
         out.retain(|action| !matches!(action, Action::SetTimer { .. }));
         self.actions.extend(out.iter().cloned());
-        self.times.resize(self.actions.len(), self.now);
+        self.action_times.resize(self.actions.len(), self.now);
         out
     }
 
@@ -72,8 +78,8 @@
         })
     }
 
-    /// Lets time pass, with the periodic checks that the aggregator set timers for.
-    pub fn pass(&mut self, seconds: f64) -> Vec<Action> {
+    /// Advances the time, and runs the periodic checks for which the aggregator has set timers.
+    pub fn advance(&mut self, seconds: f64) -> Vec<Action> {
         let end = self.now + seconds;
         let mut out = Vec::new();
         while self.next_check_at <= end {
@@ -84,18 +90,18 @@
         out
     }
 
-    /// A query with the given shards and even weights. Its parts have ids from `id * 100` on.
+    /// Starts a query with one part of equal weight for each shard. The parts have ids from `id * 100` on.
     pub fn query(&mut self, id: u32, shards: &[u32], timeout_s: f64) -> Vec<Action> {
-        self.query_of(0, id, shards, timeout_s, false)
+        self.query_with_class(0, id, shards, timeout_s, false)
     }
 
-    pub fn query_of(
+    pub fn query_with_class(
         &mut self,
         class: u16,
         id: u32,
         shards: &[u32],
         timeout_s: f64,
-        repeat: bool,
+        is_repeat: bool,
     ) -> Vec<Action> {
         let parts = shards.len() as u32;
         let new = NewQuery {
@@ -104,7 +110,7 @@
             class,
             deadline: self.now + timeout_s,
             parts,
-            is_repeat: repeat,
+            is_repeat,
             key: u64::from(parts),
             tenant: 0,
             pre_check: None,
@@ -127,7 +133,7 @@
         }))
     }
 
-    pub fn end(
+    pub fn end_attempt(
         &mut self,
         part: u32,
         attempt: u8,
@@ -144,18 +150,18 @@
         }))
     }
 
-    /// Sends a one-part query and lets it be answered after `took_s`; gives what was done at its arrival.
+    /// Starts a query of one part, which is answered after `took_s` if it is sent. Returns the actions on its arrival.
     pub fn round_trip(&mut self, id: u32, shard: u32, took_s: f64) -> Vec<Action> {
         let out = self.query(id, &[shard], 3.0);
         if let Some((part, replica)) = sends(&out).first().copied() {
-            self.pass(took_s);
-            self.end(part, 0, replica, took_s, Outcome::Ok);
+            self.advance(took_s);
+            self.end_attempt(part, 0, replica, took_s, Outcome::Ok);
         }
         out
     }
 }
 
-/// The parts sent, each with its replica.
+/// Returns the parts that were sent, each with its replica.
 pub fn sends(actions: &[Action]) -> Vec<(u32, ReplicaId)> {
     let sent = actions.iter().filter_map(|action| match action {
         Action::Send { part, replica, .. } => Some((part.0, *replica)),
@@ -164,26 +170,26 @@
     sent.collect()
 }
 
-/// Whether a query was rejected.
-pub fn rejected(actions: &[Action]) -> bool {
+/// Returns whether a query was rejected.
+pub fn is_rejected(actions: &[Action]) -> bool {
     actions
         .iter()
         .any(|action| matches!(action, Action::Reject { .. }))
 }
 
-/// Whether a query failed.
-pub fn failed(actions: &[Action]) -> bool {
+/// Returns whether a query failed.
+pub fn is_failed(actions: &[Action]) -> bool {
     actions
         .iter()
         .any(|action| matches!(action, Action::Fail { .. }))
 }
 
-/// Replicas with the ids from 1 on.
+/// Returns `size` replicas with ids from 1 on.
 pub fn fleet(size: u32) -> Vec<ReplicaEntry> {
     (1..=size).map(replica).collect()
 }
 
-/// A driver of ten replicas that have answered for a while.
+/// Returns a driver with ten replicas, after 99 answered queries.
 pub fn warm_fleet(settings: Settings) -> Driver {
     let mut driver = Driver::new(settings, &fleet(10));
     for id in 1..100 {
@@ -192,7 +198,7 @@
     driver
 }
 
-/// One replica for each cell, with the ids from 1 on.
+/// Returns one replica for each cell, with ids from 1 on.
 pub fn one_replica_per_cell(cells: u32) -> Vec<ReplicaEntry> {
     let in_cell = |cell| ReplicaEntry {
         cell,
--- a/tests/decisions/retry.rs
+++ b/tests/decisions/retry.rs
@@ -13,11 +13,11 @@
     }
     for id in 60..70 {
         for (part, replica) in sends(&driver.query(id, &[0], 3.0)) {
-            driver.end(part, 0, replica, 0.001, Outcome::Rejected);
+            driver.end_attempt(part, 0, replica, 0.001, Outcome::Rejected);
         }
     }
     driver.actions.clear();
-    driver.pass(0.1);
+    driver.advance(0.1);
     assert!(sends(&driver.actions).is_empty(), "{:?}", driver.actions);
 }
 
@@ -25,7 +25,7 @@
 fn a_part_lost_with_its_connection_is_retried_elsewhere_at_once() {
     let mut driver = Driver::new(settings(class()), &[replica(1), replica(2)]);
     let (part, first) = sends(&driver.query(1, &[0], 3.0))[0];
-    let again = sends(&driver.end(part, 0, first, 0.01, Outcome::Reset));
+    let again = sends(&driver.end_attempt(part, 0, first, 0.01, Outcome::Reset));
     assert_eq!(again.len(), 1);
     assert_ne!(again[0].1, first);
     for id in 2..12 {
@@ -50,7 +50,7 @@
         driver.round_trip(id, 0, 0.2); // four times as long as usual, and a fifth of the objective
     }
     let (part, first) = sends(&driver.query(500, &[0], 3.0))[0];
-    let next = sends(&driver.end(part, 0, first, 0.001, Outcome::Rejected));
+    let next = sends(&driver.end_attempt(part, 0, first, 0.001, Outcome::Rejected));
     assert!(next.len() == 1 && next[0].1 != first, "{next:?}");
 }
 
@@ -70,9 +70,9 @@
         };
         let mut driver = Driver::new(settings, &fleet(3));
         let (part, at) = sends(&driver.query(1, &[0], 3.0))[0];
-        let out = driver.end(part, 0, at, 0.05, outcome);
+        let out = driver.end_attempt(part, 0, at, 0.05, outcome);
         assert_eq!(
-            (rejected(&out), failed(&out)),
+            (is_rejected(&out), is_failed(&out)),
             (is_retry_safe, !is_retry_safe),
             "{effect:?} {outcome:?}"
         );
@@ -97,10 +97,10 @@
         };
         let mut driver = Driver::new(settings(non_idempotent), &fleet(3));
         let (part, at) = sends(&driver.query(1, &[0], 3.0))[0];
-        assert!(sends(&driver.pass(0.9)).is_empty(), "no hedged request");
-        let out = driver.end(part, 0, at, 0.9, outcome);
+        assert!(sends(&driver.advance(0.9)).is_empty(), "no hedged request");
+        let out = driver.end_attempt(part, 0, at, 0.9, outcome);
         assert_eq!(
-            (sends(&out).len(), failed(&out)),
+            (sends(&out).len(), is_failed(&out)),
             (retries, retries == 0),
             "{outcome:?}"
         );
@@ -124,9 +124,9 @@
         let mut driver = Driver::new(settings(keyed.clone()), &fleet(4));
         let (part, at) = sends(&driver.query(1, &[0], 3.0))[0];
         driver.now += 0.2;
-        let second = sends(&driver.end(part, 0, at, 0.2, first))[0];
+        let second = sends(&driver.end_attempt(part, 0, at, 0.2, first))[0];
         driver.now += wait_s;
-        let third = driver.end(part, 1, second.1, wait_s, Outcome::Error);
+        let third = driver.end_attempt(part, 1, second.1, wait_s, Outcome::Error);
         assert_eq!(sends(&third).len(), retries, "{first:?}, then {wait_s} s");
     }
 }
@@ -156,15 +156,21 @@
                 .entry(part)
                 .and_modify(|attempt| *attempt += 1)
                 .or_insert(0u8);
-            work.extend(sends(&driver.end(part, *attempt, at, 0.01, Outcome::Error)));
+            work.extend(sends(&driver.end_attempt(
+                part,
+                *attempt,
+                at,
+                0.01,
+                Outcome::Error,
+            )));
             if work.is_empty() {
-                work = sends(&driver.pass(0.1));
+                work = sends(&driver.advance(0.1));
             }
         }
-        driver.pass(0.6);
+        driver.advance(0.6);
     }
     let (mut seen, mut retries) = (std::collections::BTreeSet::new(), Vec::new());
-    for (action, at) in driver.actions.iter().zip(&driver.times) {
+    for (action, at) in driver.actions.iter().zip(&driver.action_times) {
         let Action::Send { part, .. } = action else {
             continue;
         };
--- a/tests/decisions/selection.rs
+++ b/tests/decisions/selection.rs
@@ -29,8 +29,8 @@
 fn the_last_holder_of_a_shard_stays_in_use() {
     let mut driver = Driver::new(settings(class()), &[replica(1)]);
     let (part, only) = sends(&driver.query(1, &[0], 3.0))[0];
-    driver.end(part, 0, only, 0.01, Outcome::Reset);
-    driver.pass(0.1);
+    driver.end_attempt(part, 0, only, 0.01, Outcome::Reset);
+    driver.advance(0.1);
     assert_eq!(sends(&driver.query(2, &[0], 3.0)).len(), 1);
 }
 
@@ -53,8 +53,8 @@
         let mut to_far = 0;
         for id in 1..40 {
             for (part, at) in sends(&driver.query(id, &[0], 3.0)) {
-                driver.pass(0.1);
-                driver.end(part, 0, at, if at == ReplicaId(2) { 0.15 } else { 0.1 }, OK);
+                driver.advance(0.1);
+                driver.end_attempt(part, 0, at, if at == ReplicaId(2) { 0.15 } else { 0.1 }, OK);
                 to_far += usize::from(at == ReplicaId(1));
             }
         }
@@ -114,13 +114,13 @@
 #[test]
 fn a_slow_replica_is_avoided_for_several_parts() {
     let mut driver = warm_fleet(settings(class()));
-    driver.pass(20.0);
+    driver.advance(20.0);
     let (part, slow) = sends(&driver.query(500, &[0], 3.0))[0];
-    driver.pass(0.3);
-    driver.end(part, 0, slow, 0.3, OK);
+    driver.advance(0.3);
+    driver.end_attempt(part, 0, slow, 0.3, OK);
     let mut again = 0;
     for id in 501..510 {
-        driver.pass(3.0);
+        driver.advance(3.0);
         again += usize::from(sends(&driver.round_trip(id, 0, 0.05))[0].1 == slow);
     }
     assert_eq!(
@@ -143,7 +143,7 @@
     );
     let mut sent_to = std::collections::BTreeMap::new();
     for id in 1..100 {
-        driver.pass(1.0);
+        driver.advance(1.0);
         *sent_to
             .entry(sends(&driver.round_trip(id, 0, 0.05))[0].1 .0)
             .or_insert(0) += 1;
@@ -165,8 +165,8 @@
     let mut driver = Driver::new(settings(class()), &[replica(1)]);
     driver.list(false, &[in_state(Lifecycle::Draining)]);
     assert_eq!(sends(&driver.query(1, &[0], 3.0)).len(), 1);
-    driver.pass(0.9 * drain_grace_s());
-    assert!(rejected(&driver.query(2, &[0], 3.0)));
+    driver.advance(0.9 * drain_grace_s());
+    assert!(is_rejected(&driver.query(2, &[0], 3.0)));
     driver.list(false, &[replica(2)]);
     assert_eq!(sends(&driver.query(3, &[0], 3.0))[0].1, ReplicaId(2));
     driver.list(
@@ -177,7 +177,7 @@
         }],
     );
     assert!(
-        rejected(&driver.query(4, &[0], 3.0)),
+        is_rejected(&driver.query(4, &[0], 3.0)),
         "a removed replica receives no new parts"
     );
 }
@@ -212,7 +212,7 @@
             ..replica(id - 1)
         };
         driver.list(false, &[replica(id), removed]);
-        driver.pass(5.0);
+        driver.advance(5.0);
     }
     let replicas_with_state = driver.aggregator.learned_state().replicas.len();
     assert!(
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -119,14 +119,14 @@
     fn check_actions(&mut self) {
         for index in self.checked_actions..self.driver.actions.len() {
             self.checker
-                .check_action(self.driver.times[index], &self.driver.actions[index]);
+                .check_action(self.driver.action_times[index], &self.driver.actions[index]);
         }
         self.checked_actions = self.driver.actions.len();
     }
 
     fn advance(&mut self, seconds: f64) {
         for _ in 0..(seconds / 0.005) as u32 {
-            self.driver.pass(0.005);
+            self.driver.advance(0.005);
             self.check_actions();
             self.send_second_steps();
         }
@@ -195,7 +195,7 @@
             sent_at, replica, ..
         } = *ended;
         state.is_answered |= outcome == Outcome::Ok;
-        self.driver.end(
+        self.driver.end_attempt(
             part,
             attempt as u8,
             replica,
@@ -330,7 +330,8 @@
             return;
         }
         let part = answered[pick % answered.len()];
-        self.driver.end(part, 0, ReplicaId(1), 0.1, Outcome::Ok);
+        self.driver
+            .end_attempt(part, 0, ReplicaId(1), 0.1, Outcome::Ok);
         self.check_actions();
     }
 }
