--- a/crates/wharfhub-testbed/src/fleet/mixer.rs
+++ b/crates/wharfhub-testbed/src/fleet/mixer.rs
@@ -69,6 +69,7 @@
     /// Number of servers that the mixer knows.
     pub servers: u64,
     /// Revisions applied since the last report, in order.
+    #[serde(rename = "in_force")]
     pub applied: Vec<AppliedRevision>,
     /// Applied revisions that are missing from `applied` because a report holds a limited number.
     pub dropped: u64,
