--- a/src/endpoints/watch_schedule/tests.rs
+++ b/src/endpoints/watch_schedule/tests.rs
@@ -162,7 +162,8 @@
 }
 
 /// A change counts as notified 6 s after discovery is reachable. All mixers receive the change within this time, after long
-/// outages as well as after short ones.
+/// outages as well as after short ones. This holds for 300 mixers, because discovery can answer that many calls for changes in
+/// the time.
 #[rstest::rstest]
 #[case::few(3, 0.05)]
 #[case::thirty(30, 0.02)]
